--- a/cell/admit.go
+++ b/cell/admit.go
@@ -10,69 +10,71 @@
 	"snipehub.example/mesh"
 )
 
-// admitEvery is the least time between two looks ahead: they cost about a millisecond
-// where 400 jobs wait for 350 workers (BenchmarkCrowded).
-const admitEvery = 10 * time.Millisecond
+// lookAheadInterval is the minimum time between two look-aheads. One costs about a
+// millisecond when 400 jobs wait for 350 workers (BenchmarkCrowded).
+const lookAheadInterval = 10 * time.Millisecond
 
-// admit looks ahead: it lays what waits on the places that workers have now and when
-// their runs end, in the order in which it will be placed, and refuses at once the
-// jobs that will not be ready in time. Waiting until it is certain that a job is late
-// would hold its caller up for nothing, and the half of it that was started by then
-// would take room from those who could still be served.
-func (b *Book) admit(now time.Time) {
-	if !b.policy.LookAhead.on() || len(b.waits) == 0 || now.Sub(b.admitted) < admitEvery {
+// lookAhead schedules the pending requests, in the order in which they will be placed, on
+// the slots that are free now or when running tasks end. It immediately refuses the jobs
+// that would miss their objective. If such jobs stayed pending until they are certain to
+// be late, their callers would wait for nothing, and the half of their tasks that was
+// started by then would take resources from jobs that can still meet theirs.
+func (b *Book) lookAhead(now time.Time) {
+	if !b.policy.LookAhead.on() || len(b.pending) == 0 || now.Sub(b.lastLookAhead) < lookAheadInterval {
 		return
 	}
-	// A new planner sees no room where a member has not reported yet.
-	if !b.reported() && now.Sub(b.began) < settleFor {
+	// A new planner sees no free resources of members that have not reported yet.
+	if !b.allReported() && now.Sub(b.startedAt) < reportGracePeriod {
 		return
 	}
-	if now.Sub(b.began) < workersWithin && !b.anyTakes() {
+	if now.Sub(b.startedAt) < workerDiscoveryGrace && !b.anyAcceptsTasks() {
 		return
 	}
-	b.admitted = now
-	queue := slices.Clone(b.line.waits)
-	places := b.places(now, queue)
-	queue = slices.DeleteFunc(queue, func(w *wait) bool { return b.fitsIn(w, places) || w.Begun })
-	b.late = 0
-	why := lateWord
-	if len(places) == 0 {
-		why = noWorkersWord
+	b.lastLookAhead = now
+	queue := slices.Clone(b.requestQueue.pending)
+	slots := b.slots(now, queue)
+	queue = slices.DeleteFunc(queue, func(p *pendingRequest) bool { return b.scheduleInTime(p, slots) || p.Begun })
+	b.refusedDelay = 0
+	why := reasonOthersFirst
+	if len(slots) == 0 {
+		why = reasonNoWorkers
 	}
-	for _, w := range queue {
-		if end := b.lay(w, places); !end.IsZero() {
-			b.late = end.Sub(w.aim)
+	for _, p := range queue {
+		if end := b.schedule(p, slots); !end.IsZero() {
+			b.refusedDelay = end.Sub(p.objective)
 		}
-		b.refuse(now, w, why)
+		b.refuse(now, p, why)
 	}
 }
 
-// workersWithin is how long after its beginning a planner that knows of no worker expects
-// some: processes that were restarted together meet, read the list and take the workers
-// within 0.6 seconds. Refusing at once meanwhile cost a fifth of the callers of the worst
-// two seconds of a day, most of whom were still in time afterwards.
-const workersWithin = time.Second
+// workerDiscoveryGrace is how long a new planner that knows of no available worker
+// expects some to appear: processes that were restarted together connect, read the worker
+// list and take over the workers within 0.6 seconds. Refusing at once during that time
+// cost a fifth of the callers in the worst two seconds of a day, most of whom could still
+// have been served in time.
+const workerDiscoveryGrace = time.Second
 
-// anyTakes tells whether there is a worker that takes tasks.
-func (b *Book) anyTakes() bool {
+// anyAcceptsTasks reports whether at least one worker accepts tasks.
+func (b *Book) anyAcceptsTasks() bool {
 	for _, w := range b.workers {
-		if w.takes() {
+		if w.acceptsTasks() {
 			return true
 		}
 	}
 	return false
 }
 
-// lay places a job's tasks after all that was placed before, in time or not, and returns
-// when the last of them will be ready; zero if there are no places.
-func (b *Book) lay(w *wait, all []*places) (last time.Time) {
-	for range w.Tasks {
-		p, end := b.earliest(all, w)
-		if p == nil {
+// schedule puts the tasks of a request on the slots that become free first, whether or
+// not they end in time, and returns when the last of them ends. It returns the zero time
+// if there are no slots.
+func (b *Book) schedule(p *pendingRequest, all []*slots) (last time.Time) {
+	for range p.Tasks {
+		g, end := b.earliest(all, p)
+		if g == nil {
 			return time.Time{}
 		}
-		p.free[0] = end
-		heap.Fix(p, 0)
+		g.freeAt[0] = end
+		heap.Fix(g, 0)
 		if end.After(last) {
 			last = end
 		}
@@ -81,205 +83,210 @@
 }
 
 const (
-	// retryLeast is the least time after which a refused caller is asked to come back.
-	// The callers' interface rounds up to whole seconds, so half of them are told one.
-	retryLeast = 500 * time.Millisecond
-	// retryMost is the longest. What is foreseen further ahead is wrong by then.
-	retryMost = 8 * time.Second
-	// retrySpread is over how long the return of callers is spread that were refused
-	// at the same time. Together they would be the next burst.
-	retrySpread = time.Second
+	// minRetryAfter is the shortest delay after which a refused caller is asked to retry.
+	// The callers' interface rounds up to whole seconds, so half of them are told one
+	// second.
+	minRetryAfter = 500 * time.Millisecond
+	// maxRetryAfter is the longest such delay. Predictions further ahead are wrong by
+	// then.
+	maxRetryAfter = 8 * time.Second
+	// retryJitter is the interval over which the retries of callers that were refused at
+	// the same time are spread. Together they would be the next burst.
+	retryJitter = time.Second
 )
 
-// retryAfter is what a refused caller is told to wait: as long as its job would have been
-// late if it had been kept with all that were refused before it, and a part of a second
-// that depends on the job.
+// retryAfter returns the delay after which a refused caller should retry: how late its
+// job would have been, had it and all jobs refused before it been kept, plus a jitter of
+// less than a second that depends on the job.
 func (b *Book) retryAfter(job string) time.Duration {
-	wait := min(max(b.late, retryLeast), retryMost)
+	wait := min(max(b.refusedDelay, minRetryAfter), maxRetryAfter)
 	return wait + Spread(job)
 }
 
-// Spread is a part of a second that depends on the job, for those that are refused
-// together not to come back together.
+// Spread returns a jitter of less than a second, derived from the job's ID, so that
+// callers that were refused together don't retry together.
 func Spread(job string) time.Duration {
-	return time.Duration(xxhash.Sum64String(job) % uint64(retrySpread))
+	return time.Duration(xxhash.Sum64String(job) % uint64(retryJitter))
 }
 
 const (
-	// lateWord is the reason of a refusal because of what waits before it.
-	lateWord = "others_first"
-	// noWorkersWord is that of one because no worker takes tasks: none is known, or none
+	// reasonOthersFirst is the reason of a refusal when the requests ahead in the queue
+	// would make the job late.
+	reasonOthersFirst = "others_first"
+	// reasonNoWorkers is the reason when no worker accepts tasks: none is known, or none
 	// has a holder.
-	noWorkersWord = "no_workers"
+	reasonNoWorkers = "no_workers"
 )
 
-// places are the places for one task each on workers of about the same speed: when each
-// is free, as a heap. A job is laid on the best of a few heads; going through all places
-// for each task took a planner of 350 workers more than its processor, so that it fell
-// behind, more waited, and the look ahead took longer still.
-type places struct {
+// slots is a heap of the times at which slots become free, on workers of about the same
+// speed. A slot has the resources for one task. A task is compared with the first slot of
+// each of a few groups: comparing it with every slot took a planner of 350 workers more
+// than its processor, so that it fell behind, more requests became pending, and the
+// look-ahead took longer still.
+type slots struct {
 	factor float64
-	// rack is set while something waits that wants a rack.
-	rack string
-	free []time.Time
+	// rack is set only while a request that prefers a rack is pending.
+	rack   string
+	freeAt []time.Time
 }
 
-// Len, Less, Swap, Push and Pop make it a heap.
-func (p *places) Len() int { return len(p.free) }
+// Len, Less, Swap, Push and Pop implement heap.Interface.
+func (g *slots) Len() int { return len(g.freeAt) }
 
-// Less orders by time.
-func (p *places) Less(i, j int) bool { return p.free[i].Before(p.free[j]) }
+// Less orders slots by the time at which they become free.
+func (g *slots) Less(i, j int) bool { return g.freeAt[i].Before(g.freeAt[j]) }
 
-// Swap swaps two places.
-func (p *places) Swap(i, j int) { p.free[i], p.free[j] = p.free[j], p.free[i] }
+// Swap swaps two slots.
+func (g *slots) Swap(i, j int) { g.freeAt[i], g.freeAt[j] = g.freeAt[j], g.freeAt[i] }
 
-// Push adds a place.
-func (p *places) Push(x any) { p.free = append(p.free, x.(time.Time)) }
+// Push appends a slot.
+func (g *slots) Push(x any) { g.freeAt = append(g.freeAt, x.(time.Time)) }
 
-// Pop takes the last place.
-func (p *places) Pop() any {
-	last := p.free[len(p.free)-1]
-	p.free = p.free[:len(p.free)-1]
+// Pop removes and returns the last slot.
+func (g *slots) Pop() any {
+	last := g.freeAt[len(g.freeAt)-1]
+	g.freeAt = g.freeAt[:len(g.freeAt)-1]
 	return last
 }
 
-// speedStep is by how much the speeds of workers differ that are taken together.
+// speedGroupRatio is the largest ratio of speed factors within one group of slots.
 // Estimates are off by more.
-const speedStep = 1.05
+const speedGroupRatio = 1.05
 
-// places returns the places of all workers that take tasks, for tasks of the average
-// size of those that wait.
-func (b *Book) places(now time.Time, queue []*wait) []*places {
+// slots returns the groups of slots of all workers that accept tasks, or will in a
+// moment, for tasks of the average CPU request in the queue.
+func (b *Book) slots(now time.Time, queue []*pendingRequest) []*slots {
 	cpu := 0
 	for _, w := range queue {
 		cpu += w.Room.CPU
 	}
 	cpu = max(cpu/len(queue), 1)
-	byRack := slices.ContainsFunc(queue, func(w *wait) bool { return w.Rack != "" })
-	var out []*places
-	group := make(map[string]*places)
+	byRack := slices.ContainsFunc(queue, func(w *pendingRequest) bool { return w.Rack != "" })
+	var out []*slots
+	group := make(map[string]*slots)
 	for _, w := range b.bySpeed {
 		from := now
 		switch {
-		case w.aside:
+		case w.ejected:
 			continue
-		case w.takes():
-		case w.changesHands(now), w.comes(now):
-			from = now.Add(handOver)
+		case w.acceptsTasks():
+		case w.changesHolder(now), w.awaitsHolder(now):
+			from = now.Add(handoverTime)
 		default:
 			continue
 		}
 		f := b.factor(w)
-		// The order by speed is that of the last tick; a worker that has turned slow
-		// since begins places of its own.
+		// bySpeed was sorted at the last tick; a worker whose speed has changed since
+		// then starts a group of its own.
 		rack := ""
 		if byRack {
 			rack = w.Rack
 		}
-		p := group[rack]
-		if p == nil || f > p.factor*speedStep || f < p.factor/speedStep {
-			p = &places{factor: f, rack: rack}
-			group[rack] = p
-			out = append(out, p)
+		g := group[rack]
+		if g == nil || f > g.factor*speedGroupRatio || f < g.factor/speedGroupRatio {
+			g = &slots{factor: f, rack: rack}
+			group[rack] = g
+			out = append(out, g)
 		}
-		for range w.left().CPU / cpu {
-			p.free = append(p.free, from)
+		for range w.free().CPU / cpu {
+			g.freeAt = append(g.freeAt, from)
 		}
 		for _, h := range w.runs {
-			p.free = append(p.free, h.end(now, f))
+			g.freeAt = append(g.freeAt, h.end(now, f))
 		}
 	}
-	out = slices.DeleteFunc(out, func(p *places) bool { return len(p.free) == 0 })
-	for _, p := range out {
-		heap.Init(p)
+	out = slices.DeleteFunc(out, func(g *slots) bool { return len(g.freeAt) == 0 })
+	for _, g := range out {
+		heap.Init(g)
 	}
 	return out
 }
 
 const (
-	// handOver is how long a worker takes no tasks while it changes hands as planned:
-	// four messages between data centres and a call.
-	handOver = 20 * time.Millisecond
-	// handOverMost is how long a worker is counted on that changes hands or has just got
-	// its holder.
-	handOverMost = 500 * time.Millisecond
+	// handoverTime is how long a worker accepts no tasks during a planned change of its
+	// holder: four messages between data centres and a call.
+	handoverTime = 20 * time.Millisecond
+	// handoverWindow is how long the slots of a worker count although it accepts no
+	// tasks, because its holder is changing or has just been assigned.
+	handoverWindow = 500 * time.Millisecond
 )
 
-// changesHands tells that a worker took tasks a moment ago and will again.
-func (w *worker) changesHands(now time.Time) bool {
-	return !w.open && w.listed && !w.draining && w.failures == 0 && now.Sub(w.shut) < handOverMost
+// changesHolder reports whether a worker accepted tasks until a moment ago and is
+// expected to do so again under its next holder.
+func (w *worker) changesHolder(now time.Time) bool {
+	return !w.open && w.listed && !w.draining && w.failures == 0 && now.Sub(w.closedAt) < handoverWindow
 }
 
-// comes tells that a worker was just given to a holder, which has not reported it yet or
-// waits for the worker's first answer.
-func (w *worker) comes(now time.Time) bool {
+// awaitsHolder reports whether a worker was just assigned to a holder that has not
+// reported it yet or is waiting for the worker's first answer.
+func (w *worker) awaitsHolder(now time.Time) bool {
 	if w.open || !w.listed || w.draining || w.failures > 0 || w.holder == (mesh.ID{}) {
 		return false
 	}
-	return !w.confirmed && now.Sub(w.told) < tellAgain || now.Sub(w.since) < handOverMost
+	return !w.confirmed && now.Sub(w.assignedAt) < assignmentRepeatInterval || now.Sub(w.heldSince) < handoverWindow
 }
 
-// end foresees when a run ends: from its progress if it is known, else from its
-// estimate and the worker's speed.
-func (h held) end(now time.Time, factor float64) time.Time {
-	age := now.Sub(h.began)
+// end predicts when a run ends: from its progress if that is known, else from its
+// estimate and the worker's speed factor.
+func (h activeRun) end(now time.Time, factor float64) time.Time {
+	age := now.Sub(h.startedAt)
 	total := scaled(h.estimate, factor)
-	if h.percent >= progressLeast {
-		total = h.seen.Sub(h.began) * 100 / time.Duration(h.percent)
+	if h.percent >= minProgressPercent {
+		total = h.reportedAt.Sub(h.startedAt) * 100 / time.Duration(h.percent)
 	}
 	if total < age {
-		// Overdue: what is left is taken for a tenth of what it has taken.
+		// The run is overdue: assume that it needs another tenth of its age.
 		return now.Add(age / 10)
 	}
-	return h.began.Add(total)
+	return h.startedAt.Add(total)
 }
 
-// progressLeast is the percentage from which on progress tells more than the
-// estimate.
-const progressLeast = 15
+// minProgressPercent is the progress from which on it predicts the end of a run better
+// than the estimate does.
+const minProgressPercent = 15
 
-// fitsIn takes the best places for a job's tasks if all of them will be ready in time
-// there, and tells whether they will. Tasks of a job that has begun take theirs
-// anyway.
-func (b *Book) fitsIn(w *wait, all []*places) bool {
+// scheduleInTime puts the tasks of a request on the slots where they end first, if all of
+// them end in time there, and reports whether they do. The tasks of a job that has begun
+// are scheduled even if they end late.
+func (b *Book) scheduleInTime(p *pendingRequest, all []*slots) bool {
 	type taken struct {
-		*places
-		free, end time.Time
+		*slots
+		freeAt, end time.Time
 	}
 	var took []taken
-	limit := w.arrived.Add(time.Duration(float64(w.aim.Sub(w.arrived)) * b.policy.Margin))
+	deadline := p.arrivedAt.Add(time.Duration(float64(p.objective.Sub(p.arrivedAt)) * b.policy.Margin))
 	fits := true
-	for range w.Tasks {
-		p, end := b.earliest(all, w)
-		if p == nil || end.After(limit) && !w.Begun {
+	for range p.Tasks {
+		g, end := b.earliest(all, p)
+		if g == nil || end.After(deadline) && !p.Begun {
 			fits = false
 			break
 		}
-		took = append(took, taken{p, p.free[0], end})
-		p.free[0] = end
-		heap.Fix(p, 0)
+		took = append(took, taken{g, g.freeAt[0], end})
+		g.freeAt[0] = end
+		heap.Fix(g, 0)
 	}
 	if fits {
 		return true
 	}
 	for _, t := range slices.Backward(took) {
-		i := slices.IndexFunc(t.places.free, t.end.Equal)
-		t.places.free[i] = t.free
-		heap.Fix(t.places, i)
+		i := slices.IndexFunc(t.slots.freeAt, t.end.Equal)
+		t.slots.freeAt[i] = t.freeAt
+		heap.Fix(t.slots, i)
 	}
 	return false
 }
 
-// earliest returns the places at whose head a task of the step ends first, nil if there
-// are none.
-func (b *Book) earliest(all []*places, w *wait) (best *places, end time.Time) {
-	for _, p := range all {
-		f := p.factor
-		if w.Rack != "" && w.Rack != p.rack {
+// earliest returns the group whose first slot lets a task of the request end first, and
+// when the task ends. It returns nil if there are no groups.
+func (b *Book) earliest(all []*slots, p *pendingRequest) (best *slots, end time.Time) {
+	for _, g := range all {
+		f := g.factor
+		if p.Rack != "" && p.Rack != g.rack {
 			f *= b.policy.Far
 		}
-		if e := p.free[0].Add(scaled(w.Estimate, f)); best == nil || e.Before(end) {
-			best, end = p, e
+		if e := g.freeAt[0].Add(scaled(p.Estimate, f)); best == nil || e.Before(end) {
+			best, end = g, e
 		}
 	}
 	return best, end
--- a/cell/admit_test.go
+++ b/cell/admit_test.go
@@ -9,11 +9,11 @@
 	"snipehub.example/lease"
 )
 
-// Two jobs that have begun will use the only worker for longer than a third one has
-// time. It is refused at once, while its caller can still turn elsewhere; a job that
-// fits behind them waits.
+// Two tasks of a job that has begun occupy the only worker for longer than a second job
+// has time. It is refused at once, while its caller can still use another service; a job
+// that fits after the running ones stays pending.
 func TestLookingAhead(t *testing.T) {
-	b := allHeld(t, 2, 1)
+	b := newPlannerWithHolders(t, 2, 1)
 	first := ask("first", 2)
 	first.Estimate, first.Aim = time.Second, 2*time.Second
 	b.Ask(ms(700), memberID(1), first)
@@ -23,27 +23,27 @@
 	b.Ask(ms(720), memberID(1), short)
 	b.Ask(ms(720), memberID(1), long)
 	_, refusals := place(b, 720)
-	if len(refusals) != 1 || refusals[0].Job != "short" || refusals[0].Why != lateWord {
+	if len(refusals) != 1 || refusals[0].Job != "short" || refusals[0].Why != reasonOthersFirst {
 		t.Errorf("refusals %+v, want only that of the job without time", refusals)
 	}
-	if len(b.waits) != 1 {
-		t.Errorf("%d jobs wait", len(b.waits))
+	if len(b.pending) != 1 {
+		t.Errorf("%d jobs wait", len(b.pending))
 	}
 }
 
-// What is left of a run is foreseen from its progress, else from its estimate; one that
-// is overdue does not count as free.
+// The end of a run is predicted from its progress, or else from its estimate; an overdue
+// run does not count as ended.
 func TestEndOfARun(t *testing.T) {
 	tests := []struct {
 		name string
-		h    held
+		h    activeRun
 		at   int
 		want int
 	}{
-		{"by estimate", held{began: ms(0), estimate: 100 * time.Millisecond}, 40, 200},
-		{"by progress", held{began: ms(0), estimate: 100 * time.Millisecond, percent: 50, seen: ms(30)}, 40, 60},
-		{"too early to tell", held{began: ms(0), estimate: 100 * time.Millisecond, percent: 5, seen: ms(30)}, 40, 200},
-		{"overdue", held{began: ms(0), estimate: 100 * time.Millisecond}, 400, 440},
+		{"by estimate", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond}, 40, 200},
+		{"by progress", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond, percent: 50, reportedAt: ms(30)}, 40, 60},
+		{"too early to tell", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond, percent: 5, reportedAt: ms(30)}, 40, 200},
+		{"overdue", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond}, 400, 440},
 	}
 	for _, tt := range tests {
 		if got := tt.h.end(ms(tt.at), 2); !got.Equal(ms(tt.want)) {
@@ -52,11 +52,11 @@
 	}
 }
 
-// The planner leaves or dies, and the next one is asked for workers by one process before
-// another has reported those that it holds. It saw no room at all and refused jobs for
-// which there was plenty; callers got "too busy" from an idle system.
+// A new planner gets a request before another member has reported the workers that it
+// holds. It saw no free resources and refused jobs although there were plenty; callers
+// got "too busy" from an idle system.
 func TestNewPlannerWaitsForReports(t *testing.T) {
-	b := planning(t, 2, 4)
+	b := newPlanner(t, 2, 4)
 	b.Report(ms(1), memberID(0), Report{Whole: true})
 	b.Ask(ms(1), memberID(0), ask("a", 2))
 	if _, refused := place(b, 2); len(refused) != 0 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// All processes were restarted. The first planner has met nobody yet and knows of no
-// worker; half a second later all of them are held again. A fifth of the callers of these
+// All processes were restarted. The first planner is connected to nobody and knows no
+// worker; half a second later all workers are held again. A fifth of the callers of these
 // seconds was refused at once, most of whom could have been served in time.
 func TestNobodyIsRefusedBeforeTheWorkersAreThere(t *testing.T) {
 	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
@@ -100,10 +100,11 @@
 	}
 }
 
-// The holder of a worker leaves as planned. Until the next one has it, some milliseconds
-// later, nothing can be started there; jobs that came meanwhile were refused.
+// The holder of a worker leaves as planned. For some milliseconds, until the next one
+// holds the worker, no tasks can be started there; jobs that arrived meanwhile were
+// refused.
 func TestWorkerThatChangesHands(t *testing.T) {
-	b := allHeld(t, 2, 1)
+	b := newPlannerWithHolders(t, 2, 1)
 	w := b.workers["w0"]
 	b.Report(ms(700), w.holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Gone: true}}})
 	b.Ask(ms(701), memberID(1), ask("a", 2))
@@ -118,8 +119,8 @@
 	}
 }
 
-// No worker has a holder, long after the planner began: their holders are lost and the store
-// is away. Callers were told that others come before them, and who was on call looked for a
+// No worker has a holder long after the planner began: the holders are lost and the store
+// is unreachable. Callers were told that other jobs come first, so operators looked for a
 // load that was not there.
 func TestRefusalTellsThatNoWorkerTakesTasks(t *testing.T) {
 	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
@@ -128,16 +129,16 @@
 	b.Report(ms(1), memberID(0), Report{Whole: true})
 	b.Ask(ms(2000), memberID(0), ask("a", 2))
 	_, refused := place(b, 2000)
-	if len(refused) == 0 || refused[0].Why != noWorkersWord {
-		t.Errorf("refused %+v, want %s", refused, noWorkersWord)
+	if len(refused) == 0 || refused[0].Why != reasonNoWorkers {
+		t.Errorf("refused %+v, want %s", refused, reasonNoWorkers)
 	}
 }
 
-// All processes have started together, and a job comes when one worker takes tasks and the
-// others have a holder that waits for their first answer. Callers were refused for want of
-// room that was there some milliseconds later.
+// All processes have started together, and a job arrives when one worker accepts tasks
+// and the others have a holder that waits for their first answer. Callers were refused
+// for lack of resources that were there some milliseconds later.
 func TestWorkersWhoseHolderHasJustBegunCount(t *testing.T) {
-	b := planning(t, 2, 2)
+	b := newPlanner(t, 2, 2)
 	b.Tick(ms(600))
 	for _, a := range b.Take() {
 		if a.Duty != nil {
@@ -161,7 +162,7 @@
 		b.Ask(ms(2000), memberID(1), next)
 	}
 	grants, refused := place(b, 2000)
-	if len(grants) != 2 || len(refused) != 2 || refused[1].Why != lateWord {
+	if len(grants) != 2 || len(refused) != 2 || refused[1].Why != reasonOthersFirst {
 		t.Errorf("long after the holder began %d grants, refused %+v; want b and one of c and d refused", len(grants), refused)
 	}
 }
--- a/cell/book.go
+++ b/cell/book.go
@@ -1,19 +1,19 @@
-// Package cell plans for a cell: some hundreds of workers and the processes that
-// hold them.
+// Package cell implements the planner of a cell: some hundreds of workers and the
+// processes that hold them.
 //
-// One process of the cell plans, because free room must be seen in one place: with
-// a planner for each data centre, jobs wait in one while workers idle in the next.
-// A Book is what the planner knows: free room as the holders report it, the tasks
-// that wait, and what it has granted and not yet seen. All of it is soft. Two
-// planners at once, or a wrong one, cost starts that are turned down for want of
-// room, never a broken promise; a planner that dies is replaced by the next, which
-// is told everything again.
+// One process of the cell is the planner, because free resources must be known in one
+// place: with a planner for each data centre, jobs wait in one while workers idle in the
+// next. A Book is the planner's state: the free resources that the holders report, the
+// pending requests, and the grants that no holder has reported yet. All of it is soft
+// state. Two planners at once, or a planner with wrong data, cause starts that are
+// refused for lack of resources, but never a broken promise. When a planner dies, the
+// next one builds its state anew from the members' reports and requests.
 //
-// It decides three things: which member holds which worker (duty.go), who waits
-// and who is refused (admit.go), and which worker a task goes to (place.go).
+// It decides three things: which member holds which worker (duty.go), which jobs stay
+// pending and which are refused (admit.go), and which worker runs a task (place.go).
 //
-// Limits: the cost of a decision grows with the workers that have room and the
-// jobs that wait, so a cell has a few hundred workers.
+// Limits: the cost of a decision grows with the number of workers that have free
+// resources and with the number of pending jobs, so a cell has a few hundred workers.
 package cell
 
 import (
@@ -26,95 +26,101 @@
 )
 
 const (
-	// grantFor is how long a grant counts as used that no holder reports: the
-	// entry process got it and sends the start, two messages, or it died.
-	grantFor = 550 * time.Millisecond
+	// grantTimeout is how long a grant that no holder reports counts as used. The entry
+	// process needs two messages, to receive it and to send the start; after that it has
+	// died.
+	grantTimeout = 550 * time.Millisecond
 )
 
-// worker is what the planner knows of one worker.
+// worker is the planner's state of one worker.
 type worker struct {
 	lease.Worker
-	// listed tells that the platform lists it, draining that it takes no new
+	// listed is set if the platform lists the worker, draining if it accepts no new
 	// tasks.
 	listed, draining bool
-	// holder is who holds it; zero for nobody. since is from when on.
-	holder mesh.ID
-	since  time.Time
-	// confirmed tells that the holder has reported it. told is when the holder
-	// was last told to hold it, relieved to pass it on.
-	confirmed      bool
-	told, relieved time.Time
-	// former is the holder before, letGo when it ended.
-	former mesh.ID
-	letGo  time.Time
-	// brief counts the holders in a row that did not keep it.
-	brief int
-	fence lease.Fence
-	open  bool
-	// shut is when it last ceased to be open.
-	shut time.Time
-	// failures counts the holder's calls without an answer.
-	failures int
-	badSince time.Time
-	// aside tells that it is given one task now and then, to see whether it is
-	// well again: the next at probeAt, after that with the pause probeWait.
-	aside     bool
-	probeAt   time.Time
-	probeWait time.Duration
-
-	runs  map[lease.Run]held
+	// holder is the member that holds the worker, or zero; heldSince is when it was
+	// assigned, or first reported the worker.
+	holder    mesh.ID
+	heldSince time.Time
+	// confirmed is set once the holder has reported the worker. assignedAt is when the
+	// last assignment was sent to the holder, releaseSentAt when it was last asked to
+	// release the worker.
+	confirmed                 bool
+	assignedAt, releaseSentAt time.Time
+	// formerHolder is the previous holder, releasedAt when it ceased to hold the worker.
+	formerHolder mesh.ID
+	releasedAt   time.Time
+	// shortHolds counts the consecutive holders that kept the worker for less than
+	// shortHoldThreshold.
+	shortHolds int
+	fence      lease.Fence
+	// open is set if the holder reports that tasks may be started.
+	open bool
+	// closedAt is when open was last reset.
+	closedAt time.Time
+	// failures counts the consecutive calls of the holder that the worker did not answer;
+	// failingSince is when the first of them was reported.
+	failures     int
+	failingSince time.Time
+	// ejected is set while the worker gets only single probe tasks, to see whether it
+	// works again: the next one at nextProbe, the one after it probeInterval later.
+	ejected       bool
+	nextProbe     time.Time
+	probeInterval time.Duration
+
+	runs  map[lease.Run]activeRun
 	used  lease.Room
 	speed lease.Speed
 }
 
-// held is a run on a worker, reported or granted.
-type held struct {
-	room lease.Room
-	// began is when it was started, or granted.
-	began    time.Time
-	estimate time.Duration
-	// percent is how much is done, as of seen.
-	percent int
-	seen    time.Time
-	// granted tells that no holder has reported it yet.
-	granted bool
-	job     string
+// activeRun is a run that a holder has reported on a worker, or that was granted there.
+type activeRun struct {
+	resources lease.Room
+	// startedAt is when the run was started, or granted if it is unreported.
+	startedAt time.Time
+	estimate  time.Duration
+	// percent is the progress at reportedAt.
+	percent    int
+	reportedAt time.Time
+	// unreported is set for a grant that no holder has reported yet.
+	unreported bool
+	job        string
 }
 
-// put and drop keep the room in use with the runs.
-func (w *worker) put(r lease.Run, h held) {
+// addRun and drop keep used equal to the resources of all runs.
+func (w *worker) addRun(r lease.Run, h activeRun) {
 	w.drop(r)
 	w.runs[r] = h
-	w.used = w.used.Plus(h.room)
+	w.used = w.used.Plus(h.resources)
 }
 
 func (w *worker) drop(r lease.Run) {
 	if h, ok := w.runs[r]; ok {
-		w.used = w.used.Minus(h.room)
+		w.used = w.used.Minus(h.resources)
 		delete(w.runs, r)
 	}
 }
 
-// left is the room that is not in use.
-func (w *worker) left() lease.Room { return w.Room.Minus(w.used) }
+// free returns the resources that no run uses.
+func (w *worker) free() lease.Room { return w.Room.Minus(w.used) }
 
-// key names the waiting tasks of one step of a job.
-type key struct {
+// stepKey identifies the pending request of one step of a job.
+type stepKey struct {
 	job  string
 	step int
 }
 
-// wait is the tasks of one step of a job that wait for workers.
-type wait struct {
+// pendingRequest is the tasks of one step of a job that wait for workers.
+type pendingRequest struct {
 	Ask
-	key
-	owner             mesh.ID
-	arrived, aim, end time.Time
-	// asked is when the planner was last asked.
-	asked time.Time
+	stepKey
+	owner                          mesh.ID
+	arrivedAt, objective, deadline time.Time
+	// requestedAt is when the owner last sent the request.
+	requestedAt time.Time
 }
 
-// Action is what a book asks its shell to do. One of the pointers is set.
+// Action is a message that the driver of a Book must send. One of the pointers is set.
 type Action struct {
 	To      mesh.ID
 	Grant   *Grant
@@ -124,40 +130,41 @@
 	Drain   *Drain
 }
 
-// Book is the planner's state. It is a pure value.
+// Book is the planner of a cell as a deterministic state machine without I/O: it takes
+// messages and times, and returns actions.
 type Book struct {
-	log     *slog.Logger
-	self    mesh.ID
-	policy  Policy
-	active  bool
-	began   time.Time
-	members map[mesh.ID]*member
-	// callers are the data centres of the processes that may ask: the members, and those of
-	// other cells.
-	callers map[mesh.ID]string
-	workers map[string]*worker
-	waits   map[key]*wait
-	line    line
+	log       *slog.Logger
+	self      mesh.ID
+	policy    Policy
+	active    bool
+	startedAt time.Time
+	members   map[mesh.ID]*member
+	// callers holds the data centre of each process that may send requests: the members,
+	// and processes of other cells.
+	callers      map[mesh.ID]string
+	workers      map[string]*worker
+	pending      map[stepKey]*pendingRequest
+	requestQueue requestQueue
 	// bySpeed is the workers, fastest first, as of the last tick.
 	bySpeed []*worker
-	// room is the memory for the seats of one Place.
-	room []seat
-	// byID is the workers in the order of their names.
+	// candidateBuf is the buffer for the candidates of one Place.
+	candidateBuf []candidate
+	// byID caches the workers in the order of their IDs; nil if it must be rebuilt.
 	byID []*worker
-	// admitted is when it was last looked ahead.
-	admitted time.Time
-	// late is how late the last job was that was refused then.
-	late time.Duration
-	// changed tells that something may be placed, loose that a worker may be
-	// without a holder.
-	changed, loose bool
-	// may tells whether workers of lost members may be given to others, all
-	// whether every process that there is is in sight.
-	may, all bool
-	acts     []Action
-	counts   Counts
-	// listedOnce tells that the platform's list was read.
-	listedOnce bool
+	// lastLookAhead is when lookAhead last ran.
+	lastLookAhead time.Time
+	// refusedDelay is how late the last job would have been that this look-ahead refused.
+	refusedDelay time.Duration
+	// needsPlanning is set if something has changed that may allow placing tasks,
+	// hasUnheld if a worker may have lost its holder.
+	needsPlanning, hasUnheld bool
+	// mayReassign is set if workers of lost members may be assigned to others,
+	// allReachable if every existing process is reachable.
+	mayReassign, allReachable bool
+	actions                   []Action
+	counts                    Counts
+	// listRead is set once the platform's worker list has been read.
+	listRead bool
 }
 
 type member struct {
@@ -165,9 +172,9 @@
 	reported bool
 }
 
-// New makes a book that doesn't plan yet.
+// New returns a Book that is not active yet.
 func New(log *slog.Logger, self mesh.ID, policy Policy) *Book {
-	b := &Book{log: log, self: self, policy: policy.orDefault(), counts: Counts{Refused: make(map[string]int64)}}
+	b := &Book{log: log, self: self, policy: policy.withDefaults(), counts: Counts{Refused: make(map[string]int64)}}
 	b.clear()
 	return b
 }
@@ -175,62 +182,64 @@
 func (b *Book) clear() {
 	b.members = make(map[mesh.ID]*member)
 	b.workers = make(map[string]*worker)
-	b.waits = make(map[key]*wait)
-	b.line = line{order: b.policy.Order}
+	b.pending = make(map[stepKey]*pendingRequest)
+	b.requestQueue = requestQueue{order: b.policy.Order}
 	b.bySpeed, b.byID = nil, nil
-	b.listedOnce = false
+	b.listRead = false
 }
 
-// Take returns the actions that have come up since the last call.
+// Take returns and clears the actions that have accumulated since the last call.
 func (b *Book) Take() []Action {
-	a := b.acts
-	b.acts = nil
+	a := b.actions
+	b.actions = nil
 	return a
 }
 
-// Counts is what this process has decided as the planner since it started.
+// Counts is what this process has decided as the planner since it started: the granted
+// tasks, and the refused requests by reason.
 type Counts struct {
 	Granted int64
 	Refused map[string]int64
 }
 
-// Counts returns the counts, which the book goes on to change.
+// Counts returns the counts. The map in them is not a copy: the Book continues to change
+// it.
 func (b *Book) Counts() Counts { return b.counts }
 
-// Active tells whether this process plans.
+// Active reports whether this process is the planner.
 func (b *Book) Active() bool { return b.active }
 
-// Begin makes this process the planner.
+// Begin makes this process the planner, with an empty state.
 func (b *Book) Begin(now time.Time) {
 	if b.active {
 		return
 	}
 	b.clear()
-	b.active, b.began = true, now
+	b.active, b.startedAt = true, now
 	event.PlannerBegan.Log(b.log, "planner", b.self)
 }
 
-// Stop ends the planning.
+// Stop ends this process's time as the planner and drops the state.
 func (b *Book) Stop() {
 	if !b.active {
 		return
 	}
 	b.active = false
-	event.PlannerEnded.Log(b.log, "planner", b.self, "waiting", len(b.waits))
+	event.PlannerEnded.Log(b.log, "planner", b.self, "waiting", len(b.pending))
 	b.clear()
 }
 
-// Members takes the processes of the cell that are in sight, this one included, and all
-// that may ask, the members included.
-// may tells whether the workers of those out of sight may be given to others, whole
-// whether nobody is out of sight.
-func (b *Book) Members(now time.Time, all, callers []mesh.Member, may, whole bool) {
+// Members sets the processes of the cell that are reachable, this one included, and all
+// processes that may send requests, the members included. mayReassign says whether the
+// workers of unreachable members may be assigned to others, allReachable whether no
+// member is unreachable.
+func (b *Book) Members(now time.Time, reachable, callers []mesh.Member, mayReassign, allReachable bool) {
 	if !b.active {
 		return
 	}
-	b.may, b.all = may, whole
-	next := make(map[mesh.ID]*member, len(all))
-	for _, m := range all {
+	b.mayReassign, b.allReachable = mayReassign, allReachable
+	next := make(map[mesh.ID]*member, len(reachable))
+	for _, m := range reachable {
 		e := b.members[m.ID]
 		if e == nil {
 			e = &member{}
@@ -245,10 +254,10 @@
 	}
 	for _, w := range b.workers {
 		if w.holder != (mesh.ID{}) && next[w.holder] == nil {
-			b.unhold(now, w)
+			b.clearHolder(now, w)
 		}
 	}
-	for _, wt := range b.waits {
+	for _, wt := range b.pending {
 		if _, ok := b.callers[wt.owner]; !ok {
 			b.drop(wt)
 		}
@@ -256,26 +265,27 @@
 	b.assign(now)
 }
 
-// opened takes note of whether tasks may be started there.
-func (w *worker) opened(now time.Time, open bool) {
+// setOpen records whether tasks may be started on the worker.
+func (w *worker) setOpen(now time.Time, open bool) {
 	if w.open && !open {
-		w.shut = now
+		w.closedAt = now
 	}
 	w.open = open
 }
 
-// unhold takes note that nobody holds the worker.
-func (b *Book) unhold(now time.Time, w *worker) {
-	w.countBrief(now)
-	w.letGo = now
-	w.opened(now, false)
-	w.former, w.holder, w.confirmed = w.holder, mesh.ID{}, false
-	w.told, w.relieved = time.Time{}, time.Time{}
-	b.loose = true
+// clearHolder records that nobody holds the worker.
+func (b *Book) clearHolder(now time.Time, w *worker) {
+	w.countShortHold(now)
+	w.releasedAt = now
+	w.setOpen(now, false)
+	w.formerHolder, w.holder, w.confirmed = w.holder, mesh.ID{}, false
+	w.assignedAt, w.releaseSentAt = time.Time{}, time.Time{}
+	b.hasUnheld = true
 }
 
-// HasList tells whether the platform's list has been read for this planner.
-func (b *Book) HasList() bool { return b.listedOnce }
+// HasList reports whether the platform's worker list has been read since this process
+// became the planner.
+func (b *Book) HasList() bool { return b.listRead }
 
 // Listed is a worker as the platform lists it.
 type Listed struct {
@@ -283,7 +293,7 @@
 	Draining bool `cbor:"8,keyasint,omitzero"`
 }
 
-// Workers takes the platform's list, or changes of it.
+// Workers applies the platform's worker list, or changes of it.
 func (b *Book) Workers(now time.Time, l Listing) {
 	if !b.active {
 		return
@@ -292,7 +302,7 @@
 		for _, w := range b.workers {
 			w.listed = false
 		}
-		b.listedOnce = true
+		b.listRead = true
 	}
 	for _, w := range l.Listed {
 		b.listed(w)
@@ -303,13 +313,14 @@
 		}
 	}
 	b.assign(now)
-	b.changed = true
+	b.needsPlanning = true
 }
 
+// listed adds or updates a worker that the platform lists.
 func (b *Book) listed(l Listed) {
 	w := b.workers[l.ID]
 	if w == nil {
-		w = &worker{runs: make(map[lease.Run]held)}
+		w = &worker{runs: make(map[lease.Run]activeRun)}
 		b.workers[l.ID], b.byID = w, nil
 		event.WorkerListed.Log(b.log, "worker", l.ID, "address", l.Address, "pool", l.Pool, "data_center", l.DataCenter, "kind", l.Kind, "rack", l.Rack, "cpu", l.Room.CPU, "memory", l.Room.Memory)
 	}
@@ -317,36 +328,37 @@
 	if l.Draining && !w.draining {
 		w.draining = true
 		event.WorkerDraining.Log(b.log, "worker", l.ID)
-		b.tellDraining(w)
+		b.sendDrain(w)
 	}
 }
 
-// tellDraining has the holder refuse starts on a worker that drains: grants are
-// still on the way, and the next planner learns it from the holder before it has
-// read the platform's list.
-func (b *Book) tellDraining(w *worker) {
+// sendDrain has the holder refuse starts on a draining worker: grants may still be on
+// their way, and the next planner learns of the drain from the holder before it has read
+// the platform's list.
+func (b *Book) sendDrain(w *worker) {
 	if w.holder != (mesh.ID{}) {
-		b.act(Action{To: w.holder, Drain: &Drain{Worker: w.ID}})
+		b.emit(Action{To: w.holder, Drain: &Drain{Worker: w.ID}})
 	}
 }
 
-// Tick does what is due.
+// Tick expires unreported grants and does the other periodic work: it forgets unlisted
+// workers, assigns workers to holders, balances the load and sorts the workers by speed.
 func (b *Book) Tick(now time.Time) {
 	if !b.active {
 		return
 	}
 	for _, w := range b.workers {
 		for r, h := range w.runs {
-			if h.granted && now.Sub(h.began) >= grantFor {
+			if h.unreported && now.Sub(h.startedAt) >= grantTimeout {
 				w.drop(r)
 			}
 		}
 	}
-	b.prune(now)
+	b.forgetUnlisted(now)
 	b.assign(now)
 	b.balance(now)
-	b.sortSeats()
-	b.changed = true
+	b.sortBySpeed()
+	b.needsPlanning = true
 }
 
-func (b *Book) act(a Action) { b.acts = append(b.acts, a) }
+func (b *Book) emit(a Action) { b.actions = append(b.actions, a) }
--- a/cell/book_test.go
+++ b/cell/book_test.go
@@ -31,8 +31,8 @@
 	return lease.Worker{ID: fmt.Sprintf("w%d", n), Pool: "p", DataCenter: fmt.Sprintf("dc%d", n%2), Kind: "a", Rack: fmt.Sprintf("r%d", n%3), Room: lease.Room{CPU: 60, Memory: 100}}
 }
 
-// planning is a book that plans for n members and k workers, which nobody holds yet.
-func planning(t testing.TB, n, k int) *Book {
+// newPlanner returns an active Book with n members and k workers that nobody holds yet.
+func newPlanner(t testing.TB, n, k int) *Book {
 	t.Helper()
 	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
 	b.Begin(ms(0))
@@ -48,10 +48,11 @@
 	return b
 }
 
-// allHeld is planning with all workers held, as told.
-func allHeld(t testing.TB, n, k int) *Book {
+// newPlannerWithHolders is newPlanner with each worker held by the member to which it was
+// assigned.
+func newPlannerWithHolders(t testing.TB, n, k int) *Book {
 	t.Helper()
-	b := planning(t, n, k)
+	b := newPlanner(t, n, k)
 	b.Tick(ms(600))
 	for _, a := range b.Take() {
 		if a.Duty != nil {
@@ -84,10 +85,10 @@
 	return grants, refusals
 }
 
-// Two grants go out before the holder has reported the first. Without counting what
-// was granted, every worker would be promised twice and turn half of the starts down.
+// Two grants are made before the holder has reported the first. If grants did not count
+// as used, every worker would be granted twice, and half of the starts would be refused.
 func TestGrantsCountAtOnce(t *testing.T) {
-	b := allHeld(t, 2, 2)
+	b := newPlannerWithHolders(t, 2, 2)
 	b.Ask(ms(700), memberID(1), ask("a", 3))
 	first, _ := place(b, 700)
 	b.Ask(ms(701), memberID(1), ask("b", 3))
@@ -110,27 +111,28 @@
 	}
 }
 
-// A process dies between a grant and its start. The room must come back.
+// A process dies between a grant and its start. The granted resources must become free
+// again.
 func TestGrantIsForgotten(t *testing.T) {
-	b := allHeld(t, 2, 1)
+	b := newPlannerWithHolders(t, 2, 1)
 	b.Ask(ms(700), memberID(1), ask("a", 2))
 	place(b, 700)
-	patient := ask("b", 1)
-	patient.Aim = time.Second
-	b.Ask(ms(710), memberID(1), patient)
+	waiting := ask("b", 1)
+	waiting.Aim = time.Second
+	b.Ask(ms(710), memberID(1), waiting)
 	if g, _ := place(b, 710); len(g) != 0 {
 		t.Fatalf("grants %+v on a full worker", g)
 	}
-	b.Tick(ms(700).Add(grantFor))
-	if g, _ := place(b, 700+int(grantFor.Milliseconds())); len(g) != 1 {
+	b.Tick(ms(700).Add(grantTimeout))
+	if g, _ := place(b, 700+int(grantTimeout.Milliseconds())); len(g) != 1 {
 		t.Errorf("%d grants after the first was forgotten, want 1", len(g))
 	}
 }
 
-// What can't be ready in time any more is refused at once, but not once a part of it
-// runs: "not run" would be false.
+// A job that can't meet its objective any more is refused at once, but not if a part of
+// it runs: "not run" would be false.
 func TestHopelessJobs(t *testing.T) {
-	b := allHeld(t, 2, 1)
+	b := newPlannerWithHolders(t, 2, 1)
 	b.Ask(ms(700), memberID(1), ask("a", 2))
 	place(b, 700)
 	b.Ask(ms(701), memberID(1), ask("b", 1))
@@ -147,10 +149,10 @@
 	}
 }
 
-// The worker that was the fastest a moment ago turns out to be slow. A job that the
-// others can serve in time must not be refused by its measure.
+// The fastest worker as of the last tick turns out to be slow. A job that the other
+// workers can serve in time must not be refused because of that worker's factor.
 func TestSpeedHasJustChanged(t *testing.T) {
-	b := allHeld(t, 2, 2)
+	b := newPlannerWithHolders(t, 2, 2)
 	b.Tick(ms(650))
 	b.Report(ms(660), b.workers["w0"].holder, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 9, Ends: 20}}}})
 	b.Ask(ms(661), memberID(1), ask("a", 1))
@@ -177,7 +179,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := allHeld(t, 2, 2)
+			b := newPlannerWithHolders(t, 2, 2)
 			a := ask("a", 6)
 			tt.change(&a)
 			b.Ask(ms(700), memberID(1), a)
@@ -189,7 +191,8 @@
 }
 
 // BenchmarkPlace plans jobs of four tasks for 350 workers of 41 members, with as many
-// ends of runs, as in a cell of today's largest size at its busiest.
+// ends of runs, as in a cell of today's largest size under peak load; and for 1,100
+// workers.
 func BenchmarkPlace(b *testing.B) {
 	sizes := []struct{ members, workers, running int }{{41, 350, 600}, {147, 1100, 1500}}
 	for _, n := range sizes {
@@ -238,17 +241,17 @@
 	}
 }
 
-func sick(b *Book, at int, id string, bad int) {
+func reportBadEnds(b *Book, at int, id string, bad int) {
 	b.Report(ms(at), b.workers[id].holder, Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 1, Ends: 9, Bad: bad}}}})
 }
 
-// A worker fails all that it is given, at once, so it always looks free and would be
-// given more than any other. After the failures of two jobs it gets one task now and
-// then, until one is done.
+// A worker fails all its tasks at once, so it always looks free and would be given more
+// than any other. After the failures of two jobs it must get only probe tasks until one
+// succeeds.
 func TestSickWorkerIsPutAside(t *testing.T) {
-	b := allHeld(t, 2, 4)
-	sick(b, 700, "w0", 2)
-	on := func(at, tasks int) (n int) {
+	b := newPlannerWithHolders(t, 2, 4)
+	reportBadEnds(b, 700, "w0", 2)
+	grantsOnW0 := func(at, tasks int) (n int) {
 		a := ask(fmt.Sprint("job", at), tasks)
 		a.Aim = 10 * time.Second
 		b.Ask(ms(at), memberID(1), a)
@@ -261,32 +264,32 @@
 		b.Withdraw(Withdrawal{Job: a.Job})
 		return n
 	}
-	if n := on(710, 9); n != 0 {
+	if n := grantsOnW0(710, 9); n != 0 {
 		t.Errorf("%d tasks on a worker that was put aside", n)
 	}
-	if n := on(1250, 9); n != 1 {
+	if n := grantsOnW0(1250, 9); n != 1 {
 		t.Errorf("%d tasks try it after half a second, want 1", n)
 	}
-	sick(b, 1260, "w0", 3)
-	if n := on(1800, 9); n != 0 {
+	reportBadEnds(b, 1260, "w0", 3)
+	if n := grantsOnW0(1800, 9); n != 0 {
 		t.Errorf("%d tasks try it again too soon", n)
 	}
-	sick(b, 1810, "w0", 0)
-	if n := on(1820, 9); n != 2 {
+	reportBadEnds(b, 1810, "w0", 0)
+	if n := grantsOnW0(1820, 9); n != 2 {
 		t.Errorf("%d tasks on it after it was well again, want 2", n)
 	}
 }
 
-// All workers fail: the fault is not theirs. Putting them all aside would refuse what
-// some callers could still be served.
-func TestFewAreAside(t *testing.T) {
-	b := allHeld(t, 2, 10)
+// All workers fail, so the fault is not theirs. Ejecting them all would refuse jobs that
+// could still be served.
+func TestFewWorkersAreEjected(t *testing.T) {
+	b := newPlannerWithHolders(t, 2, 10)
 	for i := range 10 {
-		sick(b, 700, fmt.Sprintf("w%d", i), 5)
+		reportBadEnds(b, 700, fmt.Sprintf("w%d", i), 5)
 	}
 	aside := 0
 	for _, w := range b.workers {
-		if w.aside {
+		if w.ejected {
 			aside++
 		}
 	}
@@ -295,15 +298,15 @@
 	}
 }
 
-// Only a slow worker is free, on which a task would be late. It waits for a fast one
-// while it still could be in time there; once it is late, any worker will do.
+// Only a slow worker is free, on which a task would be late. The task waits for a fast
+// worker while it could still be in time there; once it is late, it takes any worker.
 func TestTasksWaitForAFasterWorker(t *testing.T) {
-	b := allHeld(t, 2, 2)
+	b := newPlannerWithHolders(t, 2, 2)
 	fast := ask("fast", 2)
-	slowly := func(at int) {
+	reportSlow := func(at int) {
 		b.Report(ms(at), b.workers["w1"].holder, Report{States: []lease.State{{ID: "w1", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 5, Ends: 20}}}})
 	}
-	slowly(700)
+	reportSlow(700)
 	b.Ask(ms(700), memberID(1), fast)
 	if g, _ := place(b, 700); len(g) != 2 || g[0].Worker != "w0" {
 		t.Fatalf("grants %+v", g)
@@ -320,15 +323,16 @@
 	}
 }
 
-// Many jobs want the rack where their data is; elsewhere their tasks take twice as long.
-// A slower worker there is better for them than the fastest one, a full rack is no reason
-// to wait if the task can be in time elsewhere, and one that can't isn't started in vain.
+// Many jobs prefer the rack of their data; on other racks their tasks take twice as long.
+// A slower worker on the rack is better for them than the fastest one, a task must not
+// wait for a full rack if it can be in time on another one, and must not be started there
+// if it can't.
 func TestTasksGoToTheirData(t *testing.T) {
 	tests := []struct {
 		name  string
 		aim   time.Duration
 		tasks int
-		// near is how many are placed on the rack, far how many elsewhere.
+		// near is how many tasks are placed on the rack, far how many on other racks.
 		near, far int
 	}{
 		{"room on the rack", 300 * time.Millisecond, 2, 2, 0},
@@ -337,14 +341,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := allHeld(t, 2, 3)
+			b := newPlannerWithHolders(t, 2, 3)
 			for _, w := range b.workers {
 				w.speed = lease.Speed{Factor: 1, Ends: 9}
 				if w.Rack == "r1" {
 					w.speed.Factor = 1.5
 				}
 			}
-			b.sortSeats()
+			b.sortBySpeed()
 			a := ask("a", tt.tasks)
 			a.Rack, a.Aim = "r1", tt.aim
 			b.Ask(ms(700), memberID(1), a)
--- a/cell/duty.go
+++ b/cell/duty.go
@@ -13,58 +13,59 @@
 )
 
 const (
-	// settleFor is how long a new planner waits for the members' reports before
-	// it gives workers to holders, unless all processes that there are have
-	// reported before. Those of the planner before are reported within
-	// milliseconds; processes that start together find each other within about
-	// 400 ms.
-	settleFor = 500 * time.Millisecond
-	// tellAgain is when a duty is repeated that no report confirms.
-	tellAgain = 500 * time.Millisecond
-	// restFor is how long a worker stays with its holder before it is moved to
-	// balance the load, and how long it is not given back to the one before:
+	// reportGracePeriod is how long a new planner waits for the members' reports before
+	// it assigns workers, unless all existing processes report sooner. Members that were
+	// there under the previous planner report within milliseconds; processes that start
+	// together find each other within about 400 ms.
+	reportGracePeriod = 500 * time.Millisecond
+	// assignmentRepeatInterval is when an assignment that no report confirms is repeated.
+	// It is also the least time between two release messages for a worker.
+	assignmentRepeatInterval = 500 * time.Millisecond
+	// moveCooldown is how long a worker stays with its holder before it is moved to
+	// balance the load, and how long another member is preferred to its former holder:
 	// the platform forbids two holders that take turns within three seconds.
-	restFor = 4 * time.Second
-	// balanceBy is the least difference of load that is worth a move, in workers
-	// for a member of average size. A move stops starts on the worker for two
-	// round trips.
-	balanceBy = 2.0
-	// unreachable is when a worker that its holder can't reach is given to
-	// another member, which may have a path.
-	unreachable = 1500 * time.Millisecond
-	// goneAfter is when a worker that isn't listed and doesn't answer is
-	// forgotten.
-	goneAfter = 2 * time.Second
+	moveCooldown = 4 * time.Second
+	// minLoadGap is the least difference of load that is worth a move, in workers for a
+	// member of average size. During a move no tasks start on the worker for two round
+	// trips.
+	minLoadGap = 2.0
+	// unreachableTimeout is when a worker that its holder can't reach is moved to another
+	// member, which may have a path to it.
+	unreachableTimeout = 1500 * time.Millisecond
+	// unlistedTimeout is when a worker that isn't listed and doesn't answer is released,
+	// and then forgotten.
+	unlistedTimeout = 2 * time.Second
 )
 
-// assign gives each worker that nobody holds to a member.
+// assign gives each worker without a holder to a member, repeats unconfirmed assignments,
+// and asks leaving members to release their workers.
 func (b *Book) assign(now time.Time) {
-	if !b.settled(now) {
+	if !b.mayAssign(now) {
 		return
 	}
-	load := b.loads()
+	load := b.memberLoads()
 	for _, w := range b.sortedWorkers() {
 		switch {
 		case w.holder == (mesh.ID{}):
-			b.give(now, w, load)
-		case !w.confirmed && now.Sub(w.told) > tellAgain:
-			b.give(now, w, load)
+			b.assignWorker(now, w, load)
+		case !w.confirmed && now.Sub(w.assignedAt) > assignmentRepeatInterval:
+			b.assignWorker(now, w, load)
 		case b.members[w.holder].Leaving:
-			b.relieve(now, w)
+			b.sendRelease(now, w)
 		}
 	}
 }
 
-// settled tells whether the members' reports are in, and whether this planner sees
-// enough of the cell to give workers to holders. One that doesn't, because it was
-// cut off or the others have just started, would take the workers of those whom it
-// does not see.
-func (b *Book) settled(now time.Time) bool {
-	return b.may && (now.Sub(b.began) >= settleFor || b.all && b.reported())
+// mayAssign reports whether the members' reports are in, and whether this planner reaches
+// enough of the cell to assign workers. A planner that doesn't, because it is cut off or
+// the others have just started, would take the workers of the members that it can't
+// reach.
+func (b *Book) mayAssign(now time.Time) bool {
+	return b.mayReassign && (now.Sub(b.startedAt) >= reportGracePeriod || b.allReachable && b.allReported())
 }
 
-// reported tells whether all members have reported.
-func (b *Book) reported() bool {
+// allReported reports whether all members have sent a full report.
+func (b *Book) allReported() bool {
 	for _, m := range b.members {
 		if !m.reported {
 			return false
@@ -73,8 +74,8 @@
 	return true
 }
 
-// sortedWorkers returns the workers in a fixed order, which is kept until one comes or
-// goes: they are looked at many times a second.
+// sortedWorkers returns the workers in the order of their IDs. The result is cached until
+// a worker is added or removed, since it is used many times a second.
 func (b *Book) sortedWorkers() []*worker {
 	if b.byID != nil {
 		return b.byID
@@ -88,62 +89,64 @@
 }
 
 const (
-	// keptLeast is how long a holder must keep a worker not to count as brief.
-	keptLeast = time.Second
-	// pauseLeast is the pause after the second brief holder in a row. It doubles up to
-	// pauseMost.
-	pauseLeast = 100 * time.Millisecond
-	pauseMost  = 2 * time.Second
+	// shortHoldThreshold is the time below which a hold counts as short.
+	shortHoldThreshold = time.Second
+	// minAssignBackoff is the backoff after the second consecutive short hold. It doubles
+	// up to maxAssignBackoff.
+	minAssignBackoff = 100 * time.Millisecond
+	maxAssignBackoff = 2 * time.Second
 )
 
-// countBrief takes note that a worker is let go now. Holders that were asked to pass it on
-// don't count.
-func (w *worker) countBrief(now time.Time) {
+// countShortHold updates shortHolds when a hold ends. Holders that were asked to release
+// the worker don't count.
+func (w *worker) countShortHold(now time.Time) {
 	switch {
-	case now.Sub(w.since) >= keptLeast:
-		w.brief = 0
-	case w.relieved.IsZero():
-		w.brief++
+	case now.Sub(w.heldSince) >= shortHoldThreshold:
+		w.shortHolds = 0
+	case w.releaseSentAt.IsZero():
+		w.shortHolds++
 	}
 }
 
-// pause is how long a worker stays without a holder. One that has started again, and is
-// listed under its former life, is let go by each member as soon as it looks; without a
-// pause it goes round hundreds of times a second.
-func (w *worker) pause() time.Duration {
-	if w.brief < 2 {
+// assignBackoff returns how long a worker stays without a holder after its last one
+// released it. A worker that has restarted but is still listed under its former
+// incarnation is released by each member as soon as it contacts it; without a backoff it
+// is reassigned hundreds of times a second.
+func (w *worker) assignBackoff() time.Duration {
+	if w.shortHolds < 2 {
 		return 0
 	}
-	return min(pauseLeast<<min(w.brief-2, 8), pauseMost)
+	return min(minAssignBackoff<<min(w.shortHolds-2, 8), maxAssignBackoff)
 }
 
-// give chooses the holder of a worker, and counts it there.
-func (b *Book) give(now time.Time, w *worker, load map[mesh.ID]float64) {
-	if !w.listed || w.draining && len(w.runs) == 0 || now.Sub(w.letGo) < w.pause() {
+// assignWorker chooses the holder of a worker, updates load, and sends the assignment.
+func (b *Book) assignWorker(now time.Time, w *worker, load map[mesh.ID]float64) {
+	if !w.listed || w.draining && len(w.runs) == 0 || now.Sub(w.releasedAt) < w.assignBackoff() {
 		return
 	}
-	m := b.choose(now, w, load)
+	m := b.chooseHolder(now, w, load)
 	if m == nil {
 		return
 	}
 	load[w.holder]--
 	load[m.ID]++
-	w.holder, w.since, w.confirmed = m.ID, now, false
-	b.tell(now, w)
+	w.holder, w.heldSince, w.confirmed = m.ID, now, false
+	b.sendAssignment(now, w)
 }
 
-func (b *Book) tell(now time.Time, w *worker) {
-	w.told = now
-	event.DutyGiven.Log(b.log, "worker", w.ID, "member", w.holder, "former", w.former, "floor", w.fence)
-	b.act(Action{To: w.holder, Duty: &Duty{Worker: w.Worker, Floor: w.fence, Speed: w.speed}})
+func (b *Book) sendAssignment(now time.Time, w *worker) {
+	w.assignedAt = now
+	event.DutyGiven.Log(b.log, "worker", w.ID, "member", w.holder, "former", w.formerHolder, "floor", w.fence)
+	b.emit(Action{To: w.holder, Duty: &Duty{Worker: w.Worker, Floor: w.fence, Speed: w.speed}})
 }
 
-// choose returns the member of the worker's data centre with the least load for
-// its size, of all data centres if there is none.
-func (b *Book) choose(now time.Time, w *worker, load map[mesh.ID]float64) *member {
+// chooseHolder returns the member with the least load for its size in the worker's data
+// centre, or in any if that one has no member. It returns nil if no member can hold
+// workers.
+func (b *Book) chooseHolder(now time.Time, w *worker, load map[mesh.ID]float64) *member {
 	var best *member
-	rank := func(m *member) (other bool, back bool, l float64) {
-		return m.DataCenter != w.DataCenter, m.ID == w.former && now.Sub(w.letGo) < restFor, (load[m.ID] + 1) / max(m.Share, 0.01)
+	rank := func(m *member) (otherDataCenter bool, wasHolder bool, l float64) {
+		return m.DataCenter != w.DataCenter, m.ID == w.formerHolder && now.Sub(w.releasedAt) < moveCooldown, (load[m.ID] + 1) / max(m.Share, 0.01)
 	}
 	better := func(m, o *member) bool {
 		mo, mb, ml := rank(m)
@@ -169,71 +172,74 @@
 	return best
 }
 
-// score spreads ties.
+// score is a hash that breaks ties evenly.
 func score(m mesh.ID, worker string) uint64 { return xxhash.Sum64String(m.String() + " " + worker) }
 
-// loads counts the workers of each member.
-func (b *Book) loads() map[mesh.ID]float64 {
+// memberLoads returns the load of each member: the workers that it holds, plus the cost
+// of planning.
+func (b *Book) memberLoads() map[mesh.ID]float64 {
 	load := make(map[mesh.ID]float64, len(b.members))
 	for _, w := range b.workers {
 		load[w.holder]++
 	}
-	load[b.self] += planningLoad * float64(len(b.workers))
+	load[b.self] += planningLoadPerWorker * float64(len(b.workers))
 	return load
 }
 
-// planningLoad is what planning for a worker costs, in workers held: some 190 bytes in and
-// out for each task, of which a holder moves 3,500 with the job's text. The planner holds
-// fewer workers by that, so that it is not the first whose link or processor is full.
-const planningLoad = 0.05
+// planningLoadPerWorker is the cost of planning for a worker, as a share of the cost of
+// holding one: some 190 bytes in and out for each task, where a holder moves 3,500 with
+// the job's text. The planner holds correspondingly fewer workers, so that its link or
+// processor is not the first to be saturated.
+const planningLoadPerWorker = 0.05
 
-// relieve asks the holder to pass the worker on. It is given to another one when
-// the holder reports that it has let go.
-func (b *Book) relieve(now time.Time, w *worker) {
-	if now.Sub(w.relieved) < tellAgain {
+// sendRelease asks the holder to release the worker. The worker is assigned to another
+// member once the holder reports that it has released it.
+func (b *Book) sendRelease(now time.Time, w *worker) {
+	if now.Sub(w.releaseSentAt) < assignmentRepeatInterval {
 		return
 	}
-	w.relieved = now
+	w.releaseSentAt = now
 	event.DutyEnded.Log(b.log, "worker", w.ID, "member", w.holder)
-	b.act(Action{To: w.holder, Relief: &Relief{Worker: w.ID}})
+	b.emit(Action{To: w.holder, Relief: &Relief{Worker: w.ID}})
 }
 
-// balance moves one worker at a time to a member with less load, for instance one
-// that has just joined.
+// balance moves at most one worker to another member: away from one with more load, for
+// instance when a member has just joined, back to the worker's data centre, or away from
+// a holder that can't reach it.
 func (b *Book) balance(now time.Time) {
-	if !b.settled(now) {
+	if !b.mayAssign(now) {
 		return
 	}
-	load := b.loads()
-	gap := balanceBy / b.meanShare()
+	load := b.memberLoads()
+	gap := minLoadGap / b.meanShare()
 	least := b.leastLoad(load)
 	for _, w := range b.sortedWorkers() {
 		from := b.members[w.holder]
-		if from == nil || from.Leaving || now.Sub(w.since) < restFor || !w.relieved.IsZero() {
+		if from == nil || from.Leaving || now.Sub(w.heldSince) < moveCooldown || !w.releaseSentAt.IsZero() {
 			continue
 		}
-		stuck := w.failures > 0 && now.Sub(w.badSince) > unreachable
-		abroad := from.DataCenter != w.DataCenter
-		// Choosing compares all members, for each worker twenty times a second, so
-		// it is done only where a move may come of it.
-		if !stuck && !abroad && load[from.ID]/from.Share-least[from.DataCenter] < gap {
+		holderCannotReach := w.failures > 0 && now.Sub(w.failingSince) > unreachableTimeout
+		otherDataCenter := from.DataCenter != w.DataCenter
+		// chooseHolder compares all members, and this loop runs for each worker twenty
+		// times a second, so skip the workers that cannot be moved.
+		if !holderCannotReach && !otherDataCenter && load[from.ID]/from.Share-least[from.DataCenter] < gap {
 			continue
 		}
-		m := b.choose(now, w, load)
-		if m == nil || m.ID == w.holder || m.DataCenter != w.DataCenter && !abroad {
+		m := b.chooseHolder(now, w, load)
+		if m == nil || m.ID == w.holder || m.DataCenter != w.DataCenter && !otherDataCenter {
 			continue
 		}
-		better := load[from.ID]/from.Share-load[m.ID]/m.Share >= gap
-		home := m.DataCenter == w.DataCenter && abroad
-		if better || home || stuck && m.DataCenter == from.DataCenter {
-			b.relieve(now, w)
+		evensLoad := load[from.ID]/from.Share-load[m.ID]/m.Share >= gap
+		returnsHome := m.DataCenter == w.DataCenter && otherDataCenter
+		if evensLoad || returnsHome || holderCannotReach && m.DataCenter == from.DataCenter {
+			b.sendRelease(now, w)
 			return
 		}
 	}
 }
 
-// leastLoad is the lowest load for its size of any member, by data centre: a worker does
-// not leave its own for balance.
+// leastLoad returns, for each data centre, the lowest load of any member relative to its
+// size: a worker does not leave its data centre for balance.
 func (b *Book) leastLoad(load map[mesh.ID]float64) map[string]float64 {
 	least := make(map[string]float64)
 	for id, m := range b.members {
@@ -253,8 +259,9 @@
 	return max(sum/float64(max(len(b.members), 1)), 0.01)
 }
 
-// prune forgets workers that are neither listed nor answer.
-func (b *Book) prune(now time.Time) {
+// forgetUnlisted removes workers that are neither listed nor held, and has unlisted
+// workers released that have not answered for unlistedTimeout.
+func (b *Book) forgetUnlisted(now time.Time) {
 	for _, w := range b.sortedWorkers() {
 		if w.listed {
 			continue
@@ -265,13 +272,14 @@
 			event.WorkerForgotten.Log(b.log, "worker", w.ID)
 			continue
 		}
-		if w.failures > 0 && now.Sub(w.badSince) > goneAfter {
-			b.relieve(now, w)
+		if w.failures > 0 && now.Sub(w.failingSince) > unlistedTimeout {
+			b.sendRelease(now, w)
 		}
 	}
 }
 
-// Holder returns who holds a worker, for those who ask.
+// Holder returns the holder of a worker and its fence, or zero values if the worker is
+// unknown.
 func (b *Book) Holder(id string) (mesh.ID, lease.Fence) {
 	if w := b.workers[id]; w != nil {
 		return w.holder, w.fence
--- a/cell/duty_test.go
+++ b/cell/duty_test.go
@@ -8,7 +8,7 @@
 	"snipehub.example/mesh"
 )
 
-func duties(b *Book) map[string]mesh.ID {
+func takeAssignments(b *Book) map[string]mesh.ID {
 	out := make(map[string]mesh.ID)
 	for _, a := range b.Take() {
 		if a.Duty != nil {
@@ -18,11 +18,12 @@
 	return out
 }
 
-// A planner has just begun. Workers go to members of their data centre, evenly.
+// A planner has just begun. Workers are assigned evenly to the members of their data
+// centre.
 func TestDutiesAreSpread(t *testing.T) {
-	b := planning(t, 4, 12)
+	b := newPlanner(t, 4, 12)
 	b.Tick(ms(600))
-	got := duties(b)
+	got := takeAssignments(b)
 	count := make(map[mesh.ID]int)
 	for id, m := range got {
 		count[m]++
@@ -37,43 +38,43 @@
 	}
 }
 
-// A process that is cut off alone sees nobody and takes itself for the planner. It
-// must not take the workers of those whom it does not see: they would take them back,
-// and so on in turns.
+// A process that is cut off reaches nobody and acts as the planner. It must not reassign
+// the workers of members that it can't reach: they would take them back, and so on in
+// turns.
 func TestCutOffPlannerTakesNothing(t *testing.T) {
-	b := allHeld(t, 4, 8)
+	b := newPlannerWithHolders(t, 4, 8)
 	b.Members(ms(1000), members(1), members(1), false, false)
 	b.Tick(ms(3000))
-	if got := duties(b); len(got) != 0 {
+	if got := takeAssignments(b); len(got) != 0 {
 		t.Errorf("duties %v", got)
 	}
 	b.Members(ms(3100), members(1), members(1), true, false)
 	b.Tick(ms(3200))
-	if got := duties(b); len(got) != 6 {
+	if got := takeAssignments(b); len(got) != 6 {
 		t.Errorf("%d duties once the others are known to be gone, want their 6 workers", len(got))
 	}
 }
 
-// All processes have started anew. When each has reported there is nothing to wait
-// for; every moment more is one in which nobody is served.
-func TestNobodyIsMissing(t *testing.T) {
-	b := planning(t, 3, 6)
+// All processes have restarted. Once each has reported, the workers must be assigned
+// without further delay, since no caller is served before.
+func TestAllReportedEndsGracePeriod(t *testing.T) {
+	b := newPlanner(t, 3, 6)
 	b.Members(ms(1), members(3), members(3), true, true)
 	for i := range 3 {
-		if got := duties(b); len(got) != 0 {
+		if got := takeAssignments(b); len(got) != 0 {
 			t.Fatalf("duties %v before all have reported", got)
 		}
 		b.Report(ms(2), memberID(i), Report{Whole: true})
 	}
-	if got := duties(b); len(got) != 6 {
+	if got := takeAssignments(b); len(got) != 6 {
 		t.Errorf("%d duties when all have reported, want 6", len(got))
 	}
 }
 
-// A member that leaves is relieved of its workers first; they are given on when it has
-// let go, and not back to it.
+// A leaving member is asked to release its workers. They are assigned to other members
+// once it has released them, and not back to it.
 func TestLeavingMember(t *testing.T) {
-	b := allHeld(t, 4, 4)
+	b := newPlannerWithHolders(t, 4, 4)
 	all := members(4)
 	all[2].Leaving = true
 	b.Members(ms(1000), all, all, true, false)
@@ -91,15 +92,15 @@
 	}
 	for _, id := range relieved {
 		b.Report(ms(1010), memberID(2), Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Gone: true}}})
-		if got := duties(b); got[id] == memberID(2) || got[id] == (mesh.ID{}) {
+		if got := takeAssignments(b); got[id] == memberID(2) || got[id] == (mesh.ID{}) {
 			t.Errorf("%s goes to %v", id, got[id])
 		}
 	}
 }
 
-// A new planner knows the workers from their holders before it has read the
-// platform's list. Starting tasks on one that has said that it leaves, they would be
-// cut off with it.
+// A new planner learns of the workers from their holders before it has read the
+// platform's list. Tasks that it started on a draining worker would be killed with the
+// worker.
 func TestDrainingIsKnownFromTheHolder(t *testing.T) {
 	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
 	b.Begin(ms(0))
@@ -112,10 +113,10 @@
 	}
 }
 
-// The list says that a worker drains: its holder is told, and told again if it reports
-// the worker without it.
+// The platform's list says that a worker drains: its holder must be told, and told again
+// if it reports the worker as not draining.
 func TestHolderIsToldOfDraining(t *testing.T) {
-	b := allHeld(t, 2, 1)
+	b := newPlannerWithHolders(t, 2, 1)
 	b.Workers(ms(700), Listing{Listed: []Listed{{Worker: testWorker(0), Draining: true}}})
 	told := func() (n int) {
 		for _, a := range b.Take() {
@@ -134,10 +135,10 @@
 	}
 }
 
-// A worker that its holder can't reach takes nothing, and is given to another member
+// A worker that its holder can't reach takes no tasks. It must be moved to another member
 // of its data centre, which may have a path to it.
 func TestUnreachableWorker(t *testing.T) {
-	b := allHeld(t, 4, 1)
+	b := newPlannerWithHolders(t, 4, 1)
 	w := testWorker(0)
 	h := b.workers["w0"].holder
 	bad := Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Failures: 3}}}
@@ -153,14 +154,14 @@
 		t.Fatal("its holder keeps it")
 	}
 	b.Report(ms(6500), h, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Gone: true}}})
-	if got := duties(b); got["w0"] == h || got["w0"] == (mesh.ID{}) {
+	if got := takeAssignments(b); got["w0"] == h || got["w0"] == (mesh.ID{}) {
 		t.Errorf("it goes to %v", got["w0"])
 	}
 }
 
-// The report of a holder that was replaced arrives late.
+// The report of a former holder arrives late. It must not change the holder.
 func TestReportOfAFormerHolder(t *testing.T) {
-	b := allHeld(t, 4, 1)
+	b := newPlannerWithHolders(t, 4, 1)
 	h := b.workers["w0"].holder
 	from := memberID(2)
 	if h == from {
@@ -172,9 +173,9 @@
 	}
 }
 
-// A worker changes its holder. What was learned of its speed must go with it.
+// A worker changes its holder. What was learned of its speed must be sent to the new one.
 func TestSpeedGoesWithADuty(t *testing.T) {
-	b := allHeld(t, 4, 1)
+	b := newPlannerWithHolders(t, 4, 1)
 	h := b.workers["w0"].holder
 	slow := lease.Speed{Factor: 3, Ends: 40}
 	b.Report(ms(700), h, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true, Speed: slow}}})
@@ -187,11 +188,12 @@
 	t.Error("the new holder is not told the speed")
 }
 
-// A worker has started again and is still listed under its former life. Whoever is told to
-// hold it finds another life there and lets go at once, so that it was given to two members
-// in turns, 450 times in a second, which took a good part of the planner's processor.
+// A worker has restarted and is still listed under its former incarnation. Each member
+// that is to hold it finds another incarnation there and releases it at once, so it was
+// assigned to two members in turns, 450 times in a second, which took a good part of the
+// planner's processor time.
 func TestWorkerThatNobodyCanHold(t *testing.T) {
-	b := allHeld(t, 2, 1)
+	b := newPlannerWithHolders(t, 2, 1)
 	w := testWorker(0)
 	given := 0
 	holder := b.workers["w0"].holder
--- a/cell/gather.go
+++ b/cell/gather.go
@@ -7,125 +7,132 @@
 	"snipehub.example/mesh"
 )
 
-// holders chooses between workers that are equally fast by who holds them, so that the
-// tasks of a job are on few holders: each one needs the job's text, two kilobytes, and
-// sends the ends of its tasks by itself.
+// holderSelector chooses among equally fast workers by their holders, so that the tasks
+// of a step are on few holders: each holder needs the job's text, two kilobytes, and
+// reports the ends of its tasks itself.
 //
-// With the one that has the least room left over, whoever holds it, a job of four tasks
-// went to more than three holders. On links of 2 Mbit/s the copies of the text alone were
-// 40% of what a process sent, and its calls to workers waited behind them.
-type holders struct {
+// When the worker with the least free resources was chosen regardless of its holder, a
+// job of four tasks went to more than three holders. On links of 2 Mbit/s the copies of
+// the text alone were 40% of what a process sent, and its calls to workers waited behind
+// them.
+type holderSelector struct {
 	gather bool
 	owner  *member
 	// dc is the owner's data centre.
-	dc string
-	of map[mesh.ID]*member
-	// tasks counts the tasks of the step that holders were just given.
+	dc          string
+	membersByID map[mesh.ID]*member
+	// tasks counts the tasks of the step that each holder was given by this selector.
 	tasks map[*member]int
-	// order is the holders of the open seats, room how many tasks these take.
-	order []*member
-	room  map[*member]int
-	// open are the seats to choose from; near counts those in the owner's data centre.
-	open []*seat
-	near int
+	// openHolders is the holders of the candidates, capacity how many tasks of the step
+	// the candidates of each can take.
+	openHolders []*member
+	capacity    map[*member]int
+	// candidates is the workers to choose from; nearCount counts those in the owner's
+	// data centre.
+	candidates []*candidate
+	nearCount  int
 }
 
-// nearMost and farMost bound the seats that are chosen from for a task, in the owner's data
-// centre and elsewhere. In a cell of a thousand workers hundreds are equally fast, and to
-// compare all of them for each task takes most of what a planner does.
-const nearMost, farMost = 32, 32
+// maxNearCandidates and maxFarCandidates bound the candidates that are compared for a
+// task, in the owner's data centre and in others. In a cell of a thousand workers
+// hundreds are equally fast, and comparing all of them for each task takes most of a
+// planner's processor time.
+const maxNearCandidates, maxFarCandidates = 32, 32
 
-func (h *holders) clear() { h.open, h.near = h.open[:0], 0 }
+func (h *holderSelector) clear() { h.candidates, h.nearCount = h.candidates[:0], 0 }
 
-// consider adds a seat to choose from if it is among the first of its kind.
-func (h *holders) consider(s *seat) {
-	far := len(h.open) - h.near
+// consider adds a candidate unless enough are known in the owner's data centre, or
+// outside it.
+func (h *holderSelector) consider(s *candidate) {
+	far := len(h.candidates) - h.nearCount
 	switch {
-	case s.DataCenter == h.dc && h.near < nearMost:
-		h.near++
-	case s.DataCenter == h.dc || far >= farMost:
+	case s.DataCenter == h.dc && h.nearCount < maxNearCandidates:
+		h.nearCount++
+	case s.DataCenter == h.dc || far >= maxFarCandidates:
 		return
 	}
-	s.by = h.of[s.holder]
-	h.open = append(h.open, s)
+	s.holderMember = h.membersByID[s.holder]
+	h.candidates = append(h.candidates, s)
 }
 
-// full tells that no further seat will be considered.
-func (h *holders) full() bool { return len(h.open) == nearMost+farMost }
+// full reports whether consider will add no further candidate.
+func (h *holderSelector) full() bool { return len(h.candidates) == maxNearCandidates+maxFarCandidates }
 
-func (b *Book) holders(w *wait) *holders {
-	h := &holders{
-		gather: b.policy.Gather.on(),
-		owner:  b.members[w.owner],
-		of:     b.members,
-		tasks:  make(map[*member]int),
-		room:   make(map[*member]int),
+// holderSelector returns the selector for one step's tasks.
+func (b *Book) holderSelector(p *pendingRequest) *holderSelector {
+	h := &holderSelector{
+		gather:      b.policy.Gather.on(),
+		owner:       b.members[p.owner],
+		membersByID: b.members,
+		tasks:       make(map[*member]int),
+		capacity:    make(map[*member]int),
 	}
-	h.dc = b.callers[w.owner]
+	h.dc = b.callers[p.owner]
 	return h
 }
 
-func (h *holders) use(s *seat) { h.tasks[h.of[s.holder]]++ }
+func (h *holderSelector) countTask(s *candidate) { h.tasks[h.membersByID[s.holder]]++ }
 
-// has tells that a holder has the job's text, because it took the job in or has a task of
-// it, and not many tasks yet.
-func (h *holders) has(m *member) bool {
+// hasText reports whether a holder has the job's text, because it is the job's owner or
+// was given a task of the step, and has fewer than maxTasksPerHolder of the tasks.
+func (h *holderSelector) hasText(m *member) bool {
 	n := h.tasks[m]
-	return n < gatherMost && (n > 0 || m == h.owner)
+	return n < maxTasksPerHolder && (n > 0 || m == h.owner)
 }
 
-// gatherMost is how many tasks of a step one holder is given before another one is looked
-// for. It sends the text to the worker for each of them, one after the other: for a job of
-// eight tasks, four holders with two each are done first.
-const gatherMost = 2
+// maxTasksPerHolder is the number of tasks of a step that one holder is given before
+// another one is preferred. A holder sends the text to the worker for each task, one
+// after the other: a job of eight tasks ends soonest on four holders with two tasks each.
+const maxTasksPerHolder = 2
 
-// best returns the seat with the least room left over, on a holder that has the job's text
-// or else on the one that can take most of the tasks; nil if there are no seats.
-func (h *holders) best(w *wait) *seat {
+// best returns the candidate with the least free CPU on a holder that has the job's text,
+// or else on the holder that can take most of the tasks. It returns nil if there are no
+// candidates.
+func (h *holderSelector) best(p *pendingRequest) *candidate {
 	if !h.gather {
-		return leastLeft(h.open, func(*seat) bool { return true })
+		return leastFree(h.candidates, func(*candidate) bool { return true })
 	}
-	if s := leastLeft(h.open, func(s *seat) bool { return h.has(s.by) }); s != nil {
+	if s := leastFree(h.candidates, func(s *candidate) bool { return h.hasText(s.holderMember) }); s != nil {
 		return s
 	}
-	m := h.roomiest(w)
-	return leastLeft(h.open, func(s *seat) bool { return s.by == m })
+	m := h.largestCapacity(p)
+	return leastFree(h.candidates, func(s *candidate) bool { return s.holderMember == m })
 }
 
-// leastLeft returns the first of the seats that are meant with the least room.
-func leastLeft(seats []*seat, meant func(*seat) bool) *seat {
-	var best *seat
-	for _, s := range seats {
-		if meant(s) && (best == nil || s.left.CPU < best.left.CPU) {
+// leastFree returns the first of the matching candidates with the least free CPU.
+func leastFree(candidates []*candidate, matches func(*candidate) bool) *candidate {
+	var best *candidate
+	for _, s := range candidates {
+		if matches(s) && (best == nil || s.free.CPU < best.free.CPU) {
 			best = s
 		}
 	}
 	return best
 }
 
-// roomiest returns the holder with the fewest tasks of the step whose seats take most of
-// it, of equal ones one in the owner's data centre.
-func (h *holders) roomiest(w *wait) *member {
-	clear(h.room)
-	h.order = h.order[:0]
-	for _, s := range h.open {
-		room, ok := h.room[s.by]
+// largestCapacity returns, of the holders with the fewest tasks of the step, the one
+// whose candidates can take most of it; among equals, one in the owner's data centre.
+func (h *holderSelector) largestCapacity(p *pendingRequest) *member {
+	clear(h.capacity)
+	h.openHolders = h.openHolders[:0]
+	for _, s := range h.candidates {
+		room, ok := h.capacity[s.holderMember]
 		if !ok {
-			h.order = append(h.order, s.by)
+			h.openHolders = append(h.openHolders, s.holderMember)
 		}
-		h.room[s.by] = min(room+s.left.CPU/max(w.Room.CPU, 1), len(w.Tasks), gatherMost)
+		h.capacity[s.holderMember] = min(room+s.free.CPU/max(p.Room.CPU, 1), len(p.Tasks), maxTasksPerHolder)
 	}
-	if len(h.order) == 0 {
+	if len(h.openHolders) == 0 {
 		return nil
 	}
-	return slices.MaxFunc(h.order, func(x, y *member) int {
+	return slices.MaxFunc(h.openHolders, func(x, y *member) int {
 		return cmp.Or(
 			cmp.Compare(h.tasks[y], h.tasks[x]),
-			cmp.Compare(h.room[x], h.room[y]),
+			cmp.Compare(h.capacity[x], h.capacity[y]),
 			compareBool(h.isNear(x), h.isNear(y)),
 		)
 	})
 }
 
-// isNear tells that a holder is in the owner's data centre.
-func (h *holders) isNear(m *member) bool { return m != nil && m.DataCenter == h.dc }
+// isNear reports whether a holder is in the owner's data centre.
+func (h *holderSelector) isNear(m *member) bool { return m != nil && m.DataCenter == h.dc }
--- a/cell/gather_test.go
+++ b/cell/gather_test.go
@@ -9,15 +9,15 @@
 	"snipehub.example/mesh"
 )
 
-// A job of eight tasks comes to a process while workers of twelve holders are free and
-// equally fast. Each holder needs the job's text; with the tasks on eight holders, the
-// texts alone kept a thin link busy for longer than the tasks took.
+// A job of eight tasks arrives while workers of twelve holders are free and equally fast.
+// Each holder needs the job's text; with the tasks on eight holders, the texts alone kept
+// a slow link busy for longer than the tasks took.
 func TestTasksOfAJobAreOnFewHolders(t *testing.T) {
 	for _, c := range []struct {
 		gather  Choice
 		holders int
 	}{{On, 4}, {Off, 8}} {
-		b := planning(t, 12, 48)
+		b := newPlanner(t, 12, 48)
 		b.policy.Gather = c.gather
 		b.Tick(ms(600))
 		for _, a := range b.Take() {
@@ -43,10 +43,10 @@
 	}
 }
 
-// A new planner does not know what a worker runs and gives its room away. The holder turns
-// the task down; told no more than that, the planner gave the same room away again, five
-// hundred times a second.
-func TestRoomThatIsNotThereIsGivenOnce(t *testing.T) {
+// A new planner does not know what a worker runs and grants resources that are in use.
+// The holder refuses the task. It must report the worker's runs with that: otherwise the
+// planner granted the same resources again, five hundred times a second.
+func TestRefusedTaskUpdatesFreeResources(t *testing.T) {
 	now := func(at int) time.Time { return ms(at) }
 	h := lease.NewBook(now(0), testWorker(0), lease.NewFence(9), 0, lease.Speed{}, &lease.Habits{})
 	look := h.Take()[0].Hold
@@ -56,7 +56,7 @@
 		r := lease.Run{Task: lease.Task(fmt.Sprintf("old.0.0.%d", i)), Number: 1}
 		h.Start(now(595), memberID(1), lease.Order{Claim: lease.Claim{Run: r, Room: lease.Room{CPU: 30}}, Text: lease.NewText(r.Job(), "")})
 	}
-	b := planning(t, 1, 1)
+	b := newPlanner(t, 1, 1)
 	b.Report(ms(601), memberID(0), Report{States: []lease.State{{ID: "w0", Fence: h.Fence(), Open: true}}})
 	granted := 0
 	for at := 602; at < 640; at += 2 {
--- a/cell/health.go
+++ b/cell/health.go
@@ -7,41 +7,41 @@
 	"snipehub.example/lease"
 )
 
-// health takes what a holder has learned of a worker. One whose tasks fail, are
-// refused or stand still is put aside: it looks free all the time, because what it is
-// given ends at once, and so it would be given more than any other. It is tried with
-// one task at a time.
-func (b *Book) health(now time.Time, w *worker, s lease.Speed) {
-	before := w.speed
+// updateHealth stores what a holder reports of a worker's speed and failures. It ejects a
+// worker whose tasks fail, are refused or make no progress: since whatever it is given
+// ends at once, it always looks free, and would be given more than any other. An ejected
+// worker gets one probe task at a time.
+func (b *Book) updateHealth(now time.Time, w *worker, s lease.Speed) {
+	previous := w.speed
 	w.speed = s
 	switch {
-	case w.aside && s.Bad == 0:
-		w.aside = false
+	case w.ejected && s.Bad == 0:
+		w.ejected = false
 		event.WorkerBack.Log(b.log, "worker", w.ID)
-	case w.aside && s.Bad > before.Bad:
-		w.probeWait = min(2*w.probeWait, b.policy.ProbeMost)
-		w.probeAt = now.Add(w.probeWait)
-	case !w.aside && b.policy.AsideAfter > 0 && s.Bad >= b.policy.AsideAfter && b.mayPutAside():
-		w.aside = true
-		w.probeWait = b.policy.ProbeEvery
-		w.probeAt = now.Add(w.probeWait)
+	case w.ejected && s.Bad > previous.Bad:
+		w.probeInterval = min(2*w.probeInterval, b.policy.ProbeMost)
+		w.nextProbe = now.Add(w.probeInterval)
+	case !w.ejected && b.policy.AsideAfter > 0 && s.Bad >= b.policy.AsideAfter && b.mayEject():
+		w.ejected = true
+		w.probeInterval = b.policy.ProbeEvery
+		w.nextProbe = now.Add(w.probeInterval)
 		event.WorkerAside.Log(b.log, "worker", w.ID, "bad", s.Bad, "factor", s.Factor)
 	}
 }
 
-// mayPutAside tells whether few enough are aside. Where most workers fail, the cause
-// is likely one that they share, and using them is better than using none.
-func (b *Book) mayPutAside() bool {
+// mayEject reports whether one more worker may be ejected. If most workers fail, they
+// likely share the cause, and using them is better than using none.
+func (b *Book) mayEject() bool {
 	n := 0
 	for _, w := range b.workers {
-		if w.aside {
+		if w.ejected {
 			n++
 		}
 	}
 	return float64(n+1) <= b.policy.AsideShare*float64(len(b.workers))
 }
 
-// probes tells whether a worker that is aside may be tried now.
-func (w *worker) probes(now time.Time) bool {
-	return w.aside && len(w.runs) == 0 && !now.Before(w.probeAt)
+// probeDue reports whether an ejected worker may get a probe task now.
+func (w *worker) probeDue(now time.Time) bool {
+	return w.ejected && len(w.runs) == 0 && !now.Before(w.nextProbe)
 }
--- a/cell/line.go
+++ b/cell/line.go
@@ -5,43 +5,46 @@
 	"slices"
 )
 
-// line is what waits, first what goes first. It is kept in order from one plan to the
-// next: sorting anew for each event took a fifth of a busy planner's time.
-type line struct {
-	order Order
-	waits []*wait
+// requestQueue is the pending requests in the order in which they are placed. It is kept
+// sorted from one plan to the next: sorting it for each event took a fifth of a busy
+// planner's time.
+type requestQueue struct {
+	order   Order
+	pending []*pendingRequest
 }
 
-// add puts a step in its place.
-func (l *line) add(w *wait) {
-	i, _ := slices.BinarySearchFunc(l.waits, w, l.order.first)
-	l.waits = slices.Insert(l.waits, i, w)
+// add inserts a request at its position.
+func (l *requestQueue) add(p *pendingRequest) {
+	i, _ := slices.BinarySearchFunc(l.pending, p, l.order.compare)
+	l.pending = slices.Insert(l.pending, i, p)
 }
 
-// remove takes a step out. It must be called before anything that the order looks at
+// remove deletes a request. It must be called before any field that determines the order
 // changes.
-func (l *line) remove(w *wait) {
-	i, ok := slices.BinarySearchFunc(l.waits, w, l.order.first)
-	if ok && l.waits[i] == w {
-		l.waits = slices.Delete(l.waits, i, i+1)
+func (l *requestQueue) remove(p *pendingRequest) {
+	i, ok := slices.BinarySearchFunc(l.pending, p, l.order.compare)
+	if ok && l.pending[i] == p {
+		l.pending = slices.Delete(l.pending, i, i+1)
 		return
 	}
-	l.waits = slices.DeleteFunc(l.waits, func(o *wait) bool { return o == w })
+	l.pending = slices.DeleteFunc(l.pending, func(o *pendingRequest) bool { return o == p })
 }
 
-// change puts a step in another place because of what change does to it.
-func (l *line) change(w *wait, change func()) {
-	l.remove(w)
+// change applies a function that modifies a request, and moves the request to its new
+// position.
+func (l *requestQueue) change(p *pendingRequest, change func()) {
+	l.remove(p)
 	change()
-	l.add(w)
+	l.add(p)
 }
 
-// first orders two steps: what has begun goes first, and equal ones have a fixed order.
-func (o Order) first(x, y *wait) int {
+// compare orders two requests: those of jobs that have begun go first, and ties are
+// broken in a fixed order.
+func (o Order) compare(x, y *pendingRequest) int {
 	return cmp.Or(
 		-compareBool(x.Begun, y.Begun),
-		o.compare(x, y),
-		x.aim.Compare(y.aim),
+		o.compareByPolicy(x, y),
+		x.objective.Compare(y.objective),
 		cmp.Compare(x.job, y.job),
 		cmp.Compare(x.step, y.step),
 	)
--- a/cell/load_test.go
+++ b/cell/load_test.go
@@ -10,9 +10,9 @@
 	"snipehub.example/lease"
 )
 
-// crowded is a planner of 350 workers of three speeds, all full, for which n jobs of
-// four tasks wait: the size to which the users' deployments grow, and what waits there
-// half a second after a burst while a quarter of the workers is slow.
+// crowded returns a planner of 350 workers of three speeds, all full, with n pending jobs
+// of four tasks: the size to which the users' deployments grow, and what is pending half
+// a second after a burst while a quarter of the workers is slow.
 func crowded(tb testing.TB, seed uint64, n int) *Book {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	b := crowdedWorkers(tb, rnd)
@@ -28,55 +28,56 @@
 
 func crowdedWorkers(tb testing.TB, rnd *rand.Rand) *Book {
 	tb.Helper()
-	b := allHeld(tb, 4, 350)
+	b := newPlannerWithHolders(tb, 4, 350)
 	for i, w := range b.sortedWorkers() {
 		w.speed = lease.Speed{Factor: []float64{0.6, 1, 1.7}[i%3] * (0.99 + 0.02*rnd.Float64()), Ends: 9}
 		for k := range 2 {
 			r := lease.Run{Task: lease.Task(fmt.Sprintf("running%d.0.0.%d", i, k)), Number: 1}
-			w.put(r, held{room: lease.Room{CPU: 25}, began: ms(600), estimate: time.Duration(50+rnd.IntN(900)) * time.Millisecond})
+			w.addRun(r, activeRun{resources: lease.Room{CPU: 25}, startedAt: ms(600), estimate: time.Duration(50+rnd.IntN(900)) * time.Millisecond})
 		}
 	}
-	b.sortSeats()
+	b.sortBySpeed()
 	b.Take()
 	return b
 }
 
-// Many more tasks are asked for than can be served. The planner looked at each place of
-// each worker for each task that waited, fell behind, so that yet more waited, and the
-// look ahead took all of its processor: an eighth of the worth was served in a
-// deployment of 350 workers, and for seconds after the burst was over. A task is laid
-// on the best of a few groups of places.
+// Many more tasks are requested than can be served. The planner compared each pending
+// task with each slot of each worker and fell behind, so that yet more requests became
+// pending and the look-ahead took all of its processor time: in a deployment of 350
+// workers, an eighth of the worth was served, and for seconds after the burst. A task
+// must be compared with a few slot groups only.
 func TestLookAheadLooksAtFewPlaces(t *testing.T) {
 	b := crowded(t, 1, 400)
-	groups := b.places(ms(700), b.line.waits)
+	groups := b.slots(ms(700), b.requestQueue.pending)
 	places := 0
 	for _, p := range groups {
-		places += len(p.free)
+		places += len(p.freeAt)
 	}
 	if places != 700 || len(groups) > 6 {
 		t.Errorf("%d places in %d groups, want 700 in at most 6", places, len(groups))
 	}
 }
 
-// The look ahead by groups refuses whom the plain one refuses, which compares all places.
-func TestLookAheadIsThePlainOne(t *testing.T) {
+// The look-ahead by slot groups must refuse the same jobs as a plain search that compares
+// all slots.
+func TestLookAheadMatchesPlainSearch(t *testing.T) {
 	for seed := range uint64(5) {
 		b := crowded(t, seed, 200)
 		for _, w := range b.workers {
 			w.speed.Factor = []float64{0.6, 1, 1.7}[w.Room.CPU%3]
 		}
-		queue := slices.Clone(b.line.waits)
+		queue := slices.Clone(b.requestQueue.pending)
 		want := plainLookAhead(b, queue)
-		groups := b.places(ms(700), queue)
+		groups := b.slots(ms(700), queue)
 		for i, w := range queue {
-			if got := b.fitsIn(w, groups); got != want[i] {
+			if got := b.scheduleInTime(w, groups); got != want[i] {
 				t.Errorf("seed %d: job %s fits %v, want %v", seed, w.job, got, want[i])
 			}
 		}
 	}
 }
 
-func plainLookAhead(b *Book, queue []*wait) (fits []bool) {
+func plainLookAhead(b *Book, queue []*pendingRequest) (fits []bool) {
 	type place struct {
 		free   time.Time
 		factor float64
@@ -97,7 +98,7 @@
 					best, end = i, e
 				}
 			}
-			ok = ok && !end.After(w.aim)
+			ok = ok && !end.After(w.objective)
 			then[best].free = end
 		}
 		fits = append(fits, ok)
@@ -108,35 +109,35 @@
 	return fits
 }
 
-// What waits is in the same order as if it were sorted anew, whatever comes, begins and
-// goes.
+// The queue must be in the same order as if it were sorted anew, whichever requests are
+// added, changed and removed.
 func TestLineStaysInOrder(t *testing.T) {
 	for _, order := range []Order{ByRank, ByAim, ByWork, ByRankWork} {
 		rnd := rand.New(rand.NewPCG(uint64(order), 2))
-		l := line{order: order}
+		l := requestQueue{order: order}
 		for i := range 2000 {
-			switch n := len(l.waits); {
+			switch n := len(l.pending); {
 			case n == 0 || rnd.IntN(3) == 0:
-				w := &wait{key: key{job: fmt.Sprint(i)}, aim: ms(rnd.IntN(5))}
+				w := &pendingRequest{stepKey: stepKey{job: fmt.Sprint(i)}, objective: ms(rnd.IntN(5))}
 				w.Rank, w.Tasks = rnd.IntN(3), make([]lease.Run, 1+rnd.IntN(4))
 				l.add(w)
 			case rnd.IntN(2) == 0:
-				l.remove(l.waits[rnd.IntN(n)])
+				l.remove(l.pending[rnd.IntN(n)])
 			default:
-				w := l.waits[rnd.IntN(n)]
+				w := l.pending[rnd.IntN(n)]
 				l.change(w, func() { w.Begun, w.Tasks = !w.Begun, w.Tasks[1:] })
 				if len(w.Tasks) == 0 {
 					l.remove(w)
 				}
 			}
-			if !slices.IsSortedFunc(l.waits, order.first) {
+			if !slices.IsSortedFunc(l.pending, order.compare) {
 				t.Fatalf("order %d: not sorted after step %d", order, i)
 			}
 		}
 	}
 }
 
-// The cost of one plan while all workers are full.
+// BenchmarkCrowded measures one plan while all workers are full.
 func BenchmarkCrowded(b *testing.B) {
 	for _, n := range []int{10, 100, 400, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -145,9 +146,9 @@
 			at := 700
 			for b.Loop() {
 				at += 10
-				book.changed = true
-				for _, w := range book.waits {
-					w.aim = ms(at + 5000)
+				book.needsPlanning = true
+				for _, w := range book.pending {
+					w.objective = ms(at + 5000)
 				}
 				book.Place(ms(at))
 			}
@@ -155,7 +156,7 @@
 	}
 }
 
-// The cost of a tick with nothing to do.
+// BenchmarkIdleTick measures a tick with nothing to do.
 func BenchmarkIdleTick(b *testing.B) {
 	book := crowded(b, 1, 0)
 	at := 6000
@@ -165,8 +166,9 @@
 	}
 }
 
-// Every job wants the same rack. Its workers are soon full, and elsewhere a task takes
-// twice as long: who would be late there is refused at once, and does not wait for it.
+// Every job prefers the same rack. Its workers are soon full, and on other racks a task
+// takes twice as long: a job that would be late there must be refused at once instead of
+// waiting for the rack.
 func TestLookAheadKnowsRacks(t *testing.T) {
 	b := crowded(t, 1, 0)
 	for i := range 300 {
@@ -174,16 +176,16 @@
 		a.Rack, a.Estimate, a.Aim = "r1", 500*time.Millisecond, 1000*time.Millisecond
 		b.Ask(ms(700), memberID(1), a)
 	}
-	groups := b.places(ms(700), b.line.waits)
+	groups := b.slots(ms(700), b.requestQueue.pending)
 	fit := 0
-	for _, w := range slices.Clone(b.line.waits) {
-		if b.fitsIn(w, groups) {
+	for _, w := range slices.Clone(b.requestQueue.pending) {
+		if b.scheduleInTime(w, groups) {
 			fit++
 		}
 	}
 	plain := 0
-	for _, p := range b.places(ms(700), b.line.waits) {
-		for _, free := range p.free {
+	for _, p := range b.slots(ms(700), b.requestQueue.pending) {
+		for _, free := range p.freeAt {
 			f := p.factor
 			if p.rack != "r1" {
 				f *= 2
@@ -198,9 +200,9 @@
 	}
 }
 
-// A burst is refused: told the same second, all of it came back together as the next
-// one, and while what waits takes several seconds it came back in vain. Callers are told
-// when there is room, spread over a second.
+// A burst is refused. When all its callers were told the same second, they retried
+// together as the next burst, and in vain while the pending work took several seconds.
+// They must be told when there will be free resources, spread over a second.
 func TestRefusedCallersComeBackSpread(t *testing.T) {
 	refusals := func(work time.Duration) (after []time.Duration) {
 		b := crowded(t, 1, 0)
--- a/cell/place.go
+++ b/cell/place.go
@@ -10,44 +10,46 @@
 	"snipehub.example/mesh"
 )
 
-// Ask takes in tasks that wait for workers.
+// Ask adds a request for workers, or updates the pending one for the same step.
 func (b *Book) Ask(now time.Time, from mesh.ID, a Ask) {
 	if !b.active {
 		return
 	}
-	k := key{a.Job, a.Step}
-	w := b.waits[k]
-	if w == nil || w.owner != from {
-		if w != nil {
-			b.line.remove(w)
+	k := stepKey{a.Job, a.Step}
+	p := b.pending[k]
+	if p == nil || p.owner != from {
+		if p != nil {
+			b.requestQueue.remove(p)
 		}
-		w = &wait{Ask: a, key: k, owner: from, arrived: now.Add(-a.Age), aim: now.Add(a.Aim), end: now.Add(a.Limit), asked: now}
-		b.waits[k] = w
-		b.line.add(w)
+		p = &pendingRequest{Ask: a, stepKey: k, owner: from, arrivedAt: now.Add(-a.Age), objective: now.Add(a.Aim), deadline: now.Add(a.Limit), requestedAt: now}
+		b.pending[k] = p
+		b.requestQueue.add(p)
 	} else {
-		b.line.change(w, func() {
-			w.Begun, w.Avoid, w.asked = a.Begun, a.Avoid, now
-			w.Tasks = merge(w.Tasks, a.Tasks)
+		b.requestQueue.change(p, func() {
+			p.Begun, p.Avoid, p.requestedAt = a.Begun, a.Avoid, now
+			p.Tasks = mergeRuns(p.Tasks, a.Tasks)
 		})
 	}
-	b.changed = true
+	b.needsPlanning = true
 }
 
-// merge adds runs, replacing older runs of the same tasks.
-func merge(have, more []lease.Run) []lease.Run {
+// mergeRuns adds the runs of more to those of have, replacing older runs of the same
+// tasks.
+func mergeRuns(have, more []lease.Run) []lease.Run {
 	out := slices.DeleteFunc(slices.Clone(have), func(r lease.Run) bool {
 		return slices.ContainsFunc(more, func(n lease.Run) bool { return n.Task == r.Task })
 	})
 	return append(out, more...)
 }
 
-// Withdraw takes back what was asked for a job, or grants that won't be used.
+// Withdraw removes the pending requests of a job, or the grants of the given runs, which
+// won't be used.
 func (b *Book) Withdraw(wd Withdrawal) {
 	if !b.active {
 		return
 	}
 	if len(wd.Runs) == 0 {
-		for _, w := range b.waits {
+		for _, w := range b.pending {
 			if w.job == wd.Job {
 				b.drop(w)
 			}
@@ -56,69 +58,72 @@
 	}
 	for _, w := range b.workers {
 		for _, r := range wd.Runs {
-			if w.runs[r].granted {
+			if w.runs[r].unreported {
 				w.drop(r)
 			}
 		}
 	}
-	b.changed = true
+	b.needsPlanning = true
 }
 
-// drop forgets a step that waits.
-func (b *Book) drop(w *wait) {
-	delete(b.waits, w.key)
-	b.line.remove(w)
+// drop deletes a pending request.
+func (b *Book) drop(p *pendingRequest) {
+	delete(b.pending, p.stepKey)
+	b.requestQueue.remove(p)
 }
 
-// seat is a worker with room, while tasks are placed.
-type seat struct {
+// candidate is a worker with free resources that a task may be placed on, during one
+// Place.
+type candidate struct {
 	*worker
-	left   lease.Room
+	free   lease.Room
 	factor float64
-	// by is the holder, once the seat is considered for a task.
-	by *member
-	// probe tells that it takes a single task, to be tried.
+	// holderMember is the worker's holder. It is set when the candidate is considered for
+	// a task.
+	holderMember *member
+	// probe is set if the worker is ejected and takes a single probe task.
 	probe bool
 }
 
-// Place gives workers to waiting tasks, in the order of their queues and then of
-// the time left to their objectives, and refuses jobs that can't meet theirs. It
-// does nothing when nothing has changed, so that a burst of events is planned once.
+// Place grants workers to pending requests in the order of the queue, and refuses jobs
+// that cannot meet their objective. It does nothing if nothing has changed since the last
+// call, so that a burst of events is planned once.
 func (b *Book) Place(now time.Time) {
-	if !b.active || !b.changed {
+	if !b.active || !b.needsPlanning {
 		return
 	}
-	b.changed = false
-	if len(b.waits) == 0 {
+	b.needsPlanning = false
+	if len(b.pending) == 0 {
 		return
 	}
-	queue := slices.Clone(b.line.waits)
+	queue := slices.Clone(b.requestQueue.pending)
 	best := b.bestFactor()
 	nearest := make(map[string]float64)
-	seats := b.seats(now, leastCPU(queue))
-	for _, w := range queue {
+	candidates := b.candidates(now, minCPU(queue))
+	for _, p := range queue {
 		best := best
-		if w.Rack != "" {
-			best = b.bestNear(w.Rack, best, nearest)
+		if p.Rack != "" {
+			best = b.bestFactorNear(p.Rack, best, nearest)
 		}
-		if b.hopeless(now, w, best) {
-			b.refuse(now, w, hopelessWord)
+		if b.cannotMeetObjective(now, p, best) {
+			b.refuse(now, p, reasonCannotMeetObjective)
 			continue
 		}
-		b.fill(now, w, seats, best)
+		b.grantTasks(now, p, candidates, best)
 	}
-	b.admit(now)
+	b.lookAhead(now)
 }
 
-// bestNear is the least factor for tasks whose data is on a rack, given that of all
-// workers. What it finds is kept for the others that want the same rack.
-func (b *Book) bestNear(rack string, best float64, found map[string]float64) float64 {
+// bestFactorNear returns the lowest factor for tasks whose data is on a rack, given the
+// lowest factor of all workers. It caches the result in found for other requests that
+// prefer the same rack.
+func (b *Book) bestFactorNear(rack string, best float64, found map[string]float64) float64 {
 	if f, ok := found[rack]; ok {
 		return f
 	}
 	near := best * b.policy.Far
 	for _, w := range b.bySpeed {
-		if w.Rack == rack && w.takes() && !w.aside {
+		if w.Rack == rack && w.acceptsTasks() && !w.ejected {
 			near = min(near, b.factor(w))
 		}
 	}
@@ -126,16 +131,17 @@
 	return near
 }
 
-// away is by how much longer tasks with data on a rack take on a worker.
-func (b *Book) away(rack string, w *worker) float64 {
+// rackFactor returns the factor by which tasks with data on a rack take longer on a
+// worker because it is on another rack.
+func (b *Book) rackFactor(rack string, w *worker) float64 {
 	if rack == "" || rack == w.Rack {
 		return 1
 	}
 	return b.policy.Far
 }
 
-// sortSeats orders the workers by speed.
-func (b *Book) sortSeats() {
+// sortBySpeed rebuilds bySpeed.
+func (b *Book) sortBySpeed() {
 	b.bySpeed = b.bySpeed[:0]
 	for _, w := range b.workers {
 		b.bySpeed = append(b.bySpeed, w)
@@ -145,62 +151,62 @@
 	})
 }
 
-// takes tells whether a worker takes tasks.
-func (w *worker) takes() bool {
+// acceptsTasks reports whether tasks may be started on a worker.
+func (w *worker) acceptsTasks() bool {
 	return w.open && !w.draining && (w.listed || w.failures == 0)
 }
 
-func leastCPU(queue []*wait) int {
+func minCPU(queue []*pendingRequest) int {
 	least := queue[0].Room.CPU
-	for _, w := range queue {
-		least = min(least, w.Room.CPU)
+	for _, p := range queue {
+		least = min(least, p.Room.CPU)
 	}
 	return least
 }
 
-// seats returns the workers with room for the smallest task that waits, fastest
-// first.
-func (b *Book) seats(now time.Time, least int) []*seat {
+// candidates returns the workers with enough free CPU for the smallest pending task:
+// first those that are due a probe, then the others, fastest first.
+func (b *Book) candidates(now time.Time, least int) []*candidate {
 	if len(b.bySpeed) != len(b.workers) {
-		b.sortSeats()
+		b.sortBySpeed()
 	}
-	b.room = slices.Grow(b.room[:0], len(b.bySpeed))
-	var probes []*seat
+	b.candidateBuf = slices.Grow(b.candidateBuf[:0], len(b.bySpeed))
+	var probes []*candidate
 	for _, w := range b.bySpeed {
-		left := w.left()
+		free := w.free()
 		switch {
-		case !w.takes() || left.CPU < least:
-		case w.probes(now):
-			probes = append(probes, &seat{worker: w, left: left, factor: b.factor(w), probe: true})
-		case !w.aside:
-			b.room = append(b.room, seat{worker: w, left: left, factor: b.factor(w)})
+		case !w.acceptsTasks() || free.CPU < least:
+		case w.probeDue(now):
+			probes = append(probes, &candidate{worker: w, free: free, factor: b.factor(w), probe: true})
+		case !w.ejected:
+			b.candidateBuf = append(b.candidateBuf, candidate{worker: w, free: free, factor: b.factor(w)})
 		}
 	}
 	out := probes
-	for i := range b.room {
-		out = append(out, &b.room[i])
+	for i := range b.candidateBuf {
+		out = append(out, &b.candidateBuf[i])
 	}
-	byFactor := func(x, y *seat) int { return cmp.Compare(x.factor, y.factor) }
+	byFactor := func(x, y *candidate) int { return cmp.Compare(x.factor, y.factor) }
 	if rest := out[len(probes):]; !slices.IsSortedFunc(rest, byFactor) {
 		slices.SortStableFunc(rest, byFactor)
 	}
 	return out
 }
 
-// bestFactor is the factor of the fastest worker that takes tasks, 0 for none. The
-// order by speed is that of the last tick: the first one may just have turned out to
-// be slow.
+// bestFactor returns the factor of the fastest worker that accepts tasks and isn't
+// ejected, or 0 if there is none. It looks at all workers because bySpeed is as of the
+// last tick: the first one may have turned out to be slow since then.
 func (b *Book) bestFactor() float64 {
 	best := 0.0
 	for _, w := range b.bySpeed {
-		if f := b.factor(w); w.takes() && !w.aside && (best == 0 || f < best) {
+		if f := b.factor(w); w.acceptsTasks() && !w.ejected && (best == 0 || f < best) {
 			best = f
 		}
 	}
 	return best
 }
 
-// factor is the time that tasks take on a worker over their estimate.
+// factor returns the ratio of the time that tasks take on a worker to their estimate.
 func (b *Book) factor(w *worker) float64 {
 	if w.speed.Ends == 0 {
 		return 1
@@ -208,8 +214,8 @@
 	return w.speed.Factor
 }
 
-// compare orders two jobs of which both or none have begun.
-func (o Order) compare(x, y *wait) int {
+// compareByPolicy orders the requests of two jobs of which both or neither have begun.
+func (o Order) compareByPolicy(x, y *pendingRequest) int {
 	byWork := cmp.Compare(x.work(), y.work())
 	switch o {
 	case ByAim:
@@ -222,8 +228,9 @@
 	return cmp.Compare(x.Rank, y.Rank)
 }
 
-// work is the estimated work that waits.
-func (w *wait) work() time.Duration { return time.Duration(len(w.Tasks)) * w.Estimate }
+// work returns the estimated time of all pending tasks of the request, one after the
+// other.
+func (p *pendingRequest) work() time.Duration { return time.Duration(len(p.Tasks)) * p.Estimate }
 
 func compareBool(x, y bool) int {
 	switch {
@@ -235,140 +242,145 @@
 	return -1
 }
 
-// hopeless tells that a job of which nothing has begun can't meet its objective
-// any more, even on the fastest worker and at once.
-func (b *Book) hopeless(now time.Time, w *wait, best float64) bool {
-	if w.Begun {
+// cannotMeetObjective reports whether a job that has not begun would miss its objective
+// even if it started now on the fastest worker.
+func (b *Book) cannotMeetObjective(now time.Time, p *pendingRequest, best float64) bool {
+	if p.Begun {
 		return false
 	}
-	return now.Add(scaled(w.Estimate, best)).After(w.aim)
+	return now.Add(scaled(p.Estimate, best)).After(p.objective)
 }
 
 func scaled(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) * factor)
 }
 
-func (b *Book) refuse(now time.Time, w *wait, why string) {
-	b.drop(w)
+func (b *Book) refuse(now time.Time, p *pendingRequest, why string) {
+	b.drop(p)
 	b.counts.Refused[why]++
-	event.JobRefused.Log(b.log, "job", w.job, "queue", w.Queue, "why", why, "waited_ms", now.Sub(w.arrived).Milliseconds(), "aim_ms", w.aim.Sub(now).Milliseconds(), "waiting", len(b.waits))
-	b.act(Action{To: w.owner, Refusal: &Refusal{Job: w.job, Why: why, After: b.retryAfter(w.job), Waited: now.Sub(w.asked)}})
+	event.JobRefused.Log(b.log, "job", p.job, "queue", p.Queue, "why", why, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "aim_ms", p.objective.Sub(now).Milliseconds(), "waiting", len(b.pending))
+	b.emit(Action{To: p.owner, Refusal: &Refusal{Job: p.job, Why: why, After: b.retryAfter(p.job), Waited: now.Sub(p.requestedAt)}})
 }
 
-// hopelessWord is the reason of such a refusal.
-const hopelessWord = "no_room_in_time"
+// reasonCannotMeetObjective is the reason of a refusal when cannotMeetObjective holds.
+const reasonCannotMeetObjective = "no_room_in_time"
 
-// fill grants workers to the tasks of one step.
-func (b *Book) fill(now time.Time, w *wait, seats []*seat, best float64) {
-	if len(seats) == 0 {
+// grantTasks grants workers to the tasks of a request.
+func (b *Book) grantTasks(now time.Time, p *pendingRequest, candidates []*candidate, best float64) {
+	if len(candidates) == 0 {
 		return
 	}
-	// Once it is late, any worker will do.
-	late := now.Add(scaled(w.Estimate, best)).After(w.aim)
+	// A request that will miss its objective anyway takes any worker.
+	late := now.Add(scaled(p.Estimate, best)).After(p.objective)
 	var g *Grant
-	h := b.holders(w)
-	rest := w.Tasks
-	for _, r := range w.Tasks {
-		s := b.pick(now, w, seats, late, h)
+	h := b.holderSelector(p)
+	rest := p.Tasks
+	for _, r := range p.Tasks {
+		s := b.pickCandidate(now, p, candidates, late, h)
 		if s == nil {
-			// The tasks of a step are alike: what is no seat for one is none for
-			// the others.
+			// The tasks of a step are alike: if there is no candidate for one, there is
+			// none for the others.
 			break
 		}
 		rest = rest[1:]
 		if g == nil {
-			g = &Grant{Job: w.job, Waited: now.Sub(w.asked)}
+			g = &Grant{Job: p.job, Waited: now.Sub(p.requestedAt)}
 		}
-		h.use(s)
-		s.left = s.left.Minus(w.Room)
+		h.countTask(s)
+		s.free = s.free.Minus(p.Room)
 		if s.probe {
-			s.left = lease.Room{}
-			s.probeAt = now.Add(s.probeWait)
+			s.free = lease.Room{}
+			s.nextProbe = now.Add(s.probeInterval)
 		}
 		it := Granted{Run: r, Worker: s.ID, Holder: s.holder, Fence: s.fence}
-		estimate := w.Estimate
-		if away := b.away(w.Rack, s.worker); away != 1 {
+		estimate := p.Estimate
+		if away := b.rackFactor(p.Rack, s.worker); away != 1 {
 			estimate = scaled(estimate, away)
 			it.Estimate = estimate
 		}
-		s.put(r, held{room: w.Room, began: now, estimate: estimate, granted: true, job: w.job})
+		s.addRun(r, activeRun{resources: p.Room, startedAt: now, estimate: estimate, unreported: true, job: p.job})
 		b.counts.Granted++
 		g.Items = append(g.Items, it)
-		event.TaskGranted.Log(b.log, "job", w.job, "task", r.Task, "run", r.Number, "worker", s.ID, "holder", s.holder,
-			"factor", s.factor, "waited_ms", now.Sub(w.arrived).Milliseconds(), "left_cpu", s.left.CPU)
+		event.TaskGranted.Log(b.log, "job", p.job, "task", r.Task, "run", r.Number, "worker", s.ID, "holder", s.holder,
+			"factor", s.factor, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "left_cpu", s.free.CPU)
 	}
 	if g == nil {
 		return
 	}
 	if len(rest) == 0 {
-		b.drop(w)
+		b.drop(p)
 	} else {
-		b.line.change(w, func() { w.Begun, w.Tasks = true, rest })
+		b.requestQueue.change(p, func() { p.Begun, p.Tasks = true, rest })
 	}
-	b.act(Action{To: w.owner, Grant: g})
+	b.emit(Action{To: p.owner, Grant: g})
 }
 
-// pick returns the seat for a task: one of the fastest workers with room. They differ by
-// less than their estimates are wrong, so what decides between them is who holds them.
-func (b *Book) pick(now time.Time, w *wait, seats []*seat, late bool, h *holders) *seat {
-	if w.Rack != "" {
-		return b.pickNear(now, w, seats, late)
+// pickCandidate returns the candidate for a task: one of the fastest workers with enough
+// free resources. Their speeds differ by less than the error of the estimates, so the
+// choice among them is made by holder.
+func (b *Book) pickCandidate(now time.Time, p *pendingRequest, candidates []*candidate, late bool, h *holderSelector) *candidate {
+	if p.Rack != "" {
+		return b.pickCandidateNear(now, p, candidates, late)
 	}
 	h.clear()
-	for _, s := range seats {
-		if !b.fits(w, s) {
+	for _, s := range candidates {
+		if !b.meetsRequirements(p, s) {
 			continue
 		}
 		if s.probe {
 			return s
 		}
-		if !late && b.policy.WaitForFaster.on() && now.Add(scaled(w.Estimate, s.factor)).After(w.aim) {
+		if !late && b.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, s.factor)).After(p.objective) {
 			break
 		}
-		if len(h.open) > 0 && s.factor > h.open[0].factor*alike || h.full() {
+		if len(h.candidates) > 0 && s.factor > h.candidates[0].factor*similarSpeedRatio || h.full() {
 			break
 		}
 		h.consider(s)
 	}
-	return h.best(w)
+	return h.best(p)
 }
 
-// alike is the factor by which the times of workers differ that are taken as equally fast.
-const alike = 1.1
+// similarSpeedRatio is the largest ratio of the factors of workers that are treated as
+// equally fast.
+const similarSpeedRatio = 1.1
 
-// pickNear is pick for tasks whose data is on a rack: a slower worker there may be
-// faster for them than any other.
-func (b *Book) pickNear(now time.Time, w *wait, seats []*seat, late bool) *seat {
-	var best *seat
+// pickCandidateNear is pickCandidate for tasks whose data is on a rack: a slower worker
+// on that rack may run them faster than any other.
+func (b *Book) pickCandidateNear(now time.Time, p *pendingRequest, candidates []*candidate, late bool) *candidate {
+	var best *candidate
 	var least float64
-	for _, s := range seats {
-		f := s.factor * b.away(w.Rack, s.worker)
+	for _, s := range candidates {
+		f := s.factor * b.rackFactor(p.Rack, s.worker)
 		switch {
-		case !b.fits(w, s):
-		case !late && b.policy.WaitForFaster.on() && now.Add(scaled(w.Estimate, f)).After(w.aim):
-		case best == nil || f < least || f == least && s.left.CPU < best.left.CPU:
+		case !b.meetsRequirements(p, s):
+		case !late && b.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, f)).After(p.objective):
+		case best == nil || f < least || f == least && s.free.CPU < best.free.CPU:
 			best, least = s, f
 		}
 	}
 	return best
 }
 
-func (b *Book) fits(w *wait, s *seat) bool {
+// meetsRequirements reports whether a candidate has the pool, the label and the free
+// resources that a request needs, is not to be avoided, and has fewer tasks of the step
+// than the allowed maximum.
+func (b *Book) meetsRequirements(p *pendingRequest, s *candidate) bool {
 	switch {
-	case s.Pool != w.Pool || !w.Room.Fits(s.left):
+	case s.Pool != p.Pool || !p.Room.Fits(s.free):
 		return false
-	case w.Label != "" && w.Label != s.Kind && w.Label != s.Rack:
+	case p.Label != "" && p.Label != s.Kind && p.Label != s.Rack:
 		return false
-	case slices.Contains(w.Avoid, s.ID):
+	case slices.Contains(p.Avoid, s.ID):
 		return false
 	}
-	return w.Apart == 0 || s.count(w) < w.Apart
+	return p.Apart == 0 || s.tasksOfStep(p) < p.Apart
 }
 
-// count returns how many tasks of the step are on the worker.
-func (s *seat) count(w *wait) int {
+// tasksOfStep returns how many tasks of the request's step are on the worker.
+func (s *candidate) tasksOfStep(p *pendingRequest) int {
 	n := 0
-	step := w.Tasks[0].Task.Step()
+	step := p.Tasks[0].Task.Step()
 	for r := range s.runs {
 		if r.Task.Step() == step {
 			n++
--- a/cell/policy.go
+++ b/cell/policy.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// Policy is how the planner decides. Each field says what it buys, as measured in
-// the model (package model) over 20 seeds.
+// Policy configures the planner's decisions.
 type Policy struct {
-	// AsideAfter is how many bad ends of different jobs in a row put a worker
-	// aside; 0 takes the default, a negative number puts none aside.
+	// AsideAfter is the number of consecutive failures, of different jobs, after which a
+	// worker is ejected; 0 takes the default, a negative number disables ejection.
 	AsideAfter int
-	// AsideShare is the largest part of the workers that is put aside.
+	// AsideShare is the largest share of the workers that may be ejected at a time.
 	AsideShare float64
-	// ProbeEvery is the first pause between two tasks that try a worker that was
-	// put aside; it doubles up to ProbeMost.
+	// ProbeEvery is the interval until the first probe task of an ejected worker; it
+	// doubles with each failed probe, up to ProbeMost.
 	ProbeEvery, ProbeMost time.Duration
-	// WaitForFaster lets a task that could still be in time wait for a faster
-	// worker when the ones that are free would make it late.
+	// WaitForFaster keeps a task pending that would be late on the free workers but could
+	// meet its objective on a faster one.
 	WaitForFaster Choice
-	// LookAhead refuses jobs at once that will be late because of what waits
-	// before them. Margin scales the objective that counts for it.
+	// LookAhead refuses jobs immediately that would be late because of the requests ahead
+	// of them in the queue. Margin scales the time to the objective that this compares
+	// with.
 	LookAhead Choice
 	Margin    float64
-	// Gather puts the tasks of a job on few holders, of workers that are equally fast.
+	// Gather places the tasks of a job on few holders when it chooses among equally fast
+	// workers.
 	Gather Choice
-	// Order is how what waits is ordered.
+	// Order is the order of the queue.
 	Order Order
-	// Far is the time that tasks take on a rack without their data, over the time
-	// they take near it; 0 takes the default.
+	// Far is the factor by which tasks take longer on a rack other than that of their
+	// data; 0 takes the default.
 	Far float64
 }
 
-// farDefault is what the platform's deployments name today.
-const farDefault = 2
+// defaultFar is the factor that the platform's deployments state today.
+const defaultFar = 2
 
-// Order is an order of what waits. In each, what has begun goes first.
+// Order is an order of the pending requests. In each order, jobs that have begun go
+// first.
 type Order int
 
 // The orders.
 const (
-	// ByRank: the operator's rank of the queue, then the objective.
+	// ByRank orders by the rank that the operator gave the queue, then by objective.
 	ByRank Order = iota
-	// ByAim: the objective alone.
+	// ByAim orders by objective only.
 	ByAim
-	// ByWork: the least remaining work first.
+	// ByWork orders by pending work, least first.
 	ByWork
-	// ByRankWork: the rank, then the least remaining work.
+	// ByRankWork orders by rank, then by pending work, least first.
 	ByRankWork
 )
 
-// Choice is a policy that can be left to the default.
+// Choice switches a part of the policy on or off, or leaves it to the default, which is
+// on.
 type Choice int
 
 // The choices.
@@ -59,7 +62,7 @@
 
 func (c Choice) on() bool { return c != Off }
 
-func (p Policy) orDefault() Policy {
+func (p Policy) withDefaults() Policy {
 	if p.AsideAfter == 0 {
 		p.AsideAfter = 2
 	}
@@ -76,7 +79,7 @@
 		p.Margin = 1
 	}
 	if p.Far == 0 {
-		p.Far = farDefault
+		p.Far = defaultFar
 	}
 	return p
 }
--- a/cell/view.go
+++ b/cell/view.go
@@ -7,10 +7,11 @@
 	"snipehub.example/mesh"
 )
 
-// View is what operators see of the planner.
+// View is the planner's state as shown to operators.
 type View struct {
-	// Waiting is the steps of jobs with tasks that wait, Workers the workers
-	// that take tasks, FreeCores the room on them.
+	// Waiting is the number of pending requests, one for each step of a job; Workers the
+	// number of workers that accept tasks; FreeCores the free CPU on these. Queues holds
+	// the pending tasks of each queue.
 	Waiting   int            `json:"waiting"`
 	Workers   int            `json:"workers"`
 	FreeCores float64        `json:"free_cores"`
@@ -31,21 +32,21 @@
 	Speed    lease.Speed   `json:"speed"`
 }
 
-// View returns what operators see.
+// View returns the planner's state for operators.
 func (b *Book) View(now time.Time) View {
-	v := View{Waiting: len(b.waits), Queues: make(map[string]int)}
-	for _, w := range b.waits {
+	v := View{Waiting: len(b.pending), Queues: make(map[string]int)}
+	for _, w := range b.pending {
 		v.Queues[w.Queue] += len(w.Tasks)
 	}
 	for _, w := range b.sortedWorkers() {
-		if w.takes() {
+		if w.acceptsTasks() {
 			v.Workers++
-			v.FreeCores += float64(w.left().CPU) / 1000
+			v.FreeCores += float64(w.free().CPU) / 1000
 		}
 		v.Holders = append(v.Holders, HeldBy{
 			Worker:   w.ID,
 			Holder:   w.holder,
-			For:      now.Sub(w.since),
+			For:      now.Sub(w.heldSince),
 			Fence:    w.fence,
 			Open:     w.open,
 			Draining: w.draining,
