--- a/cell/admit.go
+++ b/cell/admit.go
@@ -32,15 +32,15 @@
 	}
 	b.lastLookAhead = now
 	queue := slices.Clone(b.requestQueue.pending)
-	slots := b.slots(now, queue)
-	queue = slices.DeleteFunc(queue, func(p *pendingRequest) bool { return b.scheduleInTime(p, slots) || p.Begun })
+	groups := b.slots(now, queue)
+	queue = slices.DeleteFunc(queue, func(p *pendingRequest) bool { return b.scheduleInTime(p, groups) || p.Begun })
 	b.refusedDelay = 0
 	why := reasonOthersFirst
-	if len(slots) == 0 {
+	if len(groups) == 0 {
 		why = reasonNoWorkers
 	}
 	for _, p := range queue {
-		if end := b.schedule(p, slots); !end.IsZero() {
+		if end := b.schedule(p, groups); !end.IsZero() {
 			b.refusedDelay = end.Sub(p.objective)
 		}
 		b.refuse(now, p, why)
@@ -67,9 +67,9 @@
 // schedule puts the tasks of a request on the slots that become free first, whether or
 // not they end in time, and returns when the last of them ends. It returns the zero time
 // if there are no slots.
-func (b *Book) schedule(p *pendingRequest, all []*slots) (last time.Time) {
+func (b *Book) schedule(p *pendingRequest, groups []*slots) (last time.Time) {
 	for range p.Tasks {
-		g, end := b.earliest(all, p)
+		g, end := b.earliest(groups, p)
 		if g == nil {
 			return time.Time{}
 		}
@@ -95,9 +95,9 @@
 	retryJitter = time.Second
 )
 
-// retryAfter returns the delay after which a refused caller should retry: how late its
-// job would have been, had it and all jobs refused before it been kept, plus a jitter of
-// less than a second that depends on the job.
+// retryAfter returns the delay after which a refused caller should retry: refusedDelay,
+// within bounds, plus a jitter that depends on the job. During a look-ahead, refusedDelay
+// is how late the job would have been, had it and all jobs refused before it been kept.
 func (b *Book) retryAfter(job string) time.Duration {
 	wait := min(max(b.refusedDelay, minRetryAfter), maxRetryAfter)
 	return wait + Spread(job)
@@ -248,17 +248,17 @@
 // scheduleInTime puts the tasks of a request on the slots where they end first, if all of
 // them end in time there, and reports whether they do. The tasks of a job that has begun
 // are scheduled even if they end late.
-func (b *Book) scheduleInTime(p *pendingRequest, all []*slots) bool {
+func (b *Book) scheduleInTime(p *pendingRequest, groups []*slots) bool {
 	type taken struct {
 		*slots
 		freeAt, end time.Time
 	}
 	var took []taken
-	deadline := p.arrivedAt.Add(time.Duration(float64(p.objective.Sub(p.arrivedAt)) * b.policy.Margin))
+	latestEnd := p.arrivedAt.Add(time.Duration(float64(p.objective.Sub(p.arrivedAt)) * b.policy.Margin))
 	fits := true
 	for range p.Tasks {
-		g, end := b.earliest(all, p)
-		if g == nil || end.After(deadline) && !p.Begun {
+		g, end := b.earliest(groups, p)
+		if g == nil || end.After(latestEnd) && !p.Begun {
 			fits = false
 			break
 		}
@@ -279,8 +279,8 @@
 
 // earliest returns the group whose first slot lets a task of the request end first, and
 // when the task ends. It returns nil if there are no groups.
-func (b *Book) earliest(all []*slots, p *pendingRequest) (best *slots, end time.Time) {
-	for _, g := range all {
+func (b *Book) earliest(groups []*slots, p *pendingRequest) (best *slots, end time.Time) {
+	for _, g := range groups {
 		f := g.factor
 		if p.Rack != "" && p.Rack != g.rack {
 			f *= b.policy.Far
--- a/cell/admit_test.go
+++ b/cell/admit_test.go
@@ -24,10 +24,10 @@
 	b.Ask(ms(720), memberID(1), long)
 	_, refusals := place(b, 720)
 	if len(refusals) != 1 || refusals[0].Job != "short" || refusals[0].Why != reasonOthersFirst {
-		t.Errorf("refusals %+v, want only that of the job without time", refusals)
+		t.Errorf("refusals %+v, want only that of the job that would be late", refusals)
 	}
 	if len(b.pending) != 1 {
-		t.Errorf("%d jobs wait", len(b.pending))
+		t.Errorf("%d requests are pending, want 1", len(b.pending))
 	}
 }
 
@@ -42,7 +42,7 @@
 	}{
 		{"by estimate", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond}, 40, 200},
 		{"by progress", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond, percent: 50, reportedAt: ms(30)}, 40, 60},
-		{"too early to tell", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond, percent: 5, reportedAt: ms(30)}, 40, 200},
+		{"progress too low to predict", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond, percent: 5, reportedAt: ms(30)}, 40, 200},
 		{"overdue", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond}, 400, 440},
 	}
 	for _, tt := range tests {
@@ -64,7 +64,7 @@
 	}
 	b.Report(ms(3), memberID(1), Report{Whole: true})
 	if _, refused := place(b, 20); len(refused) != 0 {
-		t.Errorf("refused while four workers are being taken: %+v", refused)
+		t.Errorf("refused while four workers have been assigned but not reported: %+v", refused)
 	}
 	for i := range 4 {
 		w := testWorker(i)
@@ -74,7 +74,7 @@
 	a.Aim = 10 * time.Second
 	b.Ask(ms(1100), memberID(0), a)
 	if _, refused := place(b, 1100); len(refused) != 2 {
-		t.Errorf("%d refusals though no worker takes tasks, want 2", len(refused))
+		t.Errorf("%d refusals when no worker accepts tasks, want 2", len(refused))
 	}
 }
 
@@ -109,7 +109,7 @@
 	b.Report(ms(700), w.holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Gone: true}}})
 	b.Ask(ms(701), memberID(1), ask("a", 2))
 	if _, refused := place(b, 701); len(refused) != 0 {
-		t.Errorf("refused while the worker changes hands: %+v", refused)
+		t.Errorf("refused while the worker changes its holder: %+v", refused)
 	}
 	a := ask("b", 2)
 	a.Aim = time.Hour
@@ -130,7 +130,7 @@
 	b.Ask(ms(2000), memberID(0), ask("a", 2))
 	_, refused := place(b, 2000)
 	if len(refused) == 0 || refused[0].Why != reasonNoWorkers {
-		t.Errorf("refused %+v, want %s", refused, reasonNoWorkers)
+		t.Errorf("refusals %+v, want reason %s", refused, reasonNoWorkers)
 	}
 }
 
@@ -152,7 +152,7 @@
 		next.Estimate = 200 * time.Millisecond
 		b.Ask(ms(at), memberID(1), next)
 		if _, refused := place(b, at); len(refused) != 0 {
-			t.Errorf("refused %+v, want it to wait for the other worker", refused)
+			t.Errorf("refusals %+v, want the job to stay pending until the other worker opens", refused)
 		}
 	}
 	b.Tick(ms(2000))
--- a/cell/book_test.go
+++ b/cell/book_test.go
@@ -94,7 +94,7 @@
 	b.Ask(ms(701), memberID(1), ask("b", 3))
 	second, _ := place(b, 701)
 	if len(first) != 3 || len(second) != 1 {
-		t.Errorf("%d and %d grants, want 3 and 1 on two workers of two places", len(first), len(second))
+		t.Errorf("%d and %d grants, want 3 and 1 on two workers with two slots each", len(first), len(second))
 	}
 	// The holder reports that one of them has ended already.
 	w := first[0].Worker
@@ -125,7 +125,7 @@
 	}
 	b.Tick(ms(700).Add(grantTimeout))
 	if g, _ := place(b, 700+int(grantTimeout.Milliseconds())); len(g) != 1 {
-		t.Errorf("%d grants after the first was forgotten, want 1", len(g))
+		t.Errorf("%d grants after the first has expired, want 1", len(g))
 	}
 }
 
@@ -140,12 +140,12 @@
 	begun.Begun = true
 	b.Ask(ms(701), memberID(1), begun)
 	if _, r := place(b, 702); len(r) != 0 {
-		t.Fatalf("refusals %+v while there is time", r)
+		t.Fatalf("refusals %+v while the objectives can be met", r)
 	}
 	b.Tick(ms(950))
 	_, r := place(b, 950)
 	if len(r) != 1 || r[0].Job != "b" || r[0].After <= 0 {
-		t.Errorf("refusals %+v, want b with a time to come back", r)
+		t.Errorf("refusals %+v, want b with a retry delay", r)
 	}
 }
 
@@ -158,7 +158,7 @@
 	b.Ask(ms(661), memberID(1), ask("a", 1))
 	grants, refusals := place(b, 661)
 	if len(grants) != 1 || len(refusals) != 0 {
-		t.Errorf("grants %+v, refusals %+v", grants, refusals)
+		t.Errorf("grants %+v, refusals %+v; want one grant and no refusal", grants, refusals)
 	}
 }
 
@@ -265,18 +265,18 @@
 		return n
 	}
 	if n := grantsOnW0(710, 9); n != 0 {
-		t.Errorf("%d tasks on a worker that was put aside", n)
+		t.Errorf("%d tasks on an ejected worker, want 0", n)
 	}
 	if n := grantsOnW0(1250, 9); n != 1 {
-		t.Errorf("%d tasks try it after half a second, want 1", n)
+		t.Errorf("%d probe tasks after half a second, want 1", n)
 	}
 	reportBadEnds(b, 1260, "w0", 3)
 	if n := grantsOnW0(1800, 9); n != 0 {
-		t.Errorf("%d tasks try it again too soon", n)
+		t.Errorf("%d probe tasks before the doubled interval, want 0", n)
 	}
 	reportBadEnds(b, 1810, "w0", 0)
 	if n := grantsOnW0(1820, 9); n != 2 {
-		t.Errorf("%d tasks on it after it was well again, want 2", n)
+		t.Errorf("%d tasks after a probe has succeeded, want 2", n)
 	}
 }
 
@@ -287,14 +287,14 @@
 	for i := range 10 {
 		reportBadEnds(b, 700, fmt.Sprintf("w%d", i), 5)
 	}
-	aside := 0
+	ejected := 0
 	for _, w := range b.workers {
 		if w.ejected {
-			aside++
+			ejected++
 		}
 	}
-	if aside != 3 {
-		t.Errorf("%d of 10 workers are aside, want 3", aside)
+	if ejected != 3 {
+		t.Errorf("%d of 10 workers are ejected, want 3", ejected)
 	}
 }
 
@@ -309,11 +309,11 @@
 	reportSlow(700)
 	b.Ask(ms(700), memberID(1), fast)
 	if g, _ := place(b, 700); len(g) != 2 || g[0].Worker != "w0" {
-		t.Fatalf("grants %+v", g)
+		t.Fatalf("grants %+v, want two on the fast worker", g)
 	}
 	b.Ask(ms(710), memberID(1), ask("a", 1))
 	if g, r := place(b, 710); len(g) != 0 || len(r) != 0 {
-		t.Errorf("grants %+v, refusals %+v, want it to wait", g, r)
+		t.Errorf("grants %+v, refusals %+v; want the task to stay pending", g, r)
 	}
 	begun := ask("late", 1)
 	begun.Begun, begun.Aim = true, 20*time.Millisecond
--- a/cell/duty.go
+++ b/cell/duty.go
@@ -14,9 +14,10 @@
 
 const (
 	// reportGracePeriod is how long a new planner waits for the members' reports before
-	// it assigns workers, unless all existing processes report sooner. Members that were
-	// there under the previous planner report within milliseconds; processes that start
-	// together find each other within about 400 ms.
+	// it assigns workers, unless all existing processes have reported sooner. The
+	// look-ahead waits at most as long, for the reports of the reachable members. Members
+	// that were there under the previous planner report within milliseconds; processes
+	// that start together find each other within about 400 ms.
 	reportGracePeriod = 500 * time.Millisecond
 	// assignmentRepeatInterval is when an assignment that no report confirms is repeated.
 	// It is also the least time between two release messages for a worker.
@@ -56,10 +57,10 @@
 	}
 }
 
-// mayAssign reports whether the members' reports are in, and whether this planner reaches
-// enough of the cell to assign workers. A planner that doesn't, because it is cut off or
-// the others have just started, would take the workers of the members that it can't
-// reach.
+// mayAssign reports whether this planner reaches enough of the cell to assign workers,
+// and has the members' reports or has waited long enough for them. A planner that is cut
+// off, or whose other members have just started, would take the workers of those that it
+// can't reach.
 func (b *Book) mayAssign(now time.Time) bool {
 	return b.mayReassign && (now.Sub(b.startedAt) >= reportGracePeriod || b.allReachable && b.allReported())
 }
@@ -145,19 +146,19 @@
 // workers.
 func (b *Book) chooseHolder(now time.Time, w *worker, load map[mesh.ID]float64) *member {
 	var best *member
-	rank := func(m *member) (otherDataCenter bool, wasHolder bool, l float64) {
+	rank := func(m *member) (otherDataCenter bool, wasHolder bool, relativeLoad float64) {
 		return m.DataCenter != w.DataCenter, m.ID == w.formerHolder && now.Sub(w.releasedAt) < moveCooldown, (load[m.ID] + 1) / max(m.Share, 0.01)
 	}
 	better := func(m, o *member) bool {
-		mo, mb, ml := rank(m)
-		oo, ob, ol := rank(o)
+		mOther, mWas, mLoad := rank(m)
+		oOther, oWas, oLoad := rank(o)
 		switch {
-		case mb != ob:
-			return !mb
-		case mo != oo:
-			return !mo
-		case ml != ol:
-			return ml < ol
+		case mWas != oWas:
+			return !mWas
+		case mOther != oOther:
+			return !mOther
+		case mLoad != oLoad:
+			return mLoad < oLoad
 		}
 		return score(m.ID, w.ID) > score(o.ID, w.ID)
 	}
@@ -186,10 +187,10 @@
 	return load
 }
 
-// planningLoadPerWorker is the cost of planning for a worker, as a share of the cost of
-// holding one: some 190 bytes in and out for each task, where a holder moves 3,500 with
-// the job's text. The planner holds correspondingly fewer workers, so that its link or
-// processor is not the first to be saturated.
+// planningLoadPerWorker is the cost of planning for a worker, relative to the cost of
+// holding one: the planner receives and sends some 190 bytes for each task, while a
+// holder moves 3,500 with the job's text. The planner is assigned correspondingly fewer
+// workers, so that its link or processor is not the first to be saturated.
 const planningLoadPerWorker = 0.05
 
 // sendRelease asks the holder to release the worker. The worker is assigned to another
--- a/cell/duty_test.go
+++ b/cell/duty_test.go
@@ -46,12 +46,12 @@
 	b.Members(ms(1000), members(1), members(1), false, false)
 	b.Tick(ms(3000))
 	if got := takeAssignments(b); len(got) != 0 {
-		t.Errorf("duties %v", got)
+		t.Errorf("assignments %v, want none", got)
 	}
 	b.Members(ms(3100), members(1), members(1), true, false)
 	b.Tick(ms(3200))
 	if got := takeAssignments(b); len(got) != 6 {
-		t.Errorf("%d duties once the others are known to be gone, want their 6 workers", len(got))
+		t.Errorf("%d assignments once the others are known to be gone, want their 6 workers", len(got))
 	}
 }
 
@@ -62,12 +62,12 @@
 	b.Members(ms(1), members(3), members(3), true, true)
 	for i := range 3 {
 		if got := takeAssignments(b); len(got) != 0 {
-			t.Fatalf("duties %v before all have reported", got)
+			t.Fatalf("assignments %v before all have reported", got)
 		}
 		b.Report(ms(2), memberID(i), Report{Whole: true})
 	}
 	if got := takeAssignments(b); len(got) != 6 {
-		t.Errorf("%d duties when all have reported, want 6", len(got))
+		t.Errorf("%d assignments when all have reported, want 6", len(got))
 	}
 }
 
@@ -82,18 +82,18 @@
 	for _, a := range b.Take() {
 		if a.Relief != nil {
 			if a.To != memberID(2) {
-				t.Errorf("%v is relieved", a.To)
+				t.Errorf("%v is asked to release a worker, want only the leaving member", a.To)
 			}
 			relieved = append(relieved, a.Relief.Worker)
 		}
 	}
 	if len(relieved) == 0 {
-		t.Fatal("nobody is relieved")
+		t.Fatal("the leaving member is not asked to release its workers")
 	}
 	for _, id := range relieved {
 		b.Report(ms(1010), memberID(2), Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Gone: true}}})
 		if got := takeAssignments(b); got[id] == memberID(2) || got[id] == (mesh.ID{}) {
-			t.Errorf("%s goes to %v", id, got[id])
+			t.Errorf("%s is assigned to %v, want another member", id, got[id])
 		}
 	}
 }
@@ -127,11 +127,11 @@
 		return n
 	}
 	if told() != 1 {
-		t.Error("the holder is not told")
+		t.Error("the holder is not told of the drain")
 	}
 	b.Report(ms(710), memberID(0), Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true}}})
 	if told() != 1 {
-		t.Error("the holder is not told again")
+		t.Error("the holder is not told of the drain again")
 	}
 }
 
@@ -151,11 +151,11 @@
 		relieved = relieved || a.Relief != nil && a.To == h
 	}
 	if !relieved {
-		t.Fatal("its holder keeps it")
+		t.Fatal("the holder is not asked to release the worker")
 	}
 	b.Report(ms(6500), h, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Gone: true}}})
 	if got := takeAssignments(b); got["w0"] == h || got["w0"] == (mesh.ID{}) {
-		t.Errorf("it goes to %v", got["w0"])
+		t.Errorf("the worker is assigned to %v, want another member", got["w0"])
 	}
 }
 
@@ -169,7 +169,7 @@
 	}
 	b.Report(ms(700), from, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(5), Open: true}}})
 	if got := b.workers["w0"].holder; got != h {
-		t.Errorf("%v counts as holder in place of %v", got, h)
+		t.Errorf("holder is %v, want %v", got, h)
 	}
 }
 
@@ -185,7 +185,7 @@
 			return
 		}
 	}
-	t.Error("the new holder is not told the speed")
+	t.Error("the assignment does not hold the speed")
 }
 
 // A worker has restarted and is still listed under its former incarnation. Each member
@@ -213,6 +213,6 @@
 		}
 	}
 	if given < 2 || given > 8 {
-		t.Errorf("given %d times in two seconds, want 2 to 8", given)
+		t.Errorf("assigned %d times in two seconds, want 2 to 8", given)
 	}
 }
--- a/cell/gather.go
+++ b/cell/gather.go
@@ -43,16 +43,16 @@
 
 // consider adds a candidate unless enough are known in the owner's data centre, or
 // outside it.
-func (h *holderSelector) consider(s *candidate) {
+func (h *holderSelector) consider(c *candidate) {
 	far := len(h.candidates) - h.nearCount
 	switch {
-	case s.DataCenter == h.dc && h.nearCount < maxNearCandidates:
+	case c.DataCenter == h.dc && h.nearCount < maxNearCandidates:
 		h.nearCount++
-	case s.DataCenter == h.dc || far >= maxFarCandidates:
+	case c.DataCenter == h.dc || far >= maxFarCandidates:
 		return
 	}
-	s.holderMember = h.membersByID[s.holder]
-	h.candidates = append(h.candidates, s)
+	c.holderMember = h.membersByID[c.holder]
+	h.candidates = append(h.candidates, c)
 }
 
 // full reports whether consider will add no further candidate.
@@ -71,7 +71,7 @@
 	return h
 }
 
-func (h *holderSelector) countTask(s *candidate) { h.tasks[h.membersByID[s.holder]]++ }
+func (h *holderSelector) countTask(c *candidate) { h.tasks[h.membersByID[c.holder]]++ }
 
 // hasText reports whether a holder has the job's text, because it is the job's owner or
 // was given a task of the step, and has fewer than maxTasksPerHolder of the tasks.
@@ -92,19 +92,19 @@
 	if !h.gather {
 		return leastFree(h.candidates, func(*candidate) bool { return true })
 	}
-	if s := leastFree(h.candidates, func(s *candidate) bool { return h.hasText(s.holderMember) }); s != nil {
-		return s
+	if c := leastFree(h.candidates, func(c *candidate) bool { return h.hasText(c.holderMember) }); c != nil {
+		return c
 	}
 	m := h.largestCapacity(p)
-	return leastFree(h.candidates, func(s *candidate) bool { return s.holderMember == m })
+	return leastFree(h.candidates, func(c *candidate) bool { return c.holderMember == m })
 }
 
 // leastFree returns the first of the matching candidates with the least free CPU.
 func leastFree(candidates []*candidate, matches func(*candidate) bool) *candidate {
 	var best *candidate
-	for _, s := range candidates {
-		if matches(s) && (best == nil || s.free.CPU < best.free.CPU) {
-			best = s
+	for _, c := range candidates {
+		if matches(c) && (best == nil || c.free.CPU < best.free.CPU) {
+			best = c
 		}
 	}
 	return best
@@ -115,12 +115,12 @@
 func (h *holderSelector) largestCapacity(p *pendingRequest) *member {
 	clear(h.capacity)
 	h.openHolders = h.openHolders[:0]
-	for _, s := range h.candidates {
-		room, ok := h.capacity[s.holderMember]
+	for _, c := range h.candidates {
+		tasks, ok := h.capacity[c.holderMember]
 		if !ok {
-			h.openHolders = append(h.openHolders, s.holderMember)
+			h.openHolders = append(h.openHolders, c.holderMember)
 		}
-		h.capacity[s.holderMember] = min(room+s.free.CPU/max(p.Room.CPU, 1), len(p.Tasks), maxTasksPerHolder)
+		h.capacity[c.holderMember] = min(tasks+c.free.CPU/max(p.Room.CPU, 1), len(p.Tasks), maxTasksPerHolder)
 	}
 	if len(h.openHolders) == 0 {
 		return nil
--- a/cell/gather_test.go
+++ b/cell/gather_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("gather %v: %d tasks on %d holders, want %d", c.gather, len(grants), len(on), c.holders)
 		}
 		if c.gather == On && on[memberID(3)] == 0 {
-			t.Error("none with the process that has the text already")
+			t.Error("no task on the owner, which has the text already")
 		}
 	}
 }
--- a/cell/health.go
+++ b/cell/health.go
@@ -19,11 +19,11 @@
 		w.ejected = false
 		event.WorkerBack.Log(b.log, "worker", w.ID)
 	case w.ejected && s.Bad > previous.Bad:
-		w.probeInterval = min(2*w.probeInterval, b.policy.ProbeMost)
+		w.probeInterval = min(2*w.probeInterval, b.policy.MaxProbeInterval)
 		w.nextProbe = now.Add(w.probeInterval)
 	case !w.ejected && b.policy.AsideAfter > 0 && s.Bad >= b.policy.AsideAfter && b.mayEject():
 		w.ejected = true
-		w.probeInterval = b.policy.ProbeEvery
+		w.probeInterval = b.policy.ProbeInterval
 		w.nextProbe = now.Add(w.probeInterval)
 		event.WorkerAside.Log(b.log, "worker", w.ID, "bad", s.Bad, "factor", s.Factor)
 	}
--- a/cell/line.go
+++ b/cell/line.go
@@ -14,28 +14,28 @@
 }
 
 // add inserts a request at its position.
-func (l *requestQueue) add(p *pendingRequest) {
-	i, _ := slices.BinarySearchFunc(l.pending, p, l.order.compare)
-	l.pending = slices.Insert(l.pending, i, p)
+func (q *requestQueue) add(p *pendingRequest) {
+	i, _ := slices.BinarySearchFunc(q.pending, p, q.order.compare)
+	q.pending = slices.Insert(q.pending, i, p)
 }
 
 // remove deletes a request. It must be called before any field that determines the order
 // changes.
-func (l *requestQueue) remove(p *pendingRequest) {
-	i, ok := slices.BinarySearchFunc(l.pending, p, l.order.compare)
-	if ok && l.pending[i] == p {
-		l.pending = slices.Delete(l.pending, i, i+1)
+func (q *requestQueue) remove(p *pendingRequest) {
+	i, ok := slices.BinarySearchFunc(q.pending, p, q.order.compare)
+	if ok && q.pending[i] == p {
+		q.pending = slices.Delete(q.pending, i, i+1)
 		return
 	}
-	l.pending = slices.DeleteFunc(l.pending, func(o *pendingRequest) bool { return o == p })
+	q.pending = slices.DeleteFunc(q.pending, func(o *pendingRequest) bool { return o == p })
 }
 
 // change applies a function that modifies a request, and moves the request to its new
 // position.
-func (l *requestQueue) change(p *pendingRequest, change func()) {
-	l.remove(p)
+func (q *requestQueue) change(p *pendingRequest, change func()) {
+	q.remove(p)
 	change()
-	l.add(p)
+	q.add(p)
 }
 
 // compare orders two requests: those of jobs that have begun go first, and ties are
--- a/cell/load_test.go
+++ b/cell/load_test.go
@@ -49,12 +49,12 @@
 func TestLookAheadLooksAtFewPlaces(t *testing.T) {
 	b := crowded(t, 1, 400)
 	groups := b.slots(ms(700), b.requestQueue.pending)
-	places := 0
+	slotCount := 0
 	for _, p := range groups {
-		places += len(p.freeAt)
+		slotCount += len(p.freeAt)
 	}
-	if places != 700 || len(groups) > 6 {
-		t.Errorf("%d places in %d groups, want 700 in at most 6", places, len(groups))
+	if slotCount != 700 || len(groups) > 6 {
+		t.Errorf("%d slots in %d groups, want 700 in at most 6", slotCount, len(groups))
 	}
 }
 
@@ -196,7 +196,7 @@
 		}
 	}
 	if fit == 0 || fit > plain {
-		t.Errorf("%d jobs of two tasks fit, and %d places are free in time", fit, plain)
+		t.Errorf("%d jobs of two tasks fit, and %d slots are free in time", fit, plain)
 	}
 }
 
@@ -226,11 +226,11 @@
 	} {
 		after := refusals(tt.work)
 		if len(after) < 50 {
-			t.Fatalf("%v of work: %d refusals", tt.work, len(after))
+			t.Fatalf("%v of work: %d refusals, want at least 50", tt.work, len(after))
 		}
 		early, late := slices.Min(after), slices.Max(after)
 		if early < tt.least || late > tt.most || late-early < max(900*time.Millisecond, tt.work) {
-			t.Errorf("%v of work: callers come back after %v to %v; want within %v to %v, over a second", tt.work, early, late, tt.least, tt.most)
+			t.Errorf("%v of work: callers retry after %v to %v; want within %v to %v, spread over a second", tt.work, early, late, tt.least, tt.most)
 		}
 	}
 }
--- a/cell/place.go
+++ b/cell/place.go
@@ -276,8 +276,8 @@
 	h := b.holderSelector(p)
 	rest := p.Tasks
 	for _, r := range p.Tasks {
-		s := b.pickCandidate(now, p, candidates, late, h)
-		if s == nil {
+		c := b.pickCandidate(now, p, candidates, late, h)
+		if c == nil {
 			// The tasks of a step are alike: if there is no candidate for one, there is
 			// none for the others.
 			break
@@ -286,23 +286,23 @@
 		if g == nil {
 			g = &Grant{Job: p.job, Waited: now.Sub(p.requestedAt)}
 		}
-		h.countTask(s)
-		s.free = s.free.Minus(p.Room)
-		if s.probe {
-			s.free = lease.Room{}
-			s.nextProbe = now.Add(s.probeInterval)
+		h.countTask(c)
+		c.free = c.free.Minus(p.Room)
+		if c.probe {
+			c.free = lease.Room{}
+			c.nextProbe = now.Add(c.probeInterval)
 		}
-		it := Granted{Run: r, Worker: s.ID, Holder: s.holder, Fence: s.fence}
+		it := Granted{Run: r, Worker: c.ID, Holder: c.holder, Fence: c.fence}
 		estimate := p.Estimate
-		if away := b.rackFactor(p.Rack, s.worker); away != 1 {
-			estimate = scaled(estimate, away)
+		if rackFactor := b.rackFactor(p.Rack, c.worker); rackFactor != 1 {
+			estimate = scaled(estimate, rackFactor)
 			it.Estimate = estimate
 		}
-		s.addRun(r, activeRun{resources: p.Room, startedAt: now, estimate: estimate, unreported: true, job: p.job})
+		c.addRun(r, activeRun{resources: p.Room, startedAt: now, estimate: estimate, unreported: true, job: p.job})
 		b.counts.Granted++
 		g.Items = append(g.Items, it)
-		event.TaskGranted.Log(b.log, "job", p.job, "task", r.Task, "run", r.Number, "worker", s.ID, "holder", s.holder,
-			"factor", s.factor, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "left_cpu", s.free.CPU)
+		event.TaskGranted.Log(b.log, "job", p.job, "task", r.Task, "run", r.Number, "worker", c.ID, "holder", c.holder,
+			"factor", c.factor, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "left_cpu", c.free.CPU)
 	}
 	if g == nil {
 		return
@@ -323,20 +323,20 @@
 		return b.pickCandidateNear(now, p, candidates, late)
 	}
 	h.clear()
-	for _, s := range candidates {
-		if !b.meetsRequirements(p, s) {
+	for _, c := range candidates {
+		if !b.meetsRequirements(p, c) {
 			continue
 		}
-		if s.probe {
-			return s
+		if c.probe {
+			return c
 		}
-		if !late && b.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, s.factor)).After(p.objective) {
+		if !late && b.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, c.factor)).After(p.objective) {
 			break
 		}
-		if len(h.candidates) > 0 && s.factor > h.candidates[0].factor*similarSpeedRatio || h.full() {
+		if len(h.candidates) > 0 && c.factor > h.candidates[0].factor*similarSpeedRatio || h.full() {
 			break
 		}
-		h.consider(s)
+		h.consider(c)
 	}
 	return h.best(p)
 }
@@ -350,13 +350,13 @@
 func (b *Book) pickCandidateNear(now time.Time, p *pendingRequest, candidates []*candidate, late bool) *candidate {
 	var best *candidate
 	var least float64
-	for _, s := range candidates {
-		f := s.factor * b.rackFactor(p.Rack, s.worker)
+	for _, c := range candidates {
+		f := c.factor * b.rackFactor(p.Rack, c.worker)
 		switch {
-		case !b.meetsRequirements(p, s):
+		case !b.meetsRequirements(p, c):
 		case !late && b.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, f)).After(p.objective):
-		case best == nil || f < least || f == least && s.free.CPU < best.free.CPU:
-			best, least = s, f
+		case best == nil || f < least || f == least && c.free.CPU < best.free.CPU:
+			best, least = c, f
 		}
 	}
 	return best
@@ -365,23 +365,23 @@
 // meetsRequirements reports whether a candidate has the pool, the label and the free
 // resources that a request needs, is not to be avoided, and has fewer tasks of the step
 // than the allowed maximum.
-func (b *Book) meetsRequirements(p *pendingRequest, s *candidate) bool {
+func (b *Book) meetsRequirements(p *pendingRequest, c *candidate) bool {
 	switch {
-	case s.Pool != p.Pool || !p.Room.Fits(s.free):
+	case c.Pool != p.Pool || !p.Room.Fits(c.free):
 		return false
-	case p.Label != "" && p.Label != s.Kind && p.Label != s.Rack:
+	case p.Label != "" && p.Label != c.Kind && p.Label != c.Rack:
 		return false
-	case slices.Contains(p.Avoid, s.ID):
+	case slices.Contains(p.Avoid, c.ID):
 		return false
 	}
-	return p.Apart == 0 || s.tasksOfStep(p) < p.Apart
+	return p.Apart == 0 || c.tasksOfStep(p) < p.Apart
 }
 
 // tasksOfStep returns how many tasks of the request's step are on the worker.
-func (s *candidate) tasksOfStep(p *pendingRequest) int {
+func (c *candidate) tasksOfStep(p *pendingRequest) int {
 	n := 0
 	step := p.Tasks[0].Task.Step()
-	for r := range s.runs {
+	for r := range c.runs {
 		if r.Task.Step() == step {
 			n++
 		}
--- a/cell/policy.go
+++ b/cell/policy.go
@@ -9,9 +9,9 @@
 	AsideAfter int
 	// AsideShare is the largest share of the workers that may be ejected at a time.
 	AsideShare float64
-	// ProbeEvery is the interval until the first probe task of an ejected worker; it
-	// doubles with each failed probe, up to ProbeMost.
-	ProbeEvery, ProbeMost time.Duration
+	// ProbeInterval is the interval until the first probe task of an ejected worker; it
+	// doubles with each failed probe, up to MaxProbeInterval.
+	ProbeInterval, MaxProbeInterval time.Duration
 	// WaitForFaster keeps a task pending that would be late on the free workers but could
 	// meet its objective on a faster one.
 	WaitForFaster Choice
@@ -69,11 +69,11 @@
 	if p.AsideShare == 0 {
 		p.AsideShare = 0.3
 	}
-	if p.ProbeEvery == 0 {
-		p.ProbeEvery = 500 * time.Millisecond
+	if p.ProbeInterval == 0 {
+		p.ProbeInterval = 500 * time.Millisecond
 	}
-	if p.ProbeMost == 0 {
-		p.ProbeMost = 2 * time.Second
+	if p.MaxProbeInterval == 0 {
+		p.MaxProbeInterval = 2 * time.Second
 	}
 	if p.Margin == 0 {
 		p.Margin = 1
--- a/cell/report.go
+++ b/cell/report.go
@@ -14,7 +14,7 @@
 	if !b.active || m == nil {
 		return
 	}
-	first := r.Whole && !m.reported
+	firstFull := r.Whole && !m.reported
 	if r.Whole {
 		m.reported = true
 		b.dropUnreported(now, from, r)
@@ -22,7 +22,7 @@
 	for _, s := range r.States {
 		b.updateState(now, from, s)
 	}
-	b.hasUnheld = b.hasUnheld || first
+	b.hasUnheld = b.hasUnheld || firstFull
 	b.assignUnheld(now)
 	b.needsPlanning = true
 }
