--- a/mesh/codec.go
+++ b/mesh/codec.go
@@ -9,81 +9,82 @@
 	"github.com/go-faster/errors"
 )
 
-// maxFrame bounds what a member may send as one message.
-const maxFrame = 16 << 20
+// maxContentBytes bounds the content of one message of a member.
+const maxContentBytes = 16 << 20
 
 var (
-	errFrame  = errors.New("mesh: message too large")
-	errMethod = errors.New("mesh: unknown method")
+	errTooLarge      = errors.New("mesh: message too large")
+	errUnknownMethod = errors.New("mesh: unknown method")
 )
 
 // The methods of notifications.
 const (
-	methodHello = "hello"
-	methodMail  = "mail"
-	methodBeat  = "beat"
-	// methodWatch is a heartbeat that asks for frequent ones in return.
+	methodHello     = "hello"
+	methodMessages  = "mail"
+	methodHeartbeat = "beat"
+	// methodWatch is a heartbeat that asks for frequent heartbeats in return.
 	methodWatch = "watch"
 )
 
-// methods numbers the methods on the wire, from 0.
-var methods = []string{methodHello, methodMail, methodBeat, methodWatch}
+// methods lists the methods by their number on the wire, from 0.
+var methods = []string{methodHello, methodMessages, methodHeartbeat, methodWatch}
 
-// codec carries JSON-RPC notifications and their content: a byte for the method, the
-// length of the content, and the content in CBOR with numbers for the names of fields.
+// codec writes and reads JSON-RPC notifications as a byte for the method, the length of
+// the content, and the content in CBOR with numbers for field names.
 //
-// The planner of a cell takes a few messages for each task. As plain JSON-RPC these were
-// some 1,200 bytes a task, and a planner on a VM of 2 Mbit/s was behind from 200 tasks a
-// second on: most jobs waited half a second for an answer while workers idled, and were
-// refused. TestMessagesAreSmall holds the sizes.
+// The planner of a cell receives a few messages for each task. As plain JSON-RPC these
+// were some 1,200 bytes a task, and a planner on a VM of 2 Mbit/s fell behind from 200
+// tasks a second on: most jobs waited half a second for an answer while workers idled,
+// and were refused. TestMessagesAreSmall checks the sizes.
 //
-// out and method are written with the next notification; in came with the last one.
-// Both are used by one goroutine each: the one that writes, and the one that reads and
-// handles.
+// method and outgoing belong to the next notification to write, incoming to the last one
+// read. The former are used only by the goroutine that writes, the latter only by the one
+// that reads and handles.
 type codec struct {
-	method  byte
-	out, in []byte
-	// take handles a notification by its method, in the goroutine that reads.
-	take func(method string)
+	method             byte
+	outgoing, incoming []byte
+	// onNotification is called with the method of each notification, in the goroutine
+	// that reads.
+	onNotification func(method string)
 }
 
-// set takes what the next notification says.
-func (c *codec) set(method string, content any) error {
+// setNext sets the method and content of the next notification.
+func (c *codec) setNext(method string, content any) error {
 	for i, m := range methods {
 		if m == method {
 			c.method = byte(i)
 		}
 	}
-	c.out = nil
+	c.outgoing = nil
 	if content == nil {
 		return nil
 	}
 	var err error
-	c.out, err = cbor.Marshal(content)
+	c.outgoing, err = cbor.Marshal(content)
 	return err
 }
 
-// decode reads the content of the last notification.
-func (c *codec) decode(content any) error { return cbor.Unmarshal(c.in, content) }
+// decode decodes the content of the last notification read.
+func (c *codec) decode(content any) error { return cbor.Unmarshal(c.incoming, content) }
 
-// WriteObject writes the notification that was set. The envelope that the library has
-// made of it says no more than its method.
+// WriteObject writes the notification that setNext has set. It ignores the library's
+// envelope, which holds nothing but the method.
 func (c *codec) WriteObject(w io.Writer, _ any) error {
-	if len(c.out) > maxFrame {
-		return errFrame
+	if len(c.outgoing) > maxContentBytes {
+		return errTooLarge
 	}
-	head := binary.AppendUvarint([]byte{c.method}, uint64(len(c.out)))
+	head := binary.AppendUvarint([]byte{c.method}, uint64(len(c.outgoing)))
 	if _, err := w.Write(head); err != nil {
 		return err
 	}
-	_, err := w.Write(c.out)
-	c.out = nil
+	_, err := w.Write(c.outgoing)
+	c.outgoing = nil
 	return err
 }
 
-// ReadObject reads and handles notifications until the connection ends. None is passed up
-// to the library: that would have to parse, as JSON, an envelope that says no more than
-// the method, which was a tenth of what a process did under load.
+// ReadObject reads and handles notifications until the connection ends. It passes none to
+// the library, which would have to parse, as JSON, an envelope that holds nothing but the
+// method; that was a tenth of a process's work under load.
 func (c *codec) ReadObject(r *bufio.Reader, _ any) error {
 	for {
 		method, err := r.ReadByte()
@@ -91,12 +92,12 @@
 			return err
 		}
 		if int(method) >= len(methods) {
-			return errMethod
+			return errUnknownMethod
 		}
-		if c.in, err = readContent(r); err != nil {
+		if c.incoming, err = readContent(r); err != nil {
 			return err
 		}
-		c.take(methods[method])
+		c.onNotification(methods[method])
 	}
 }
 
@@ -105,8 +106,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if n > maxFrame {
-		return nil, errFrame
+	if n > maxContentBytes {
+		return nil, errTooLarge
 	}
 	b := make([]byte, n)
 	_, err = io.ReadFull(r, b)
--- a/mesh/member.go
+++ b/mesh/member.go
@@ -1,16 +1,15 @@
-// Package mesh connects the processes of a cell: each with each, by one
-// connection that carries JSON-RPC notifications both ways.
+// Package mesh connects each process of a cell with each other one, by one connection
+// that carries JSON-RPC notifications both ways.
 //
-// A connection is a session. While it lasts, what one side sends arrives once
-// and in order; when it ends, both sides are told, and neither knows which of
-// the last messages arrived. Whoever needs to know asks again in the next
-// session. Heartbeats fill the silence, so that a frozen process, a machine
-// without power and a connection that went dead without a reset are all seen
-// after the same time: soon where one side watches the other, after seconds where
-// nothing hangs on it.
+// A connection is a session. While it lasts, messages arrive once and in order; when it
+// ends, both sides get an event, and neither knows which of the last messages arrived. A
+// process that needs to know asks again in the next session. Heartbeats are sent when
+// there is nothing else to send, so that a suspended process, a machine without power and
+// a connection that died without a reset are all detected after the same time: soon if
+// one side watches the other, else after seconds.
 //
-// Limits: an idle session costs little, but each process has one with each other
-// one, so this is for some hundreds of processes.
+// Limits: an idle session costs little, but each process has one with each other process,
+// so a mesh is meant for some hundreds of processes.
 package mesh
 
 import (
@@ -26,14 +25,14 @@
 	"snipehub.example/catalog"
 )
 
-// ID names one life of one process: its address in the mesh and a number that
+// ID identifies one incarnation of a process: its address in the mesh and a number that
 // is new at each start.
 type ID struct {
 	Address netip.AddrPort
 	Boot    uint64
 }
 
-// String writes the id as address/boot; nobody's is empty.
+// String formats the ID as address/boot; the zero ID is empty.
 func (i ID) String() string {
 	if i == (ID{}) {
 		return ""
@@ -41,10 +40,10 @@
 	return fmt.Sprintf("%s/%x", i.Address, i.Boot)
 }
 
-// MarshalText writes the id for messages.
+// MarshalText implements encoding.TextMarshaler with the format of String.
 func (i ID) MarshalText() ([]byte, error) { return []byte(i.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses the format that MarshalText writes.
 func (i *ID) UnmarshalText(b []byte) error {
 	if len(b) == 0 {
 		*i = ID{}
@@ -64,8 +63,8 @@
 	return nil
 }
 
-// MarshalBinary writes the id for messages between processes: the boot number, then the
-// address; nobody's is empty.
+// MarshalBinary encodes the ID for messages between processes: the boot number, then the
+// address. The zero ID is empty.
 func (i ID) MarshalBinary() ([]byte, error) {
 	if i == (ID{}) {
 		return nil, nil
@@ -73,7 +72,7 @@
 	return i.Address.AppendBinary(binary.BigEndian.AppendUint64(nil, i.Boot))
 }
 
-// UnmarshalBinary reads what MarshalBinary wrote.
+// UnmarshalBinary parses the format that MarshalBinary writes.
 func (i *ID) UnmarshalBinary(b []byte) error {
 	*i = ID{}
 	if len(b) == 0 {
@@ -89,31 +88,31 @@
 	return nil
 }
 
-// bootBytes is the length of a boot number in messages.
+// bootBytes is the length of the boot number in the binary format.
 const bootBytes = 8
 
-// Compare orders ids by address and boot number.
+// Compare orders IDs by address and boot number.
 func (i ID) Compare(o ID) int {
 	return cmp.Or(i.Address.Compare(o.Address), cmp.Compare(i.Boot, o.Boot))
 }
 
-// Member is what a process says of itself.
+// Member is the state that a process advertises to the others.
 type Member struct {
 	ID         ID     `json:"id" cbor:"1,keyasint,omitzero"`
 	VM         string `json:"vm" cbor:"2,keyasint,omitzero"`
 	DataCenter string `json:"dc" cbor:"3,keyasint,omitzero"`
 	// Share is the size of the VM, in cores.
 	Share float64 `json:"share" cbor:"4,keyasint,omitzero"`
-	// Number is unique among all lives of all processes and higher for those
-	// that joined later; 0 until the store has given one.
+	// Number is unique among all incarnations of all processes and higher for those that
+	// joined later; 0 until the store has assigned one.
 	Number uint64 `json:"number" cbor:"5,keyasint,omitzero"`
-	// Leaving tells that it takes no new duties and is about to end.
+	// Leaving is set if the process accepts no new assignments and is about to stop.
 	Leaving bool `json:"leaving,omitempty" cbor:"6,keyasint,omitzero"`
-	// Blind tells that it does not reach the platform's store.
+	// Blind is set if the process can't reach the platform's store.
 	Blind bool `json:"blind,omitempty" cbor:"7,keyasint,omitzero"`
-	// Plans counts how often it has begun to plan for the cell. It was told nothing
-	// of what was sent to it before it last began.
+	// Plans counts how often the process has become the planner of the cell. It has
+	// nothing that was sent to it before the last time.
 	Plans uint64 `json:"plans,omitempty" cbor:"8,keyasint,omitzero"`
-	// Catalog is the version of the routes and pools in force there.
+	// Catalog is the version of the routes and pools that are in force on the process.
 	Catalog catalog.Version `json:"catalog" cbor:"9,keyasint,omitzero"`
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -19,191 +19,196 @@
 )
 
 const (
-	// BeatEvery is the longest silence of a process on a session that either side
-	// watches.
-	BeatEvery = 200 * time.Millisecond
-	// DownAfter is the silence after which a watched session is given up: three lost
-	// heartbeats. It bounds how long a frozen process holds up others, and must
-	// leave time to stop its runs before a caller's repetition can start them
-	// again somewhere else.
+	// HeartbeatInterval is the longest time that a process sends nothing on a session
+	// that either side watches.
+	HeartbeatInterval = 200 * time.Millisecond
+	// DownAfter is the silence after which a watched session ends: three lost heartbeats.
+	// It bounds how long a suspended process delays others, and must leave time to stop
+	// its runs before a retry of the caller can start them again on another process.
 	DownAfter = 650 * time.Millisecond
-	// QuietAfter is the silence of a watched member that is told: a heartbeat is late.
+	// QuietAfter is the silence after which the heartbeat of a watched member is reported
+	// as overdue.
 	QuietAfter = 250 * time.Millisecond
-	// IdleBeatEvery and IdleDownAfter are the same for a session that nobody watches.
-	// Most sessions of a large cell are such, and their heartbeats were most of what a
-	// process with a hundred members did.
-	IdleBeatEvery = 2 * time.Second
-	IdleDownAfter = 6500 * time.Millisecond
-	// greetFor bounds the greeting on a new connection. On a small VM that meets a
-	// hundred members at once it takes far longer than a heartbeat.
-	greetFor = 2 * time.Second
-	// crossFor is how close together two sessions with a member begin if both sides
-	// have dialled at once.
-	crossFor = time.Second
-	// dialTimeout bounds the opening of a connection: some hundred round trips
-	// between data centres.
+	// IdleHeartbeatInterval and IdleDownAfter correspond to HeartbeatInterval and
+	// DownAfter for sessions that neither side watches. These are most sessions of a
+	// large cell, and their heartbeats were most of the work of a process with a hundred
+	// members.
+	IdleHeartbeatInterval = 2 * time.Second
+	IdleDownAfter         = 6500 * time.Millisecond
+	// greetingTimeout bounds the greeting on a new connection. On a small VM that
+	// connects to a hundred members at once it takes far longer than a heartbeat.
+	greetingTimeout = 2 * time.Second
+	// simultaneousDialWindow is the time between two sessions with the same member within
+	// which both sides are taken to have dialled at once.
+	simultaneousDialWindow = time.Second
+	// dialTimeout bounds the opening of a connection: some hundred round trips between
+	// data centres.
 	dialTimeout = 300 * time.Millisecond
-	// ring bounds the messages that wait to be written to one member. A busy
+	// maxQueuedMessages bounds the messages that wait to be written to one member. A busy
 	// process sends some thousand a second.
-	ring = 8192
-	// lowFirst is how long the process with the higher address leaves it to
-	// the other one to connect, so that two don't open two connections at once
-	// and close each other's. The other one may be in a pause between two
-	// attempts, and a process that has just started knows the planner only when
-	// it has met it, so it is short: some round trips.
-	lowFirst = 60 * time.Millisecond
-	// redialLeast and redialMost bound the pause between two attempts.
-	redialLeast = 100 * time.Millisecond
-	redialMost  = time.Second
-	// forgetAfter is how long an address is tried that nobody names any more.
-	forgetAfter = 30 * time.Second
+	maxQueuedMessages = 8192
+	// higherAddressDialDelay is how long the process with the higher address waits for
+	// the other one to dial, so that the two don't open two connections at once and close
+	// each other's. It is some round trips, and no longer, because the other process may
+	// be in its redial backoff, and a process that has just started knows the planner
+	// only once they are connected.
+	higherAddressDialDelay = 60 * time.Millisecond
+	// minRedialBackoff and maxRedialBackoff bound the backoff between two dials of an
+	// address.
+	minRedialBackoff = 100 * time.Millisecond
+	maxRedialBackoff = time.Second
+	// addressRetention is how long an address without a session is dialled after it was
+	// last learned.
+	addressRetention = 30 * time.Second
 )
 
-// Kind tells what an event is about.
+// Kind is the kind of an event.
 type Kind int
 
 // The kinds of event.
 const (
 	// Up: a session with the member has begun.
 	Up Kind = iota + 1
-	// Down: the session is over.
+	// Down: the session has ended.
 	Down
-	// Changed: the member says something new of itself.
+	// Changed: the member advertises a new state.
 	Changed
 	// Mail: messages of the member have arrived.
 	Mail
-	// Quiet: a watched member is late with its heartbeat.
+	// Quiet: the heartbeat of a watched member is overdue.
 	Quiet
-	// Back: a member that was quiet has shown itself.
+	// Back: a member whose heartbeat was overdue has sent something.
 	Back
 )
 
-// Event is what the mesh tells its owner.
+// Event is what the mesh reports to the process.
 type Event[M any] struct {
 	Kind   Kind
 	Member Member
-	// Session numbers the sessions of this process. Messages of a session that
-	// is over must be ignored.
+	// Session numbers the sessions of this process. Messages of a session that has ended
+	// must be ignored.
 	Session uint64
 	Mail    []M
-	// Heard is, with Quiet and Down, when the member was last heard.
+	// Heard is when the member was last heard from; set with Quiet and Down.
 	Heard time.Time
-	// Why is, with Down, the cause.
+	// Why is the reason of the end of the session; set with Down.
 	Why string
 }
 
-// hello is what both sides say first.
+// hello is the greeting, the first notification of both sides.
 type hello struct {
 	From Member `cbor:"1,keyasint,omitzero"`
-	// Known are addresses at which there are or were members.
+	// Known lists addresses at which there are or were members.
 	Known []netip.AddrPort `cbor:"2,keyasint,omitzero"`
 }
 
-// batch is what a notification carries. From is set when something of it has
-// changed, Watch while the sender watches the receiver.
+// batch is the content of a notification with messages. From is set if the sender's
+// advertised state has changed, Watch while the sender watches the receiver.
 type batch[M any] struct {
 	From  *Member `cbor:"1,keyasint,omitzero"`
 	Mail  []M     `cbor:"2,keyasint,omitzero"`
 	Watch bool    `cbor:"3,keyasint,omitzero"`
 }
 
-// Mesh is the sessions of one process. It may be used from any goroutine.
+// Mesh holds the sessions of one process. It is safe for concurrent use.
 type Mesh[M any] struct {
-	log     *slog.Logger
-	ln      net.Listener
-	open    peer.Dial
-	deliver func(Event[M])
+	log      *slog.Logger
+	ln       net.Listener
+	dialPeer peer.Dial
+	deliver  func(Event[M])
 
 	mu   sync.Mutex
 	self Member
-	// edition counts what this process has said of itself.
-	edition  uint64
+	// revision counts the changes of self, the state that this process advertises.
+	revision uint64
 	sessions map[netip.AddrPort]*session[M]
-	// watch are the members whose silence must be noticed soon.
-	watch map[ID]struct{}
-	known map[netip.AddrPort]*address
-	last  uint64
-	// changed tells that an address was learned or a session has ended.
-	changed chan struct{}
-	wg      sync.WaitGroup
+	// watch holds the members whose silence must be noticed soon.
+	watch       map[ID]struct{}
+	addresses   map[netip.AddrPort]*address
+	lastSession uint64
+	// dialWake wakes dialLoop when an address was learned or a session has ended.
+	dialWake chan struct{}
+	wg       sync.WaitGroup
 }
 
-// address is a place to look for a member at.
+// address is the dialling state of an address at which there may be a member.
 type address struct {
-	// named is when it was last named; due when it may be tried again.
-	named, due time.Time
-	pause      time.Duration
-	dialing    bool
+	// lastNamed is when the address was last learned or its session ended, nextDial when
+	// it may be dialled again.
+	lastNamed, nextDial time.Time
+	backoff             time.Duration
+	dialing             bool
 }
 
-// New makes a mesh that serves on the listener. It tells deliver what happens;
-// deliver may block, which slows down the sender on the other side.
-func New[M any](log *slog.Logger, self Member, ln net.Listener, open peer.Dial, deliver func(Event[M])) *Mesh[M] {
+// New returns a Mesh that accepts connections on the listener once Serve is called. It
+// calls deliver with each event; while deliver blocks, the sender on the other side is
+// slowed down.
+func New[M any](log *slog.Logger, self Member, ln net.Listener, dialPeer peer.Dial, deliver func(Event[M])) *Mesh[M] {
 	return &Mesh[M]{
-		log:      log,
-		ln:       ln,
-		open:     open,
-		deliver:  deliver,
-		self:     self,
-		sessions: make(map[netip.AddrPort]*session[M]),
-		watch:    make(map[ID]struct{}),
-		known:    make(map[netip.AddrPort]*address),
-		changed:  make(chan struct{}, 1),
+		log:       log,
+		ln:        ln,
+		dialPeer:  dialPeer,
+		deliver:   deliver,
+		self:      self,
+		sessions:  make(map[netip.AddrPort]*session[M]),
+		watch:     make(map[ID]struct{}),
+		addresses: make(map[netip.AddrPort]*address),
+		dialWake:  make(chan struct{}, 1),
 	}
 }
 
-// Say sets what this process says of itself; the members learn it with the next
+// Say sets the state that this process advertises; the members receive it with the next
 // message.
 func (m *Mesh[M]) Say(self Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self = self
-	m.edition++
+	m.revision++
 	for _, s := range m.sessions {
-		s.poke()
+		s.wakeWriter()
 	}
 }
 
-// Learn names addresses at which there may be members.
+// Learn adds addresses at which there may be members.
 func (m *Mesh[M]) Learn(addrs ...netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	for _, a := range addrs {
-		m.learn(now, a)
+		m.addAddress(now, a)
 	}
 }
 
-func (m *Mesh[M]) learn(now time.Time, a netip.AddrPort) {
+func (m *Mesh[M]) addAddress(now time.Time, a netip.AddrPort) {
 	if a == m.self.ID.Address || !a.IsValid() {
 		return
 	}
-	if k, ok := m.known[a]; ok {
-		k.named = now
+	if k, ok := m.addresses[a]; ok {
+		k.lastNamed = now
 		return
 	}
-	k := &address{named: now, due: now, pause: redialLeast}
+	k := &address{lastNamed: now, nextDial: now, backoff: minRedialBackoff}
 	if m.self.ID.Address.Compare(a) > 0 {
-		k.due = now.Add(lowFirst)
+		k.nextDial = now.Add(higherAddressDialDelay)
 	}
-	m.known[a] = k
-	m.seekAgain()
+	m.addresses[a] = k
+	m.wakeDialer()
 }
 
-// Send puts messages on the session with a member. Messages to a member without
-// a session are dropped: its end has been told, or will be.
-func (m *Mesh[M]) Send(to ID, mail ...M) {
+// Send queues messages on the session with a member. Messages to a member without a
+// session are dropped: Down has been delivered for that session, or will be.
+func (m *Mesh[M]) Send(to ID, messages ...M) {
 	m.mu.Lock()
 	s := m.sessions[to.Address]
 	m.mu.Unlock()
 	if s != nil && s.id == to {
-		s.send(mail)
+		s.send(messages)
 	}
 }
 
-// Watch begins or ends the watch over a member: its silence is noticed after DownAfter,
-// counted from now at the earliest, in place of IdleDownAfter. The other side needs no
-// watch of its own for that.
+// Watch starts or stops watching a member: its silence ends the session after DownAfter,
+// counted from now at the earliest, instead of IdleDownAfter. The other side need not
+// watch this one for that.
 func (m *Mesh[M]) Watch(id ID, on bool) {
 	m.mu.Lock()
 	if on {
@@ -218,13 +223,13 @@
 	}
 }
 
-// Serve accepts and opens connections until ctx ends.
+// Serve accepts and dials connections until ctx ends.
 func (m *Mesh[M]) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer m.wg.Wait()
 	defer cancel()
 	context.AfterFunc(ctx, func() { _ = m.ln.Close() })
-	m.wg.Go(func() { m.seek(ctx) })
+	m.wg.Go(func() { m.dialLoop(ctx) })
 	for {
 		c, err := m.ln.Accept()
 		if ctx.Err() != nil {
@@ -233,26 +238,26 @@
 		if err != nil {
 			return errors.Wrap(err, "mesh: accept")
 		}
-		m.connect(ctx, c, false)
+		m.startSession(ctx, c, false)
 	}
 }
 
-// seekMost is the longest pause between two looks at which addresses are due.
-const seekMost = time.Second
+// maxDialCheckInterval is the longest time between two checks for addresses that are due.
+const maxDialCheckInterval = time.Second
 
-// seek tries the addresses without a session. The address with the lower number
-// dials at once, the other one only if nobody came.
-func (m *Mesh[M]) seek(ctx context.Context) {
+// dialLoop dials the addresses without a session. The process with the lower address
+// dials at once, the other one only if no connection has come in by then.
+func (m *Mesh[M]) dialLoop(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.changed:
+		case <-m.dialWake:
 		case <-t.C:
 		}
-		out, next := m.due(time.Now())
+		out, next := m.dueAddresses(time.Now())
 		for _, a := range out {
 			m.wg.Go(func() { m.dial(ctx, a) })
 		}
@@ -260,18 +265,19 @@
 	}
 }
 
-// due returns the addresses to try now, and when the next one is due.
-func (m *Mesh[M]) due(now time.Time) (out []netip.AddrPort, next time.Duration) {
+// dueAddresses returns the addresses to dial now, and how long until the next one is due.
+// It drops addresses past their retention.
+func (m *Mesh[M]) dueAddresses(now time.Time) (out []netip.AddrPort, next time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next = seekMost
-	for a, k := range m.known {
+	next = maxDialCheckInterval
+	for a, k := range m.addresses {
 		switch {
 		case k.dialing || m.sessions[a] != nil:
-		case now.Before(k.due):
-			next = min(next, k.due.Sub(now))
-		case now.Sub(k.named) > forgetAfter:
-			delete(m.known, a)
+		case now.Before(k.nextDial):
+			next = min(next, k.nextDial.Sub(now))
+		case now.Sub(k.lastNamed) > addressRetention:
+			delete(m.addresses, a)
 		default:
 			k.dialing = true
 			out = append(out, a)
@@ -280,83 +286,84 @@
 	return out, next
 }
 
-// seekAgain has addresses that have become due noticed.
-func (m *Mesh[M]) seekAgain() {
+// wakeDialer makes dialLoop check for addresses that are due.
+func (m *Mesh[M]) wakeDialer() {
 	select {
-	case m.changed <- struct{}{}:
+	case m.dialWake <- struct{}{}:
 	default:
 	}
 }
 
-// dial tries an address until a session has begun there or the try has failed. Another try
-// before that would replace the connection that is about to become a session.
+// dial dials an address and waits until a session has begun there or has failed. Another
+// dial before that would replace the connection whose greeting is under way.
 func (m *Mesh[M]) dial(ctx context.Context, a netip.AddrPort) {
 	bounded, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	c, err := m.open(bounded, "tcp", a.String())
+	c, err := m.dialPeer(bounded, "tcp", a.String())
 	if err == nil {
-		s := m.connect(ctx, c, true)
+		s := m.startSession(ctx, c, true)
 		select {
-		case <-s.met:
+		case <-s.greeted:
 		case <-s.done:
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if k := m.known[a]; k != nil {
+	if k := m.addresses[a]; k != nil {
 		k.dialing = false
-		k.due = time.Now().Add(k.pause/2 + rand.N(k.pause))
-		k.pause = min(2*k.pause, redialMost)
+		k.nextDial = time.Now().Add(k.backoff/2 + rand.N(k.backoff))
+		k.backoff = min(2*k.backoff, maxRedialBackoff)
 	}
-	m.seekAgain()
+	m.wakeDialer()
 }
 
-// connect begins a session on a new connection, on which both sides greet.
-func (m *Mesh[M]) connect(ctx context.Context, c net.Conn, dialed bool) *session[M] {
+// startSession starts a session on a new connection, on which both sides send their
+// greeting.
+func (m *Mesh[M]) startSession(ctx context.Context, c net.Conn, dialed bool) *session[M] {
 	m.mu.Lock()
-	m.last++
+	m.lastSession++
 	s := &session[M]{
-		mesh:   m,
-		number: m.last,
-		dialed: dialed,
-		heard:  time.Now(),
-		wake:   make(chan struct{}, 1),
-		met:    make(chan struct{}),
-		done:   make(chan struct{}),
+		mesh:      m,
+		number:    m.lastSession,
+		dialed:    dialed,
+		lastHeard: time.Now(),
+		wake:      make(chan struct{}, 1),
+		greeted:   make(chan struct{}),
+		done:      make(chan struct{}),
 	}
 	m.mu.Unlock()
-	s.codec.take = s.handle
+	s.codec.onNotification = s.handle
 	stream := jsonrpc2.NewBufferedStream(peer.Patient(c, DownAfter), &s.codec)
-	s.conn = jsonrpc2.NewConn(ctx, stream, unused{}, jsonrpc2.SetLogger(quiet))
+	s.conn = jsonrpc2.NewConn(ctx, stream, unused{}, jsonrpc2.SetLogger(discardLogger))
 	m.wg.Go(func() { s.run(ctx) })
 	return s
 }
 
-// quiet takes what the library logs by itself: that a connection has ended, which
-// the end of the session tells as well.
-var quiet = log.New(io.Discard, "", 0)
+// discardLogger discards what the library logs itself: only that a connection has ended,
+// which the end of the session reports as well.
+var discardLogger = log.New(io.Discard, "", 0)
 
-// begin makes a session the one with its member, and tells whether it is. An older session
-// with the same address is over: whoever connects anew has none in its own eyes, unless
-// both have connected at once.
-func (m *Mesh[M]) begin(s *session[M], h hello) bool {
+// registerSession makes s the session with its member, and reports whether it did. It
+// ends an older session with the same address: a process that connects again has none as
+// far as it knows, unless both sides have dialled at once.
+func (m *Mesh[M]) registerSession(s *session[M], h hello) bool {
 	m.mu.Lock()
 	now := time.Now()
 	a := h.From.ID.Address
 	old := m.sessions[a]
-	if old != nil && m.crossed(now, old, s, h.From.ID) {
+	if old != nil && m.losesSimultaneousDial(now, old, s, h.From.ID) {
 		m.mu.Unlock()
 		return false
 	}
-	s.began = now
+	s.registeredAt = now
 	m.sessions[a] = s
 	_, watch := m.watch[h.From.ID]
-	m.learn(now, a)
-	if k := m.known[a]; k != nil {
-		k.pause = redialLeast
+	m.addAddress(now, a)
+	if k := m.addresses[a]; k != nil {
+		k.backoff = minRedialBackoff
 	}
 	for _, a := range h.Known {
-		m.learn(now, a)
+		m.addAddress(now, a)
 	}
 	m.mu.Unlock()
 	if old != nil {
@@ -367,19 +374,20 @@
 	return true
 }
 
-// crossed tells whether a new session gives way to one that began just before: both sides
-// have dialled at once, and both keep the connection that the lower address has opened.
-// Would each keep the one that it saw last, both could be closed, and the next two too.
-func (m *Mesh[M]) crossed(now time.Time, old, s *session[M], id ID) bool {
-	if old.id != id || old.dialed == s.dialed || now.Sub(old.began) > crossFor {
+// losesSimultaneousDial reports whether a new session gives way to one that was
+// registered just before, because both sides have dialled at once. Both sides keep the
+// connection that the lower address has opened. If each kept the one that it saw last,
+// both could be closed, and so could the next two.
+func (m *Mesh[M]) losesSimultaneousDial(now time.Time, old, s *session[M], id ID) bool {
+	if old.id != id || old.dialed == s.dialed || now.Sub(old.registeredAt) > simultaneousDialWindow {
 		return false
 	}
 	lower := m.self.ID.Address.Compare(id.Address) < 0
 	return old.dialed == lower
 }
 
-// forget removes a session that is over.
-func (m *Mesh[M]) forget(s *session[M]) {
+// removeSession removes a session that has ended.
+func (m *Mesh[M]) removeSession(s *session[M]) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a := s.id.Address
@@ -387,31 +395,31 @@
 		return
 	}
 	delete(m.sessions, a)
-	if k := m.known[a]; k != nil {
-		k.named = time.Now()
-		k.due = k.named
+	if k := m.addresses[a]; k != nil {
+		k.lastNamed = time.Now()
+		k.nextDial = k.lastNamed
 		if m.self.ID.Address.Compare(a) > 0 {
-			k.due = k.named.Add(lowFirst)
+			k.nextDial = k.lastNamed.Add(higherAddressDialDelay)
 		}
 	}
-	m.seekAgain()
+	m.wakeDialer()
 }
 
-// hello returns the greeting, and the edition of what it says of this process.
-func (m *Mesh[M]) hello() (h hello, edition uint64) {
+// hello returns the greeting, and the revision of the state in it.
+func (m *Mesh[M]) hello() (h hello, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h.From = m.self
-	for a := range m.known {
+	for a := range m.addresses {
 		h.Known = append(h.Known, a)
 	}
 	slices.SortFunc(h.Known, netip.AddrPort.Compare)
-	return h, m.edition
+	return h, m.revision
 }
 
-// me returns what this process says of itself, and its edition.
-func (m *Mesh[M]) me() (Member, uint64) {
+// localMember returns the state that this process advertises, and its revision.
+func (m *Mesh[M]) localMember() (Member, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.self, m.edition
+	return m.self, m.revision
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -15,7 +15,8 @@
 	"snipehub.example/internal/memnet"
 )
 
-// process is a mesh on a host of a network in memory, and what it has told.
+// process is a mesh on a host of an in-memory network, and the events that it has
+// delivered.
 type process struct {
 	mesh   *Mesh[string]
 	host   *memnet.Host
@@ -27,7 +28,7 @@
 	events []Event[string]
 }
 
-func start(t *testing.T, n *memnet.Net, ip string, boot uint64) *process {
+func startProcess(t *testing.T, n *memnet.Net, ip string, boot uint64) *process {
 	t.Helper()
 	p := &process{host: n.Host(ip), done: make(chan struct{})}
 	addr := netip.MustParseAddrPort(ip + ":7000")
@@ -61,7 +62,7 @@
 	return out
 }
 
-func (p *process) mail() (out []string) {
+func (p *process) messages() (out []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.events {
@@ -76,11 +77,11 @@
 	p.events = nil
 }
 
-// two runs a test with two processes that have met.
-func two(t *testing.T, test func(t *testing.T, n *memnet.Net, a, b *process)) {
+// withTwoMembers runs a test with two processes that are connected.
+func withTwoMembers(t *testing.T, test func(t *testing.T, n *memnet.Net, a, b *process)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
-		a, b := start(t, n, "127.0.0.1", 1), start(t, n, "127.0.0.2", 2)
+		a, b := startProcess(t, n, "127.0.0.1", 1), startProcess(t, n, "127.0.0.2", 2)
 		b.mesh.Learn(a.member.ID.Address)
 		time.Sleep(time.Second)
 		test(t, n, a, b)
@@ -96,22 +97,22 @@
 func wantKinds(t *testing.T, name string, got, want []Kind) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("%s was told %v, want %v", name, got, want)
+		t.Errorf("%s got events %v, want %v", name, got, want)
 	}
 }
 
 func TestMembersMeet(t *testing.T) {
-	two(t, func(t *testing.T, _ *memnet.Net, a, b *process) {
+	withTwoMembers(t, func(t *testing.T, _ *memnet.Net, a, b *process) {
 		wantKinds(t, "a", a.kinds(), []Kind{Up})
 		wantKinds(t, "b", b.kinds(), []Kind{Up})
 		a.mesh.Send(b.member.ID, "1", "2")
 		a.mesh.Send(b.member.ID, "3")
 		b.mesh.Send(a.member.ID, "4")
 		time.Sleep(100 * time.Millisecond)
-		if got := b.mail(); !slices.Equal(got, []string{"1", "2", "3"}) {
+		if got := b.messages(); !slices.Equal(got, []string{"1", "2", "3"}) {
 			t.Errorf("b got %v", got)
 		}
-		if got := a.mail(); !slices.Equal(got, []string{"4"}) {
+		if got := a.messages(); !slices.Equal(got, []string{"4"}) {
 			t.Errorf("a got %v", got)
 		}
 		time.Sleep(time.Minute)
@@ -119,10 +120,10 @@
 	})
 }
 
-// A third process knows one member and learns the other from it.
+// A third process knows the address of one member and learns that of the other from it.
 func TestMembersAreFoundThroughOthers(t *testing.T) {
-	two(t, func(t *testing.T, n *memnet.Net, a, b *process) {
-		c := start(t, n, "127.0.0.3", 3)
+	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
+		c := startProcess(t, n, "127.0.0.3", 3)
 		c.mesh.Learn(a.member.ID.Address, c.member.ID.Address)
 		time.Sleep(2 * time.Second)
 		wantKinds(t, "c", c.kinds(), []Kind{Up, Up})
@@ -132,8 +133,8 @@
 	})
 }
 
-func TestMemberSaysSomethingNew(t *testing.T) {
-	two(t, func(t *testing.T, _ *memnet.Net, a, b *process) {
+func TestMemberStateChange(t *testing.T) {
+	withTwoMembers(t, func(t *testing.T, _ *memnet.Net, a, b *process) {
 		m := a.member
 		m.Leaving = true
 		a.mesh.Say(m)
@@ -142,9 +143,9 @@
 	})
 }
 
-// What ends a session: a partition, a frozen machine, a connection that goes dead
-// without a reset, a process that stops. Both sides must be told after a bounded time,
-// or a caller waits for a process that is not there; and they find each other again.
+// A session ends by a partition, a frozen link, or a connection that dies without a
+// reset. Both sides must get Down within a bounded time, or a caller waits for a process
+// that is gone; and they must connect again.
 func TestSessionsEndAndBeginAgain(t *testing.T) {
 	a, b := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
 	tests := []struct {
@@ -171,30 +172,30 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			two(t, func(t *testing.T, n *memnet.Net, a, b *process) {
+			withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 				a.mesh.Watch(b.member.ID, true)
 				b.mesh.Watch(a.member.ID, true)
-				time.Sleep(BeatEvery)
+				time.Sleep(HeartbeatInterval)
 				tt.begin(n)
 				a.mesh.Send(b.member.ID, "lost")
-				time.Sleep(DownAfter + BeatEvery + 50*time.Millisecond)
+				time.Sleep(DownAfter + HeartbeatInterval + 50*time.Millisecond)
 				for _, p := range []*process{a, b} {
 					k := slices.DeleteFunc(p.kinds(), func(k Kind) bool { return k == Quiet })
 					if len(k) < 2 || k[1] != Down {
-						t.Errorf("%s was told %v, want the end of the session", p.member.VM, k)
+						t.Errorf("%s got events %v, want the end of the session", p.member.VM, k)
 					}
 				}
 				tt.end(n)
 				time.Sleep(5 * time.Second)
 				for _, p := range []*process{a, b} {
 					if k := p.kinds(); k[len(k)-1] != Up {
-						t.Errorf("%s was told %v, want a new session", p.member.VM, k)
+						t.Errorf("%s got events %v, want a new session", p.member.VM, k)
 					}
 				}
 				b.clear()
 				a.mesh.Send(b.member.ID, "again")
 				time.Sleep(50 * time.Millisecond)
-				if got := b.mail(); !slices.Equal(got, []string{"again"}) {
+				if got := b.messages(); !slices.Equal(got, []string{"again"}) {
 					t.Errorf("b got %v in the new session", got)
 				}
 			})
@@ -202,48 +203,50 @@
 	}
 }
 
-// A run is given to a member that nobody has watched so far, and which is gone. Its silence
-// must be noticed as soon as that of a member watched all the time; where nothing hangs on
-// it, it may take seconds, but is noticed too.
+// A run is given to a member that was not watched so far, and which is gone. Its silence
+// must be noticed as soon as that of a member that was always watched. Without a watch it
+// may take seconds.
 func TestSilenceOfMembers(t *testing.T) {
 	tests := []struct {
 		name string
-		// watch is when the watch begins after the cut, never if negative.
-		watch  time.Duration
-		within time.Duration
-		before time.Duration
+		// watchAfter is the time from the cut to the start of the watch; negative means
+		// never.
+		watchAfter time.Duration
+		latest     time.Duration
+		earliest   time.Duration
 	}{
-		{"watched before", 0, DownAfter + BeatEvery, DownAfter},
-		{"watched from later on", time.Second, time.Second + DownAfter + BeatEvery, time.Second + DownAfter},
-		{"never watched", -1, IdleDownAfter + IdleBeatEvery, DownAfter + BeatEvery},
+		{"watched before", 0, DownAfter + HeartbeatInterval, DownAfter},
+		{"watched from later on", time.Second, time.Second + DownAfter + HeartbeatInterval, time.Second + DownAfter},
+		{"never watched", -1, IdleDownAfter + IdleHeartbeatInterval, DownAfter + HeartbeatInterval},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			two(t, func(t *testing.T, n *memnet.Net, a, b *process) {
+			withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 				n.SetCut(a.member.ID.Address.Addr(), b.member.ID.Address.Addr(), true)
 				n.SetCut(b.member.ID.Address.Addr(), a.member.ID.Address.Addr(), true)
 				begun := time.Now()
-				if tt.watch >= 0 {
-					time.Sleep(tt.watch)
+				if tt.watchAfter >= 0 {
+					time.Sleep(tt.watchAfter)
 					a.mesh.Watch(b.member.ID, true)
 				}
-				time.Sleep(time.Until(begun.Add(tt.before - 20*time.Millisecond)))
+				time.Sleep(time.Until(begun.Add(tt.earliest - 20*time.Millisecond)))
 				if k := a.kinds(); slices.Contains(k, Down) {
-					t.Errorf("was told %v too early", k)
+					t.Errorf("got events %v, want no end of the session yet", k)
 				}
-				time.Sleep(time.Until(begun.Add(tt.within + 20*time.Millisecond)))
+				time.Sleep(time.Until(begun.Add(tt.latest + 20*time.Millisecond)))
 				if k := a.kinds(); !slices.Contains(k, Down) {
-					t.Errorf("was told %v, want the end of the session", k)
+					t.Errorf("got events %v, want the end of the session", k)
 				}
 			})
 		})
 	}
 }
 
-// A member that is watched by one side only beats for that side, also when a message or a
-// pause has come in between; else it would be taken for lost while it lives.
+// Only one side watches the other. The watched side must send frequent heartbeats to it
+// even after a message or an interruption of the watch, or it would be taken for lost
+// while it lives.
 func TestWatchedMemberShowsItself(t *testing.T) {
-	two(t, func(t *testing.T, _ *memnet.Net, a, b *process) {
+	withTwoMembers(t, func(t *testing.T, _ *memnet.Net, a, b *process) {
 		for range 20 {
 			a.mesh.Watch(b.member.ID, true)
 			time.Sleep(1300 * time.Millisecond)
@@ -256,10 +259,10 @@
 	})
 }
 
-// The heartbeat of a watched member is late: who must prepare for its loss is told before
-// the member is given up, once for each silence.
+// The heartbeat of a watched member is overdue. Quiet must be delivered before Down, once
+// for each silence, so that others can prepare for the loss.
 func TestLateHeartbeatIsTold(t *testing.T) {
-	two(t, func(t *testing.T, n *memnet.Net, a, b *process) {
+	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 		a.mesh.Watch(b.member.ID, true)
 		time.Sleep(2 * time.Second)
 		n.SetCut(a.member.ID.Address.Addr(), b.member.ID.Address.Addr(), true)
@@ -271,46 +274,46 @@
 	})
 }
 
-// A heartbeat is late, and the member shows itself before it is given up: who has prepared
-// for its loss is told that, too.
-func TestMemberIsBack(t *testing.T) {
-	two(t, func(t *testing.T, n *memnet.Net, a, b *process) {
+// A member whose heartbeat was overdue sends something before the session ends. Back must
+// be delivered, so that preparations for its loss can be undone.
+func TestOverdueMemberRecovers(t *testing.T) {
+	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 		a.mesh.Watch(b.member.ID, true)
 		time.Sleep(2 * time.Second)
 		n.SetCut(b.member.ID.Address.Addr(), a.member.ID.Address.Addr(), true)
-		time.Sleep(QuietAfter + BeatEvery)
+		time.Sleep(QuietAfter + HeartbeatInterval)
 		n.SetCut(b.member.ID.Address.Addr(), a.member.ID.Address.Addr(), false)
 		time.Sleep(time.Second)
 		wantKinds(t, "a", a.kinds(), []Kind{Up, Quiet, Back})
 	})
 }
 
-// Two hundred idle members cost a process a beat each in two seconds, not five a second:
-// on a small VM the latter was half of its processor before the first job.
+// An idle session costs one heartbeat in two seconds. With two hundred idle members and
+// five heartbeats a second, half of a small VM's processor was used before the first job.
 func TestIdleSessionsBeatSeldom(t *testing.T) {
-	two(t, func(t *testing.T, n *memnet.Net, a, b *process) {
+	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 		before := n.Written(a.member.ID.Address.Addr())
 		time.Sleep(time.Minute)
 		const beatBytes = 2
-		if got, most := n.Written(a.member.ID.Address.Addr())-before, int64(time.Minute/IdleBeatEvery+1)*beatBytes; got > most {
+		if got, most := n.Written(a.member.ID.Address.Addr())-before, int64(time.Minute/IdleHeartbeatInterval+1)*beatBytes; got > most {
 			t.Errorf("wrote %d bytes in a minute, want %d at most", got, most)
 		}
 	})
 }
 
-// Both sides dial at once, as all do after a loss of power, and each connection arrives
-// first at the other side. Would each keep the one that it saw last, both could be closed,
-// and the members would go on losing each other.
+// Both sides dial at once, as all do after a power failure, and each connection arrives
+// first at the other side. If each kept the one that it saw last, both could be closed,
+// and the members would keep losing each other.
 func TestBothSidesDialAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := memnet.New(2 * lowFirst)
-		a, b := start(t, n, "127.0.0.1", 1), start(t, n, "127.0.0.2", 2)
+		n := memnet.New(2 * higherAddressDialDelay)
+		a, b := startProcess(t, n, "127.0.0.1", 1), startProcess(t, n, "127.0.0.2", 2)
 		a.mesh.Learn(b.member.ID.Address)
 		b.mesh.Learn(a.member.ID.Address)
 		time.Sleep(10 * time.Second)
 		for _, p := range []*process{a, b} {
 			if k := p.kinds(); len(k) > 3 || k[len(k)-1] != Up {
-				t.Errorf("%s was told %v, want a session that lasts", p.member.VM, k)
+				t.Errorf("%s got events %v, want a session that lasts", p.member.VM, k)
 			}
 		}
 		for _, p := range []*process{a, b} {
@@ -322,13 +325,13 @@
 	})
 }
 
-// A member accepts connections but takes a second to greet, since it greets a hundred
-// others as well. Connecting again meanwhile would throw the greeting under way aside, and
-// make it slower still.
+// A member accepts connections but does not greet for a second, since it greets a hundred
+// others as well. Dialling again meanwhile would discard the greeting under way and slow
+// the member down further.
 func TestGreetingUnderWayIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
-		a := start(t, n, "127.0.0.1", 1)
+		a := startProcess(t, n, "127.0.0.1", 1)
 		slow := n.Host("127.0.0.2")
 		ln, err := slow.Listen("tcp", "127.0.0.2:7000")
 		if err != nil {
@@ -346,7 +349,7 @@
 		a.mesh.Learn(netip.MustParseAddrPort("127.0.0.2:7000"))
 		time.Sleep(time.Second)
 		if got := accepted.Load(); got != 1 {
-			t.Errorf("connected %d times within a second, want once", got)
+			t.Errorf("dialled %d times within a second, want once", got)
 		}
 		a.cancel()
 		<-a.done
@@ -355,33 +358,33 @@
 	})
 }
 
-// A process is started again at its address. The other one is told the end of the one
-// before and the beginning of the new one, and nothing meant for the one before
-// reaches the new one.
+// A process restarts at its address. The other one must get Down for the old incarnation
+// and Up for the new one, and no message for the old one may reach the new one.
 func TestRestart(t *testing.T) {
-	two(t, func(t *testing.T, n *memnet.Net, a, b *process) {
+	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 		b.cancel()
 		<-b.done
 		time.Sleep(50 * time.Millisecond)
 		wantKinds(t, "a", a.kinds(), []Kind{Up, Down})
-		again := start(t, n, "127.0.0.2", 9)
-		again.mesh.Learn(a.member.ID.Address)
+		restarted := startProcess(t, n, "127.0.0.2", 9)
+		restarted.mesh.Learn(a.member.ID.Address)
 		time.Sleep(2 * time.Second)
 		wantKinds(t, "a", a.kinds(), []Kind{Up, Down, Up})
 		a.mesh.Send(b.member.ID, "for the one before")
-		a.mesh.Send(again.member.ID, "for the new one")
+		a.mesh.Send(restarted.member.ID, "for the new one")
 		time.Sleep(50 * time.Millisecond)
-		if got := again.mail(); !slices.Equal(got, []string{"for the new one"}) {
-			t.Errorf("the new process got %v", got)
+		if got := restarted.messages(); !slices.Equal(got, []string{"for the new one"}) {
+			t.Errorf("the new incarnation got %v", got)
 		}
-		again.cancel()
-		<-again.done
+		restarted.cancel()
+		<-restarted.done
 	})
 }
 
-// Somebody else connects to the port and sends nonsense, or nothing.
+// Some other program connects to the port and sends garbage, or nothing. The connection
+// must be closed without an effect on the members.
 func TestStrangers(t *testing.T) {
-	two(t, func(t *testing.T, n *memnet.Net, a, _ *process) {
+	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, _ *process) {
 		h := n.Host("127.0.0.9")
 		silent, err := h.DialContext(t.Context(), "tcp", a.member.ID.Address.String())
 		if err != nil {
@@ -399,7 +402,7 @@
 			for {
 				if _, err := c.Read(buf[:]); err != nil {
 					if e, ok := err.(net.Error); ok && e.Timeout() {
-						t.Error("the connection stays open")
+						t.Error("the connection was not closed")
 					}
 					break
 				}
@@ -417,40 +420,40 @@
 	}
 	var got ID
 	if err := got.UnmarshalText(b); err != nil || got != id {
-		t.Errorf("%s reads as %v, %v", b, got, err)
+		t.Errorf("%s was parsed as %v, %v", b, got, err)
 	}
 	if err := got.UnmarshalText(nil); err != nil || got != (ID{}) {
-		t.Errorf("nobody reads as %v, %v", got, err)
+		t.Errorf("the empty ID was parsed as %v, %v", got, err)
 	}
 	for _, bad := range []string{"10.1.0.13:8166", "x/1", "10.1.0.13:8166/zz"} {
 		if err := got.UnmarshalText([]byte(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was parsed without an error", bad)
 		}
 	}
 }
 
 // A process gets its number from the store while it greets a member: the greeting has
-// gone out with what it said before, and the session isn't known yet to those who pass
-// on news. The member never learned the number, took another process for the planner
-// for as long as both lived, and none of its callers was served.
-func TestNewsWhileGreeting(t *testing.T) {
+// been sent with the old state, and the session isn't registered yet when the change is
+// announced to the sessions. The member never learned the number, took another process
+// for the planner for as long as both lived, and none of its callers was served.
+func TestStateChangeDuringGreeting(t *testing.T) {
 	const step, last = 250 * time.Microsecond, 10 * time.Millisecond
-	for said := time.Duration(0); said <= last; said += step {
-		t.Run(said.String(), func(t *testing.T) { newsWhileGreeting(t, said) })
+	for delay := time.Duration(0); delay <= last; delay += step {
+		t.Run(delay.String(), func(t *testing.T) { testStateChangeDuringGreeting(t, delay) })
 	}
 }
 
-func newsWhileGreeting(t *testing.T, said time.Duration) {
+func testStateChangeDuringGreeting(t *testing.T, delay time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
-		a, b := start(t, n, "127.0.0.1", 1), start(t, n, "127.0.0.2", 2)
+		a, b := startProcess(t, n, "127.0.0.1", 1), startProcess(t, n, "127.0.0.2", 2)
 		b.mesh.Learn(a.member.ID.Address)
-		time.Sleep(lowFirst + said)
+		time.Sleep(higherAddressDialDelay + delay)
 		m := a.member
 		m.Number = 7
 		a.mesh.Say(m)
 		time.Sleep(time.Second)
-		if got := b.newest().Number; got != m.Number {
+		if got := b.lastMemberState().Number; got != m.Number {
 			t.Errorf("number is %d, want %d", got, m.Number)
 		}
 		for _, p := range []*process{a, b} {
@@ -462,8 +465,8 @@
 	})
 }
 
-// newest returns what a member was last told to have said of itself.
-func (p *process) newest() (m Member) {
+// lastMemberState returns the state of the other member in the last Up or Changed event.
+func (p *process) lastMemberState() (m Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.events {
--- a/mesh/session.go
+++ b/mesh/session.go
@@ -18,65 +18,68 @@
 	conn   *jsonrpc2.Conn
 	codec  codec
 	wake   chan struct{}
-	// dialed tells that this side opened the connection; began is when it became the
-	// session with its member.
-	dialed bool
-	began  time.Time
-	// met is closed when the member has greeted.
-	met chan struct{}
-	// done is closed when the end of the session has been told.
+	// dialed is set if this side opened the connection; registeredAt is when it became
+	// the session with its member.
+	dialed       bool
+	registeredAt time.Time
+	// greeted is closed when the member's greeting has been accepted.
+	greeted chan struct{}
+	// done is closed when the session has ended and Down has been delivered.
 	done chan struct{}
-	// id is set before the session is known to anybody else.
+	// id is set before the session is visible to other goroutines.
 	id ID
-	// told is the edition that the member was last told. Only the goroutine that
-	// writes uses it. It is compared with the newest before each message: news that
-	// came up between the greeting and the beginning of the session would else never
-	// be told, and the member would believe the old for as long as both live.
-	told uint64
+	// sentRevision is the revision of the advertised state that was last sent to the
+	// member. Only the goroutine that writes uses it. It is compared with the current
+	// revision before each write: otherwise a change between the greeting and the
+	// registration of the session would never be sent, and the member would use the old
+	// state for as long as both live.
+	sentRevision uint64
 
-	// telling orders what is told: nothing before Up, nothing after Down. A
-	// session that ends while its beginning is told would else be taken for
-	// one that lasts.
-	telling  sync.Mutex
-	up, down bool
+	// deliverMu orders the delivery of events: none before Up, none after Down. Without
+	// it, a session that ends while Up is being delivered would be taken for one that
+	// lasts.
+	deliverMu sync.Mutex
+	up, down  bool
 
-	mu     sync.Mutex
-	member Member
-	over   bool
-	why    string
-	heard  time.Time
-	// taking tells that a message is being passed on, which may block.
-	taking bool
-	// since is when this side began to watch the member, zero while it doesn't; watched
-	// tells that the member watches this side.
-	since   time.Time
-	watched bool
-	// quiet tells that the silence of a watched member has been told.
-	quiet bool
-	queue []M
+	mu        sync.Mutex
+	member    Member
+	ended     bool
+	reason    string
+	lastHeard time.Time
+	// handling is set while a notification is being handled, since delivering it may
+	// block.
+	handling bool
+	// watchingSince is when this side began to watch the member, zero while it doesn't;
+	// watchedByMember is set while the member watches this side.
+	watchingSince   time.Time
+	watchedByMember bool
+	// overdueReported is set if Quiet has been delivered for the current silence of a
+	// watched member.
+	overdueReported bool
+	queue           []M
 }
 
-// unused is the handler that the library asks for; the codec hands notifications to the
-// session.
+// unused is the handler that the library requires; the codec passes notifications
+// directly to the session.
 type unused struct{}
 
 // Handle does nothing.
 func (unused) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
-// run greets the member, then writes what there is to write until the session
-// is over.
+// run sends the greeting, then writes queued messages and heartbeats until the session
+// ends.
 func (s *session[M]) run(ctx context.Context) {
 	defer close(s.done)
-	defer s.mesh.forget(s)
+	defer s.mesh.removeSession(s)
 	defer func() { _ = s.conn.Close() }()
-	defer s.tellDown()
-	h, edition := s.mesh.hello()
-	s.told = edition
+	defer s.deliverDown()
+	h, revision := s.mesh.hello()
+	s.sentRevision = revision
 	if err := s.notify(ctx, methodHello, h); err != nil {
 		s.end("greeting failed: " + err.Error())
 		return
 	}
-	t := time.NewTimer(BeatEvery)
+	t := time.NewTimer(HeartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -88,93 +91,95 @@
 		case <-t.C:
 		}
 		now := time.Now()
-		if s.ended(now) {
+		if s.checkEnded(now) {
 			return
 		}
-		if heard, late := s.late(now); late {
-			s.tell(Event[M]{Kind: Quiet, Member: Member{ID: s.id}, Session: s.number, Heard: heard})
+		if heard, overdue := s.overdue(now); overdue {
+			s.deliver(Event[M]{Kind: Quiet, Member: Member{ID: s.id}, Session: s.number, Heard: heard})
 		}
 		if err := s.flush(ctx); err != nil {
 			s.end("write failed: " + err.Error())
 		}
-		t.Reset(s.pause())
+		t.Reset(s.maxWait())
 	}
 }
 
-// pause is how long this side may be silent now.
-func (s *session[M]) pause() time.Duration {
+// maxWait returns how long run may wait before it writes a heartbeat or checks for an
+// overdue one.
+func (s *session[M]) maxWait() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.member.ID != (ID{}) && s.since.IsZero() && !s.watched:
-		return IdleBeatEvery
-	case s.quiet || s.since.IsZero():
-		return BeatEvery
+	case s.member.ID != (ID{}) && s.watchingSince.IsZero() && !s.watchedByMember:
+		return IdleHeartbeatInterval
+	case s.overdueReported || s.watchingSince.IsZero():
+		return HeartbeatInterval
 	}
-	return min(BeatEvery, max(time.Until(s.due()), 0)+lateSlack)
+	return min(HeartbeatInterval, max(time.Until(s.heartbeatDeadline()), 0)+overdueCheckDelay)
 }
 
-// lateSlack keeps the look at a late heartbeat behind the time at which it is late.
-const lateSlack = time.Millisecond
+// overdueCheckDelay puts the check for an overdue heartbeat just after its deadline.
+const overdueCheckDelay = time.Millisecond
 
-// due is when a watched member must have shown itself.
-func (s *session[M]) due() time.Time {
-	if s.since.After(s.heard) {
-		return s.since.Add(QuietAfter)
+// heartbeatDeadline returns when the heartbeat of a watched member becomes overdue.
+func (s *session[M]) heartbeatDeadline() time.Time {
+	if s.watchingSince.After(s.lastHeard) {
+		return s.watchingSince.Add(QuietAfter)
 	}
-	return s.heard.Add(QuietAfter)
+	return s.lastHeard.Add(QuietAfter)
 }
 
-// late tells, once for each silence, that a watched member is late, and when it was last
-// heard.
-func (s *session[M]) late(now time.Time) (heard time.Time, late bool) {
+// overdue reports, once for each silence, whether the heartbeat of a watched member is
+// overdue, and when the member was last heard from.
+func (s *session[M]) overdue(now time.Time) (heard time.Time, overdue bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.quiet || s.taking || s.since.IsZero() || s.member.ID == (ID{}) || now.Before(s.due()) {
+	if s.overdueReported || s.handling || s.watchingSince.IsZero() || s.member.ID == (ID{}) || now.Before(s.heartbeatDeadline()) {
 		return time.Time{}, false
 	}
-	s.quiet = true
-	return s.heard, true
+	s.overdueReported = true
+	return s.lastHeard, true
 }
 
-// ended tells whether the session is over, for instance by silence.
-func (s *session[M]) ended(now time.Time) bool {
+// checkEnded reports whether the session has ended, and ends it if the member has been
+// silent for too long.
+func (s *session[M]) checkEnded(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over && !s.taking && now.Sub(s.heard) > s.patience() {
-		s.over, s.why = true, "silent"
+	if !s.ended && !s.handling && now.Sub(s.lastHeard) > s.silenceTimeout() {
+		s.ended, s.reason = true, "silent"
 	}
-	return s.over
+	return s.ended
 }
 
-// patience is how long the member may have been silent. A member that was not watched
-// until now has to show itself only from now on.
-func (s *session[M]) patience() time.Duration {
+// silenceTimeout returns the silence after which the session ends. If this side has not
+// heard from the member since it began to watch it, DownAfter counts from that time.
+func (s *session[M]) silenceTimeout() time.Duration {
 	switch {
 	case s.member.ID == (ID{}):
-		return greetFor
-	case s.since.IsZero():
+		return greetingTimeout
+	case s.watchingSince.IsZero():
 		return IdleDownAfter
 	}
-	return min(IdleDownAfter, DownAfter+max(0, s.since.Sub(s.heard)))
+	return min(IdleDownAfter, DownAfter+max(0, s.watchingSince.Sub(s.lastHeard)))
 }
 
-// watch begins or ends the watch over the member.
+// watch starts or stops watching the member.
 func (s *session[M]) watch(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case !on:
-		s.since = time.Time{}
-	case s.since.IsZero():
-		s.since = time.Now()
-		s.poke()
+		s.watchingSince = time.Time{}
+	case s.watchingSince.IsZero():
+		s.watchingSince = time.Now()
+		s.wakeWriter()
 	}
 }
 
-func (s *session[M]) tellUp(h hello) {
-	s.telling.Lock()
-	defer s.telling.Unlock()
+func (s *session[M]) deliverUp(h hello) {
+	s.deliverMu.Lock()
+	defer s.deliverMu.Unlock()
 	if s.down {
 		return
 	}
@@ -183,175 +188,176 @@
 	s.mesh.deliver(Event[M]{Kind: Up, Member: h.From, Session: s.number})
 }
 
-func (s *session[M]) tellDown() {
-	s.telling.Lock()
-	defer s.telling.Unlock()
+func (s *session[M]) deliverDown() {
+	s.deliverMu.Lock()
+	defer s.deliverMu.Unlock()
 	s.down = true
 	if !s.up {
 		return
 	}
 	s.mu.Lock()
-	member, why, heard := s.member, s.why, s.heard
+	member, why, heard := s.member, s.reason, s.lastHeard
 	s.mu.Unlock()
 	event.SessionDown.Log(s.mesh.log, "member", member.VM, "id", member.ID, "why", why, "silent_ms", time.Since(heard).Milliseconds())
 	s.mesh.deliver(Event[M]{Kind: Down, Member: member, Session: s.number, Heard: heard, Why: why})
 }
 
-// tell passes on what arrived while the session is up.
-func (s *session[M]) tell(e Event[M]) {
-	s.telling.Lock()
-	defer s.telling.Unlock()
+// deliver delivers an event if the session is up.
+func (s *session[M]) deliver(e Event[M]) {
+	s.deliverMu.Lock()
+	defer s.deliverMu.Unlock()
 	if s.up && !s.down {
 		s.mesh.deliver(e)
 	}
 }
 
-// flush writes what waits, or a heartbeat. Nothing but the greeting is written
-// before the member has greeted.
+// flush writes the queued messages, or a heartbeat if there is nothing to send. Before
+// the member's greeting has been accepted it writes nothing.
 func (s *session[M]) flush(ctx context.Context) error {
 	s.mu.Lock()
 	if s.member.ID == (ID{}) {
 		s.mu.Unlock()
 		return nil
 	}
-	b := batch[M]{Mail: s.queue, Watch: !s.since.IsZero()}
+	b := batch[M]{Mail: s.queue, Watch: !s.watchingSince.IsZero()}
 	s.queue = nil
 	s.mu.Unlock()
-	if me, edition := s.mesh.me(); edition != s.told {
-		b.From, s.told = &me, edition
+	if self, revision := s.mesh.localMember(); revision != s.sentRevision {
+		b.From, s.sentRevision = &self, revision
 	}
 	switch {
 	case b.From != nil || len(b.Mail) > 0:
-		return s.notify(ctx, methodMail, b)
+		return s.notify(ctx, methodMessages, b)
 	case b.Watch:
 		return s.notify(ctx, methodWatch, nil)
 	}
-	return s.notify(ctx, methodBeat, nil)
+	return s.notify(ctx, methodHeartbeat, nil)
 }
 
-// notify writes a notification, with content if there is any.
+// notify writes a notification, with content unless v is nil.
 func (s *session[M]) notify(ctx context.Context, method string, v any) error {
-	if err := s.codec.set(method, v); err != nil {
+	if err := s.codec.setNext(method, v); err != nil {
 		return errors.Wrap(err, "mesh: encode")
 	}
 	return s.conn.Notify(ctx, method, nil)
 }
 
-func (s *session[M]) send(mail []M) {
+func (s *session[M]) send(messages []M) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.queue)+len(mail) > ring {
-		s.over, s.why = true, "too many messages wait"
+	if len(s.queue)+len(messages) > maxQueuedMessages {
+		s.ended, s.reason = true, "too many messages wait"
 	} else {
-		s.queue = append(s.queue, mail...)
+		s.queue = append(s.queue, messages...)
 	}
-	s.poke()
+	s.wakeWriter()
 }
 
-func (s *session[M]) poke() {
+func (s *session[M]) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// end marks the session as over; its goroutine tells it.
+// end marks the session as ended and wakes the goroutine that delivers Down.
 func (s *session[M]) end(why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over {
-		s.over, s.why = true, why
+	if !s.ended {
+		s.ended, s.reason = true, why
 	}
-	s.poke()
+	s.wakeWriter()
 }
 
-// handle takes one notification of the member.
+// handle handles one notification of the member.
 func (s *session[M]) handle(method string) {
-	if s.took(true) {
-		s.tell(Event[M]{Kind: Back, Member: Member{ID: s.id}, Session: s.number})
+	if s.noteMessage(true) {
+		s.deliver(Event[M]{Kind: Back, Member: Member{ID: s.id}, Session: s.number})
 	}
-	defer s.took(false)
-	if err := s.take(method); err != nil {
+	defer s.noteMessage(false)
+	if err := s.dispatch(method); err != nil {
 		event.PeerRefused.Log(s.mesh.log, "member", s.id, "error", err)
 		s.end("unreadable message")
 	}
 }
 
-// took takes note of a message, and tells whether that ends a silence that was told.
-func (s *session[M]) took(taking bool) (back bool) {
+// noteMessage records that the member was heard from, and reports whether that ends a
+// silence for which Quiet was delivered.
+func (s *session[M]) noteMessage(handling bool) (recovered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	back = s.quiet
-	s.heard, s.taking, s.quiet = time.Now(), taking, false
-	return back
+	recovered = s.overdueReported
+	s.lastHeard, s.handling, s.overdueReported = time.Now(), handling, false
+	return recovered
 }
 
-func (s *session[M]) take(method string) error {
+func (s *session[M]) dispatch(method string) error {
 	switch method {
-	case methodBeat:
-		s.watchedBy(false)
+	case methodHeartbeat:
+		s.setWatchedByMember(false)
 		return nil
 	case methodWatch:
-		s.watchedBy(true)
+		s.setWatchedByMember(true)
 		return nil
 	case methodHello:
 		var h hello
 		if err := s.codec.decode(&h); err != nil {
 			return errors.Wrap(err, "mesh: decode")
 		}
-		s.greet(h)
+		s.handleHello(h)
 		return nil
-	case methodMail:
+	case methodMessages:
 		var b batch[M]
 		if err := s.codec.decode(&b); err != nil {
 			return errors.Wrap(err, "mesh: decode")
 		}
-		s.watchedBy(b.Watch)
-		s.receive(b)
+		s.setWatchedByMember(b.Watch)
+		s.handleBatch(b)
 		return nil
 	}
 	return errors.Errorf("mesh: unknown method %q", method)
 }
 
-// greet begins the session. A process that reaches itself (a seed can be its
-// own address) ends it.
-func (s *session[M]) greet(h hello) {
-	if me, _ := s.mesh.me(); s.id != (ID{}) || h.From.ID.Address == me.ID.Address {
+// handleHello begins the session. It ends it instead if this process has dialled itself
+// (a seed can be its own address) or the member has greeted before.
+func (s *session[M]) handleHello(h hello) {
+	if self, _ := s.mesh.localMember(); s.id != (ID{}) || h.From.ID.Address == self.ID.Address {
 		s.end("second greeting, or own address")
 		return
 	}
 	s.id = h.From.ID
-	if !s.mesh.begin(s, h) {
+	if !s.mesh.registerSession(s, h) {
 		s.end("both sides have connected at once")
 		return
 	}
-	close(s.met)
-	s.tellUp(h)
+	close(s.greeted)
+	s.deliverUp(h)
 	s.mu.Lock()
 	s.member = h.From
 	s.mu.Unlock()
-	s.poke()
+	s.wakeWriter()
 }
 
-// watchedBy takes note whether the member watches this side. It waits for a sign of life
-// from when it began to, so that goes out at once.
-func (s *session[M]) watchedBy(on bool) {
+// setWatchedByMember records whether the member watches this side. When the member begins
+// to, it expects a heartbeat from then on, so one is sent at once.
+func (s *session[M]) setWatchedByMember(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if on && !s.watched {
-		s.poke()
+	if on && !s.watchedByMember {
+		s.wakeWriter()
 	}
-	s.watched = on
+	s.watchedByMember = on
 }
 
-func (s *session[M]) receive(b batch[M]) {
+func (s *session[M]) handleBatch(b batch[M]) {
 	if b.From != nil {
 		s.mu.Lock()
 		s.member = *b.From
 		s.mu.Unlock()
-		s.tell(Event[M]{Kind: Changed, Member: *b.From, Session: s.number})
+		s.deliver(Event[M]{Kind: Changed, Member: *b.From, Session: s.number})
 	}
 	if len(b.Mail) > 0 {
-		s.tell(Event[M]{Kind: Mail, Member: Member{ID: s.id}, Session: s.number, Mail: b.Mail})
+		s.deliver(Event[M]{Kind: Mail, Member: Member{ID: s.id}, Session: s.number, Mail: b.Mail})
 	}
 }
