--- a/cell/book.go
+++ b/cell/book.go
@@ -257,9 +257,9 @@
 			b.clearHolder(now, w)
 		}
 	}
-	for _, wt := range b.pending {
-		if _, ok := b.callers[wt.owner]; !ok {
-			b.drop(wt)
+	for _, p := range b.pending {
+		if _, ok := b.callers[p.owner]; !ok {
+			b.drop(p)
 		}
 	}
 	b.assign(now)
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -183,15 +183,15 @@
 	if a == m.self.ID.Address || !a.IsValid() {
 		return
 	}
-	if k, ok := m.addresses[a]; ok {
-		k.lastNamed = now
+	if known, ok := m.addresses[a]; ok {
+		known.lastNamed = now
 		return
 	}
-	k := &address{lastNamed: now, nextDial: now, backoff: minRedialBackoff}
+	known := &address{lastNamed: now, nextDial: now, backoff: minRedialBackoff}
 	if m.self.ID.Address.Compare(a) > 0 {
-		k.nextDial = now.Add(higherAddressDialDelay)
+		known.nextDial = now.Add(higherAddressDialDelay)
 	}
-	m.addresses[a] = k
+	m.addresses[a] = known
 	m.wakeDialer()
 }
 
@@ -271,15 +271,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next = maxDialCheckInterval
-	for a, k := range m.addresses {
+	for a, known := range m.addresses {
 		switch {
-		case k.dialing || m.sessions[a] != nil:
-		case now.Before(k.nextDial):
-			next = min(next, k.nextDial.Sub(now))
-		case now.Sub(k.lastNamed) > addressRetention:
+		case known.dialing || m.sessions[a] != nil:
+		case now.Before(known.nextDial):
+			next = min(next, known.nextDial.Sub(now))
+		case now.Sub(known.lastNamed) > addressRetention:
 			delete(m.addresses, a)
 		default:
-			k.dialing = true
+			known.dialing = true
 			out = append(out, a)
 		}
 	}
@@ -309,10 +309,10 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if k := m.addresses[a]; k != nil {
-		k.dialing = false
-		k.nextDial = time.Now().Add(k.backoff/2 + rand.N(k.backoff))
-		k.backoff = min(2*k.backoff, maxRedialBackoff)
+	if known := m.addresses[a]; known != nil {
+		known.dialing = false
+		known.nextDial = time.Now().Add(known.backoff/2 + rand.N(known.backoff))
+		known.backoff = min(2*known.backoff, maxRedialBackoff)
 	}
 	m.wakeDialer()
 }
@@ -359,8 +359,8 @@
 	m.sessions[a] = s
 	_, watch := m.watch[h.From.ID]
 	m.addAddress(now, a)
-	if k := m.addresses[a]; k != nil {
-		k.backoff = minRedialBackoff
+	if known := m.addresses[a]; known != nil {
+		known.backoff = minRedialBackoff
 	}
 	for _, a := range h.Known {
 		m.addAddress(now, a)
@@ -395,11 +395,11 @@
 		return
 	}
 	delete(m.sessions, a)
-	if k := m.addresses[a]; k != nil {
-		k.lastNamed = time.Now()
-		k.nextDial = k.lastNamed
+	if known := m.addresses[a]; known != nil {
+		known.lastNamed = time.Now()
+		known.nextDial = known.lastNamed
 		if m.self.ID.Address.Compare(a) > 0 {
-			k.nextDial = k.lastNamed.Add(higherAddressDialDelay)
+			known.nextDial = known.lastNamed.Add(higherAddressDialDelay)
 		}
 	}
 	m.wakeDialer()
