--- a/cell/load_test.go
+++ b/cell/load_test.go
@@ -44,22 +44,22 @@
 // Many more tasks are requested than can be served. The planner compared each pending
 // task with each slot of each worker and fell behind, so that yet more requests became
 // pending and the look-ahead took all of its processor time: in a deployment of 350
-// workers, an eighth of the worth was served, and for seconds after the burst. A task
-// must be compared with a few slot groups only.
+// workers only an eighth of the worth was served, until seconds after the burst. A task
+// must be compared with a few groups of slots only.
 func TestLookAheadLooksAtFewPlaces(t *testing.T) {
 	b := crowded(t, 1, 400)
 	groups := b.slots(ms(700), b.requestQueue.pending)
 	slotCount := 0
-	for _, p := range groups {
-		slotCount += len(p.freeAt)
+	for _, g := range groups {
+		slotCount += len(g.freeAt)
 	}
 	if slotCount != 700 || len(groups) > 6 {
 		t.Errorf("%d slots in %d groups, want 700 in at most 6", slotCount, len(groups))
 	}
 }
 
-// The look-ahead by slot groups must refuse the same jobs as a plain search that compares
-// all slots.
+// The look-ahead by groups of slots must refuse the same jobs as a plain search that
+// compares all slots.
 func TestLookAheadMatchesPlainSearch(t *testing.T) {
 	for seed := range uint64(5) {
 		b := crowded(t, seed, 200)
@@ -78,32 +78,32 @@
 }
 
 func plainLookAhead(b *Book, queue []*pendingRequest) (fits []bool) {
-	type place struct {
+	type slot struct {
 		free   time.Time
 		factor float64
 	}
-	var all []place
+	var slots []slot
 	for _, w := range b.bySpeed {
 		for _, h := range w.runs {
-			all = append(all, place{h.end(ms(700), b.factor(w)), b.factor(w)})
+			slots = append(slots, slot{h.end(ms(700), b.factor(w)), b.factor(w)})
 		}
 	}
 	for _, w := range queue {
-		then := slices.Clone(all)
+		trial := slices.Clone(slots)
 		ok := true
 		for range w.Tasks {
 			best, end := -1, time.Time{}
-			for i, p := range then {
+			for i, p := range trial {
 				if e := p.free.Add(scaled(w.Estimate, p.factor)); best < 0 || e.Before(end) {
 					best, end = i, e
 				}
 			}
 			ok = ok && !end.After(w.objective)
-			then[best].free = end
+			trial[best].free = end
 		}
 		fits = append(fits, ok)
 		if ok {
-			all = then
+			slots = trial
 		}
 	}
 	return fits
@@ -184,10 +184,10 @@
 		}
 	}
 	plain := 0
-	for _, p := range b.slots(ms(700), b.requestQueue.pending) {
-		for _, free := range p.freeAt {
-			f := p.factor
-			if p.rack != "r1" {
+	for _, g := range b.slots(ms(700), b.requestQueue.pending) {
+		for _, free := range g.freeAt {
+			f := g.factor
+			if g.rack != "r1" {
 				f *= 2
 			}
 			if !free.Add(scaled(500*time.Millisecond, f)).After(ms(1700)) {
