--- a/cell/admit.go
+++ b/cell/admit.go
@@ -35,15 +35,15 @@
 	groups := b.slots(now, queue)
 	queue = slices.DeleteFunc(queue, func(p *pendingRequest) bool { return b.scheduleInTime(p, groups) || p.Begun })
 	b.refusedDelay = 0
-	why := reasonOthersFirst
+	reason := reasonOthersFirst
 	if len(groups) == 0 {
-		why = reasonNoWorkers
+		reason = reasonNoWorkers
 	}
 	for _, p := range queue {
 		if end := b.schedule(p, groups); !end.IsZero() {
 			b.refusedDelay = end.Sub(p.objective)
 		}
-		b.refuse(now, p, why)
+		b.refuse(now, p, reason)
 	}
 }
 
@@ -84,15 +84,15 @@
 
 const (
 	// minRetryAfter is the shortest delay after which a refused caller is asked to retry.
-	// The callers' interface rounds up to whole seconds, so half of them are told one
-	// second.
+	// The callers' interface rounds up to whole seconds; with the jitter added, half of
+	// the callers with this delay are told one second, the others two.
 	minRetryAfter = 500 * time.Millisecond
 	// maxRetryAfter is the longest such delay. Predictions further ahead are wrong by
 	// then.
 	maxRetryAfter = 8 * time.Second
-	// retryJitter is the interval over which the retries of callers that were refused at
+	// maxRetryJitter is the interval over which the retries of callers that were refused at
 	// the same time are spread. Together they would be the next burst.
-	retryJitter = time.Second
+	maxRetryJitter = time.Second
 )
 
 // retryAfter returns the delay after which a refused caller should retry: refusedDelay,
@@ -106,7 +106,7 @@
 // Spread returns a jitter of less than a second, derived from the job's ID, so that
 // callers that were refused together don't retry together.
 func Spread(job string) time.Duration {
-	return time.Duration(xxhash.Sum64String(job) % uint64(retryJitter))
+	return time.Duration(xxhash.Sum64String(job) % uint64(maxRetryJitter))
 }
 
 const (
@@ -124,6 +124,8 @@
 // than its processor, so that it fell behind, more requests became pending, and the
 // look-ahead took longer still.
 type slots struct {
+	// factor is the speed factor of the first worker in the group; speedGroupRatio bounds
+	// how far the others differ from it.
 	factor float64
 	// rack is set only while a request that prefers a rack is pending.
 	rack   string
@@ -176,13 +178,13 @@
 			continue
 		}
 		f := b.factor(w)
-		// bySpeed was sorted at the last tick; a worker whose speed has changed since
-		// then starts a group of its own.
 		rack := ""
 		if byRack {
 			rack = w.Rack
 		}
 		g := group[rack]
+		// bySpeed was sorted at the last tick; a worker whose speed has changed since
+		// then starts a group of its own.
 		if g == nil || f > g.factor*speedGroupRatio || f < g.factor/speedGroupRatio {
 			g = &slots{factor: f, rack: rack}
 			group[rack] = g
@@ -191,8 +193,8 @@
 		for range w.free().CPU / cpu {
 			g.freeAt = append(g.freeAt, from)
 		}
-		for _, h := range w.runs {
-			g.freeAt = append(g.freeAt, h.end(now, f))
+		for _, active := range w.runs {
+			g.freeAt = append(g.freeAt, active.end(now, f))
 		}
 	}
 	out = slices.DeleteFunc(out, func(g *slots) bool { return len(g.freeAt) == 0 })
@@ -228,17 +230,17 @@
 
 // end predicts when a run ends: from its progress if that is known, else from its
 // estimate and the worker's speed factor.
-func (h activeRun) end(now time.Time, factor float64) time.Time {
-	age := now.Sub(h.startedAt)
-	total := scaled(h.estimate, factor)
-	if h.percent >= minProgressPercent {
-		total = h.reportedAt.Sub(h.startedAt) * 100 / time.Duration(h.percent)
+func (a activeRun) end(now time.Time, factor float64) time.Time {
+	age := now.Sub(a.startedAt)
+	total := scaled(a.estimate, factor)
+	if a.percent >= minProgressPercent {
+		total = a.reportedAt.Sub(a.startedAt) * 100 / time.Duration(a.percent)
 	}
 	if total < age {
 		// The run is overdue: assume that it needs another tenth of its age.
 		return now.Add(age / 10)
 	}
-	return h.startedAt.Add(total)
+	return a.startedAt.Add(total)
 }
 
 // minProgressPercent is the progress from which on it predicts the end of a run better
@@ -249,11 +251,11 @@
 // them end in time there, and reports whether they do. The tasks of a job that has begun
 // are scheduled even if they end late.
 func (b *Book) scheduleInTime(p *pendingRequest, groups []*slots) bool {
-	type taken struct {
+	type reservation struct {
 		*slots
 		freeAt, end time.Time
 	}
-	var took []taken
+	var reservations []reservation
 	latestEnd := p.arrivedAt.Add(time.Duration(float64(p.objective.Sub(p.arrivedAt)) * b.policy.Margin))
 	fits := true
 	for range p.Tasks {
@@ -262,14 +264,14 @@
 			fits = false
 			break
 		}
-		took = append(took, taken{g, g.freeAt[0], end})
+		reservations = append(reservations, reservation{g, g.freeAt[0], end})
 		g.freeAt[0] = end
 		heap.Fix(g, 0)
 	}
 	if fits {
 		return true
 	}
-	for _, t := range slices.Backward(took) {
+	for _, t := range slices.Backward(reservations) {
 		i := slices.IndexFunc(t.slots.freeAt, t.end.Equal)
 		t.slots.freeAt[i] = t.freeAt
 		heap.Fix(t.slots, i)
--- a/cell/admit_test.go
+++ b/cell/admit_test.go
@@ -14,11 +14,11 @@
 // that fits after the running ones stays pending.
 func TestLookingAhead(t *testing.T) {
 	b := newPlannerWithHolders(t, 2, 1)
-	first := ask("first", 2)
+	first := newRequest("first", 2)
 	first.Estimate, first.Aim = time.Second, 2*time.Second
 	b.Ask(ms(700), memberID(1), first)
 	place(b, 700)
-	short, long := ask("short", 1), ask("long", 1)
+	short, long := newRequest("short", 1), newRequest("long", 1)
 	short.Aim, long.Aim = 500*time.Millisecond, 1500*time.Millisecond
 	b.Ask(ms(720), memberID(1), short)
 	b.Ask(ms(720), memberID(1), long)
@@ -36,7 +36,7 @@
 func TestEndOfARun(t *testing.T) {
 	tests := []struct {
 		name string
-		h    activeRun
+		run  activeRun
 		at   int
 		want int
 	}{
@@ -46,7 +46,7 @@
 		{"overdue", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond}, 400, 440},
 	}
 	for _, tt := range tests {
-		if got := tt.h.end(ms(tt.at), 2); !got.Equal(ms(tt.want)) {
+		if got := tt.run.end(ms(tt.at), 2); !got.Equal(ms(tt.want)) {
 			t.Errorf("%s: ends at %v, want %v", tt.name, got.Sub(epoch), ms(tt.want).Sub(epoch))
 		}
 	}
@@ -58,7 +58,7 @@
 func TestNewPlannerWaitsForReports(t *testing.T) {
 	b := newPlanner(t, 2, 4)
 	b.Report(ms(1), memberID(0), Report{Whole: true})
-	b.Ask(ms(1), memberID(0), ask("a", 2))
+	b.Ask(ms(1), memberID(0), newRequest("a", 2))
 	if _, refused := place(b, 2); len(refused) != 0 {
 		t.Fatalf("refused before all have reported: %+v", refused)
 	}
@@ -70,7 +70,7 @@
 		w := testWorker(i)
 		b.Report(ms(30), b.workers[w.ID].holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Open: true, Draining: true}}})
 	}
-	a := ask("b", 2)
+	a := newRequest("b", 2)
 	a.Aim = 10 * time.Second
 	b.Ask(ms(1100), memberID(0), a)
 	if _, refused := place(b, 1100); len(refused) != 2 {
@@ -91,7 +91,7 @@
 		{400, 600, 0},
 		{1100, 600, 3},
 	} {
-		a := ask(fmt.Sprint("job", c.at), 2)
+		a := newRequest(fmt.Sprint("job", c.at), 2)
 		a.Aim = time.Duration(c.aim) * time.Millisecond
 		b.Ask(ms(c.at), memberID(0), a)
 		if _, refused := place(b, c.at); len(refused) != c.refused {
@@ -107,11 +107,11 @@
 	b := newPlannerWithHolders(t, 2, 1)
 	w := b.workers["w0"]
 	b.Report(ms(700), w.holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Gone: true}}})
-	b.Ask(ms(701), memberID(1), ask("a", 2))
+	b.Ask(ms(701), memberID(1), newRequest("a", 2))
 	if _, refused := place(b, 701); len(refused) != 0 {
 		t.Errorf("refused while the worker changes its holder: %+v", refused)
 	}
-	a := ask("b", 2)
+	a := newRequest("b", 2)
 	a.Aim = time.Hour
 	b.Ask(ms(2000), memberID(1), a)
 	if _, refused := place(b, 2000); len(refused) != 2 {
@@ -127,7 +127,7 @@
 	b.Begin(ms(0))
 	b.Members(ms(0), members(1), members(1), false, false)
 	b.Report(ms(1), memberID(0), Report{Whole: true})
-	b.Ask(ms(2000), memberID(0), ask("a", 2))
+	b.Ask(ms(2000), memberID(0), newRequest("a", 2))
 	_, refused := place(b, 2000)
 	if len(refused) == 0 || refused[0].Why != reasonNoWorkers {
 		t.Errorf("refusals %+v, want reason %s", refused, reasonNoWorkers)
@@ -148,7 +148,7 @@
 	}
 	for i, job := range []string{"a", "b"} {
 		at := 620 + 10*i
-		next := ask(job, 2)
+		next := newRequest(job, 2)
 		next.Estimate = 200 * time.Millisecond
 		b.Ask(ms(at), memberID(1), next)
 		if _, refused := place(b, at); len(refused) != 0 {
@@ -157,7 +157,7 @@
 	}
 	b.Tick(ms(2000))
 	for _, job := range []string{"c", "d"} {
-		next := ask(job, 2)
+		next := newRequest(job, 2)
 		next.Estimate, next.Aim = time.Second, 1500*time.Millisecond
 		b.Ask(ms(2000), memberID(1), next)
 	}
--- a/cell/book.go
+++ b/cell/book.go
@@ -6,8 +6,9 @@
 // next. A Book is the planner's state: the free resources that the holders report, the
 // pending requests, and the grants that no holder has reported yet. All of it is soft
 // state. Two planners at once, or a planner with wrong data, cause starts that are
-// refused for lack of resources, but never a broken promise. When a planner dies, the
-// next one builds its state anew from the members' reports and requests.
+// refused for lack of resources; the guarantees of package lease hold all the same. When
+// a planner dies, the next one builds its state anew from the members' reports and
+// requests.
 //
 // It decides three things: which member holds which worker (duty.go), which jobs stay
 // pending and which are refused (admit.go), and which worker runs a task (place.go).
@@ -26,9 +27,10 @@
 )
 
 const (
-	// grantTimeout is how long a grant that no holder reports counts as used. The entry
-	// process needs two messages, to receive it and to send the start; after that it has
-	// died.
+	// grantTimeout is how long the resources of a grant that no holder reports count as
+	// used. Two messages separate the grant from the start, one to the entry process and
+	// one from it; a grant that is not reported by then is taken as lost with its entry
+	// process.
 	grantTimeout = 550 * time.Millisecond
 )
 
@@ -88,15 +90,15 @@
 }
 
 // addRun and drop keep used equal to the resources of all runs.
-func (w *worker) addRun(r lease.Run, h activeRun) {
+func (w *worker) addRun(r lease.Run, active activeRun) {
 	w.drop(r)
-	w.runs[r] = h
-	w.used = w.used.Plus(h.resources)
+	w.runs[r] = active
+	w.used = w.used.Plus(active.resources)
 }
 
 func (w *worker) drop(r lease.Run) {
-	if h, ok := w.runs[r]; ok {
-		w.used = w.used.Minus(h.resources)
+	if active, ok := w.runs[r]; ok {
+		w.used = w.used.Minus(active.resources)
 		delete(w.runs, r)
 	}
 }
@@ -158,8 +160,9 @@
 	// needsPlanning is set if something has changed that may allow placing tasks,
 	// hasUnheld if a worker may have lost its holder.
 	needsPlanning, hasUnheld bool
-	// mayReassign is set if workers of lost members may be assigned to others,
-	// allReachable if every existing process is reachable.
+	// mayReassign is set if workers of lost members may be assigned to others; while it
+	// is not, no worker is assigned at all. allReachable is set if every existing process
+	// is reachable.
 	mayReassign, allReachable bool
 	actions                   []Action
 	counts                    Counts
@@ -231,8 +234,8 @@
 
 // Members sets the processes of the cell that are reachable, this one included, and all
 // processes that may send requests, the members included. mayReassign says whether the
-// workers of unreachable members may be assigned to others, allReachable whether no
-// member is unreachable.
+// workers of unreachable members may be assigned to others; if not, no worker is
+// assigned at all. allReachable says whether no member is unreachable.
 func (b *Book) Members(now time.Time, reachable, callers []mesh.Member, mayReassign, allReachable bool) {
 	if !b.active {
 		return
@@ -348,8 +351,8 @@
 		return
 	}
 	for _, w := range b.workers {
-		for r, h := range w.runs {
-			if h.unreported && now.Sub(h.startedAt) >= grantTimeout {
+		for r, active := range w.runs {
+			if active.unreported && now.Sub(active.startedAt) >= grantTimeout {
 				w.drop(r)
 			}
 		}
--- a/cell/book_test.go
+++ b/cell/book_test.go
@@ -64,7 +64,7 @@
 	return b
 }
 
-func ask(job string, n int) Ask {
+func newRequest(job string, n int) Ask {
 	a := Ask{Job: job, Queue: "q", Pool: "p", Room: lease.Room{CPU: 25}, Estimate: 100 * time.Millisecond, Aim: 300 * time.Millisecond, Limit: 3 * time.Second}
 	for i := range n {
 		a.Tasks = append(a.Tasks, lease.Run{Task: lease.Task(fmt.Sprintf("%s.0.0.%d", job, i)), Number: 1})
@@ -89,9 +89,9 @@
 // as used, every worker would be granted twice, and half of the starts would be refused.
 func TestGrantsCountAtOnce(t *testing.T) {
 	b := newPlannerWithHolders(t, 2, 2)
-	b.Ask(ms(700), memberID(1), ask("a", 3))
+	b.Ask(ms(700), memberID(1), newRequest("a", 3))
 	first, _ := place(b, 700)
-	b.Ask(ms(701), memberID(1), ask("b", 3))
+	b.Ask(ms(701), memberID(1), newRequest("b", 3))
 	second, _ := place(b, 701)
 	if len(first) != 3 || len(second) != 1 {
 		t.Errorf("%d and %d grants, want 3 and 1 on two workers with two slots each", len(first), len(second))
@@ -115,9 +115,9 @@
 // again.
 func TestGrantIsForgotten(t *testing.T) {
 	b := newPlannerWithHolders(t, 2, 1)
-	b.Ask(ms(700), memberID(1), ask("a", 2))
+	b.Ask(ms(700), memberID(1), newRequest("a", 2))
 	place(b, 700)
-	waiting := ask("b", 1)
+	waiting := newRequest("b", 1)
 	waiting.Aim = time.Second
 	b.Ask(ms(710), memberID(1), waiting)
 	if g, _ := place(b, 710); len(g) != 0 {
@@ -133,10 +133,10 @@
 // it runs: "not run" would be false.
 func TestHopelessJobs(t *testing.T) {
 	b := newPlannerWithHolders(t, 2, 1)
-	b.Ask(ms(700), memberID(1), ask("a", 2))
+	b.Ask(ms(700), memberID(1), newRequest("a", 2))
 	place(b, 700)
-	b.Ask(ms(701), memberID(1), ask("b", 1))
-	begun := ask("c", 1)
+	b.Ask(ms(701), memberID(1), newRequest("b", 1))
+	begun := newRequest("c", 1)
 	begun.Begun = true
 	b.Ask(ms(701), memberID(1), begun)
 	if _, r := place(b, 702); len(r) != 0 {
@@ -155,7 +155,7 @@
 	b := newPlannerWithHolders(t, 2, 2)
 	b.Tick(ms(650))
 	b.Report(ms(660), b.workers["w0"].holder, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 9, Ends: 20}}}})
-	b.Ask(ms(661), memberID(1), ask("a", 1))
+	b.Ask(ms(661), memberID(1), newRequest("a", 1))
 	grants, refusals := place(b, 661)
 	if len(grants) != 1 || len(refusals) != 0 {
 		t.Errorf("grants %+v, refusals %+v; want one grant and no refusal", grants, refusals)
@@ -180,7 +180,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newPlannerWithHolders(t, 2, 2)
-			a := ask("a", 6)
+			a := newRequest("a", 6)
 			tt.change(&a)
 			b.Ask(ms(700), memberID(1), a)
 			if g, _ := place(b, 700); len(g) != tt.want {
@@ -224,7 +224,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now = now.Add(time.Millisecond)
-		a := ask(fmt.Sprint(i), 4)
+		a := newRequest(fmt.Sprint(i), 4)
 		a.Limit, a.Aim = time.Hour, time.Hour
 		book.Ask(now, memberID(i%n), a)
 		book.Place(now)
@@ -252,7 +252,7 @@
 	b := newPlannerWithHolders(t, 2, 4)
 	reportBadEnds(b, 700, "w0", 2)
 	grantsOnW0 := func(at, tasks int) (n int) {
-		a := ask(fmt.Sprint("job", at), tasks)
+		a := newRequest(fmt.Sprint("job", at), tasks)
 		a.Aim = 10 * time.Second
 		b.Ask(ms(at), memberID(1), a)
 		grants, _ := place(b, at)
@@ -302,7 +302,7 @@
 // worker while it could still be in time there; once it is late, it takes any worker.
 func TestTasksWaitForAFasterWorker(t *testing.T) {
 	b := newPlannerWithHolders(t, 2, 2)
-	fast := ask("fast", 2)
+	fast := newRequest("fast", 2)
 	reportSlow := func(at int) {
 		b.Report(ms(at), b.workers["w1"].holder, Report{States: []lease.State{{ID: "w1", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 5, Ends: 20}}}})
 	}
@@ -311,11 +311,11 @@
 	if g, _ := place(b, 700); len(g) != 2 || g[0].Worker != "w0" {
 		t.Fatalf("grants %+v, want two on the fast worker", g)
 	}
-	b.Ask(ms(710), memberID(1), ask("a", 1))
+	b.Ask(ms(710), memberID(1), newRequest("a", 1))
 	if g, r := place(b, 710); len(g) != 0 || len(r) != 0 {
 		t.Errorf("grants %+v, refusals %+v; want the task to stay pending", g, r)
 	}
-	begun := ask("late", 1)
+	begun := newRequest("late", 1)
 	begun.Begun, begun.Aim = true, 20*time.Millisecond
 	b.Ask(ms(720), memberID(1), begun)
 	if g, _ := place(b, 720); len(g) != 1 || g[0].Worker != "w1" {
@@ -349,7 +349,7 @@
 				}
 			}
 			b.sortBySpeed()
-			a := ask("a", tt.tasks)
+			a := newRequest("a", tt.tasks)
 			a.Rack, a.Aim = "r1", tt.aim
 			b.Ask(ms(700), memberID(1), a)
 			grants, _ := place(b, 700)
--- a/cell/duty.go
+++ b/cell/duty.go
@@ -142,8 +142,9 @@
 }
 
 // chooseHolder returns the member with the least load for its size in the worker's data
-// centre, or in any if that one has no member. It returns nil if no member can hold
-// workers.
+// centre, or in any if that one has no member. Within moveCooldown of its release, the
+// worker's former holder comes last, even after members of other data centres. It returns
+// nil if no member can hold workers.
 func (b *Book) chooseHolder(now time.Time, w *worker, load map[mesh.ID]float64) *member {
 	var best *member
 	rank := func(m *member) (otherDataCenter bool, wasHolder bool, relativeLoad float64) {
@@ -204,9 +205,9 @@
 	b.emit(Action{To: w.holder, Relief: &Relief{Worker: w.ID}})
 }
 
-// balance moves at most one worker to another member: away from one with more load, for
-// instance when a member has just joined, back to the worker's data centre, or away from
-// a holder that can't reach it.
+// balance has at most one worker released, to move it to another member: away from one
+// with more load, for instance when a member has just joined, back to the worker's data
+// centre, or away from a holder that can't reach it.
 func (b *Book) balance(now time.Time) {
 	if !b.mayAssign(now) {
 		return
--- a/cell/duty_test.go
+++ b/cell/duty_test.go
@@ -20,7 +20,7 @@
 
 // A planner has just begun. Workers are assigned evenly to the members of their data
 // centre.
-func TestDutiesAreSpread(t *testing.T) {
+func TestAssignmentsAreSpread(t *testing.T) {
 	b := newPlanner(t, 4, 12)
 	b.Tick(ms(600))
 	got := takeAssignments(b)
@@ -78,19 +78,19 @@
 	all := members(4)
 	all[2].Leaving = true
 	b.Members(ms(1000), all, all, true, false)
-	var relieved []string
+	var releasing []string
 	for _, a := range b.Take() {
 		if a.Relief != nil {
 			if a.To != memberID(2) {
 				t.Errorf("%v is asked to release a worker, want only the leaving member", a.To)
 			}
-			relieved = append(relieved, a.Relief.Worker)
+			releasing = append(releasing, a.Relief.Worker)
 		}
 	}
-	if len(relieved) == 0 {
+	if len(releasing) == 0 {
 		t.Fatal("the leaving member is not asked to release its workers")
 	}
-	for _, id := range relieved {
+	for _, id := range releasing {
 		b.Report(ms(1010), memberID(2), Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Gone: true}}})
 		if got := takeAssignments(b); got[id] == memberID(2) || got[id] == (mesh.ID{}) {
 			t.Errorf("%s is assigned to %v, want another member", id, got[id])
@@ -107,7 +107,7 @@
 	b.Members(ms(0), members(2), members(2), true, false)
 	w := testWorker(0)
 	b.Report(ms(1), memberID(1), Report{Whole: true, States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true, Draining: true}}})
-	b.Ask(ms(2), memberID(1), ask("j", 1))
+	b.Ask(ms(2), memberID(1), newRequest("j", 1))
 	if grants, _ := place(b, 2); len(grants) != 0 {
 		t.Errorf("grants %+v on a draining worker", grants)
 	}
@@ -146,11 +146,11 @@
 		b.Report(ms(at), h, bad)
 		b.Tick(ms(at))
 	}
-	relieved := false
+	releasing := false
 	for _, a := range b.Take() {
-		relieved = relieved || a.Relief != nil && a.To == h
+		releasing = releasing || a.Relief != nil && a.To == h
 	}
-	if !relieved {
+	if !releasing {
 		t.Fatal("the holder is not asked to release the worker")
 	}
 	b.Report(ms(6500), h, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Gone: true}}})
@@ -174,7 +174,7 @@
 }
 
 // A worker changes its holder. What was learned of its speed must be sent to the new one.
-func TestSpeedGoesWithADuty(t *testing.T) {
+func TestAssignmentCarriesSpeed(t *testing.T) {
 	b := newPlannerWithHolders(t, 4, 1)
 	h := b.workers["w0"].holder
 	slow := lease.Speed{Factor: 3, Ends: 40}
@@ -195,7 +195,7 @@
 func TestWorkerThatNobodyCanHold(t *testing.T) {
 	b := newPlannerWithHolders(t, 2, 1)
 	w := testWorker(0)
-	given := 0
+	assigned := 0
 	holder := b.workers["w0"].holder
 	for at := 5000; at < 7000; at += 2 {
 		if holder != (mesh.ID{}) {
@@ -207,12 +207,12 @@
 		}
 		for _, a := range b.Take() {
 			if a.Duty != nil {
-				given++
+				assigned++
 				holder = a.To
 			}
 		}
 	}
-	if given < 2 || given > 8 {
-		t.Errorf("assigned %d times in two seconds, want 2 to 8", given)
+	if assigned < 2 || assigned > 8 {
+		t.Errorf("assigned %d times in two seconds, want 2 to 8", assigned)
 	}
 }
--- a/cell/gather.go
+++ b/cell/gather.go
@@ -23,10 +23,10 @@
 	membersByID map[mesh.ID]*member
 	// tasks counts the tasks of the step that each holder was given by this selector.
 	tasks map[*member]int
-	// openHolders is the holders of the candidates, capacity how many tasks of the step
+	// holders is the holders of the candidates, capacity how many tasks of the step
 	// the candidates of each can take.
-	openHolders []*member
-	capacity    map[*member]int
+	holders  []*member
+	capacity map[*member]int
 	// candidates is the workers to choose from; nearCount counts those in the owner's
 	// data centre.
 	candidates []*candidate
@@ -114,18 +114,18 @@
 // whose candidates can take most of it; among equals, one in the owner's data centre.
 func (h *holderSelector) largestCapacity(p *pendingRequest) *member {
 	clear(h.capacity)
-	h.openHolders = h.openHolders[:0]
+	h.holders = h.holders[:0]
 	for _, c := range h.candidates {
 		tasks, ok := h.capacity[c.holderMember]
 		if !ok {
-			h.openHolders = append(h.openHolders, c.holderMember)
+			h.holders = append(h.holders, c.holderMember)
 		}
 		h.capacity[c.holderMember] = min(tasks+c.free.CPU/max(p.Room.CPU, 1), len(p.Tasks), maxTasksPerHolder)
 	}
-	if len(h.openHolders) == 0 {
+	if len(h.holders) == 0 {
 		return nil
 	}
-	return slices.MaxFunc(h.openHolders, func(x, y *member) int {
+	return slices.MaxFunc(h.holders, func(x, y *member) int {
 		return cmp.Or(
 			cmp.Compare(h.tasks[y], h.tasks[x]),
 			cmp.Compare(h.capacity[x], h.capacity[y]),
--- a/cell/gather_test.go
+++ b/cell/gather_test.go
@@ -26,7 +26,7 @@
 				b.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true}}})
 			}
 		}
-		a := ask("a", 8)
+		a := newRequest("a", 8)
 		a.Room = lease.Room{CPU: 60}
 		b.Ask(ms(700), memberID(3), a)
 		grants, _ := place(b, 700)
@@ -49,8 +49,8 @@
 func TestRefusedTaskUpdatesFreeResources(t *testing.T) {
 	now := func(at int) time.Time { return ms(at) }
 	h := lease.NewBook(now(0), testWorker(0), lease.NewFence(9), 0, lease.Speed{}, &lease.Habits{})
-	look := h.Take()[0].Hold
-	h.Answered(now(1), *look, lease.Result{Verdict: lease.OK, Clock: 1000, Born: 1})
+	hold := h.Take()[0].Hold
+	h.Answered(now(1), *hold, lease.Result{Verdict: lease.OK, Clock: 1000, Born: 1})
 	h.State(now(1))
 	for i := range 2 {
 		r := lease.Run{Task: lease.Task(fmt.Sprintf("old.0.0.%d", i)), Number: 1}
@@ -60,7 +60,7 @@
 	b.Report(ms(601), memberID(0), Report{States: []lease.State{{ID: "w0", Fence: h.Fence(), Open: true}}})
 	granted := 0
 	for at := 602; at < 640; at += 2 {
-		a := ask(fmt.Sprint("job", at), 1)
+		a := newRequest(fmt.Sprint("job", at), 1)
 		b.Ask(ms(at), memberID(0), a)
 		grants, _ := place(b, at)
 		for _, g := range grants {
--- a/cell/health.go
+++ b/cell/health.go
@@ -8,9 +8,9 @@
 )
 
 // updateHealth stores what a holder reports of a worker's speed and failures. It ejects a
-// worker whose tasks fail, are refused or make no progress: since whatever it is given
-// ends at once, it always looks free, and would be given more than any other. An ejected
-// worker gets one probe task at a time.
+// worker whose tasks fail, are refused or make no progress. One whose tasks end at once
+// always looks free, and would be given more than any other. An ejected worker gets one
+// probe task at a time.
 func (b *Book) updateHealth(now time.Time, w *worker, s lease.Speed) {
 	previous := w.speed
 	w.speed = s
--- a/cell/load_test.go
+++ b/cell/load_test.go
@@ -17,7 +17,7 @@
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	b := crowdedWorkers(tb, rnd)
 	for i := range n {
-		a := ask(fmt.Sprintf("j%04d", i), 4)
+		a := newRequest(fmt.Sprintf("j%04d", i), 4)
 		a.Rank = rnd.IntN(3)
 		a.Estimate = time.Duration(60+rnd.IntN(900)) * time.Millisecond
 		a.Aim = a.Estimate*16/10 + time.Duration(60+rnd.IntN(2000))*time.Millisecond
@@ -44,9 +44,9 @@
 // Many more tasks are requested than can be served. The planner compared each pending
 // task with each slot of each worker and fell behind, so that yet more requests became
 // pending and the look-ahead took all of its processor time: in a deployment of 350
-// workers only an eighth of the worth was served, until seconds after the burst. A task
-// must be compared with a few groups of slots only.
-func TestLookAheadLooksAtFewPlaces(t *testing.T) {
+// workers the jobs that were served made up only an eighth of the value of all, until
+// seconds after the burst. A task must be compared with a few groups of slots only.
+func TestLookAheadUsesFewSlotGroups(t *testing.T) {
 	b := crowded(t, 1, 400)
 	groups := b.slots(ms(700), b.requestQueue.pending)
 	slotCount := 0
@@ -84,8 +84,8 @@
 	}
 	var slots []slot
 	for _, w := range b.bySpeed {
-		for _, h := range w.runs {
-			slots = append(slots, slot{h.end(ms(700), b.factor(w)), b.factor(w)})
+		for _, active := range w.runs {
+			slots = append(slots, slot{active.end(ms(700), b.factor(w)), b.factor(w)})
 		}
 	}
 	for _, w := range queue {
@@ -93,8 +93,8 @@
 		ok := true
 		for range w.Tasks {
 			best, end := -1, time.Time{}
-			for i, p := range trial {
-				if e := p.free.Add(scaled(w.Estimate, p.factor)); best < 0 || e.Before(end) {
+			for i, s := range trial {
+				if e := s.free.Add(scaled(w.Estimate, s.factor)); best < 0 || e.Before(end) {
 					best, end = i, e
 				}
 			}
@@ -111,26 +111,26 @@
 
 // The queue must be in the same order as if it were sorted anew, whichever requests are
 // added, changed and removed.
-func TestLineStaysInOrder(t *testing.T) {
+func TestRequestQueueStaysInOrder(t *testing.T) {
 	for _, order := range []Order{ByRank, ByAim, ByWork, ByRankWork} {
 		rnd := rand.New(rand.NewPCG(uint64(order), 2))
-		l := requestQueue{order: order}
+		q := requestQueue{order: order}
 		for i := range 2000 {
-			switch n := len(l.pending); {
+			switch n := len(q.pending); {
 			case n == 0 || rnd.IntN(3) == 0:
-				w := &pendingRequest{stepKey: stepKey{job: fmt.Sprint(i)}, objective: ms(rnd.IntN(5))}
-				w.Rank, w.Tasks = rnd.IntN(3), make([]lease.Run, 1+rnd.IntN(4))
-				l.add(w)
+				p := &pendingRequest{stepKey: stepKey{job: fmt.Sprint(i)}, objective: ms(rnd.IntN(5))}
+				p.Rank, p.Tasks = rnd.IntN(3), make([]lease.Run, 1+rnd.IntN(4))
+				q.add(p)
 			case rnd.IntN(2) == 0:
-				l.remove(l.pending[rnd.IntN(n)])
+				q.remove(q.pending[rnd.IntN(n)])
 			default:
-				w := l.pending[rnd.IntN(n)]
-				l.change(w, func() { w.Begun, w.Tasks = !w.Begun, w.Tasks[1:] })
-				if len(w.Tasks) == 0 {
-					l.remove(w)
+				p := q.pending[rnd.IntN(n)]
+				q.change(p, func() { p.Begun, p.Tasks = !p.Begun, p.Tasks[1:] })
+				if len(p.Tasks) == 0 {
+					q.remove(p)
 				}
 			}
-			if !slices.IsSortedFunc(l.pending, order.compare) {
+			if !slices.IsSortedFunc(q.pending, order.compare) {
 				t.Fatalf("order %d: not sorted after step %d", order, i)
 			}
 		}
@@ -147,8 +147,8 @@
 			for b.Loop() {
 				at += 10
 				book.needsPlanning = true
-				for _, w := range book.pending {
-					w.objective = ms(at + 5000)
+				for _, p := range book.pending {
+					p.objective = ms(at + 5000)
 				}
 				book.Place(ms(at))
 			}
@@ -172,14 +172,14 @@
 func TestLookAheadKnowsRacks(t *testing.T) {
 	b := crowded(t, 1, 0)
 	for i := range 300 {
-		a := ask(fmt.Sprintf("r%04d", i), 2)
+		a := newRequest(fmt.Sprintf("r%04d", i), 2)
 		a.Rack, a.Estimate, a.Aim = "r1", 500*time.Millisecond, 1000*time.Millisecond
 		b.Ask(ms(700), memberID(1), a)
 	}
 	groups := b.slots(ms(700), b.requestQueue.pending)
 	fit := 0
-	for _, w := range slices.Clone(b.requestQueue.pending) {
-		if b.scheduleInTime(w, groups) {
+	for _, p := range slices.Clone(b.requestQueue.pending) {
+		if b.scheduleInTime(p, groups) {
 			fit++
 		}
 	}
@@ -207,7 +207,7 @@
 	refusals := func(work time.Duration) (after []time.Duration) {
 		b := crowded(t, 1, 0)
 		for i := range 600 {
-			a := ask(fmt.Sprintf("j%04d", i), 4)
+			a := newRequest(fmt.Sprintf("j%04d", i), 4)
 			a.Estimate, a.Aim = work, 2*work+200*time.Millisecond
 			b.Ask(ms(700), memberID(1), a)
 		}
--- a/cell/message.go
+++ b/cell/message.go
@@ -28,9 +28,9 @@
 	// Begun is set if tasks of the job have been started, so that it can't be refused any
 	// more.
 	Begun bool `cbor:"12,keyasint,omitzero"`
-	// Label is a label that the worker must have, Rack the rack that holds the data,
-	// Apart the maximum number of tasks of the step on one worker. Empty and 0 mean no
-	// requirement.
+	// Label is the kind or the rack that the worker must have, Rack the rack that holds
+	// the data, Apart the maximum number of tasks of the step on one worker. Empty and 0
+	// mean no requirement.
 	Label string `cbor:"13,keyasint,omitzero"`
 	Rack  string `cbor:"14,keyasint,omitzero"`
 	Apart int    `cbor:"15,keyasint,omitzero"`
@@ -42,7 +42,7 @@
 type Grant struct {
 	Job   string    `cbor:"1,keyasint,omitzero"`
 	Items []Granted `cbor:"2,keyasint,omitzero"`
-	// Waited is how long the request was pending at the planner.
+	// Waited is the time since the planner last received the request.
 	Waited time.Duration `cbor:"3,keyasint,omitzero"`
 }
 
@@ -65,7 +65,7 @@
 	Why string `cbor:"2,keyasint,omitzero"`
 	// After is the delay after which the caller should retry.
 	After time.Duration `cbor:"3,keyasint,omitzero"`
-	// Waited is how long the request was pending at the planner.
+	// Waited is the time since the planner last received the request.
 	Waited time.Duration `cbor:"4,keyasint,omitzero"`
 }
 
@@ -104,8 +104,8 @@
 	Whole   bool     `cbor:"1,keyasint,omitzero"`
 	Listed  []Listed `cbor:"2,keyasint,omitzero"`
 	Dropped []string `cbor:"3,keyasint,omitzero"`
-	// Copy is set if the list comes from a current or former planner, for the next one,
-	// and not from the platform.
+	// Copy is set if a current or former planner sends its own list to the next planner;
+	// otherwise the list was read from the platform.
 	Copy bool `cbor:"4,keyasint,omitzero"`
 }
 
--- a/cell/place.go
+++ b/cell/place.go
@@ -98,12 +98,12 @@
 	}
 	queue := slices.Clone(b.requestQueue.pending)
 	best := b.bestFactor()
-	nearest := make(map[string]float64)
+	nearFactors := make(map[string]float64)
 	candidates := b.candidates(now, minCPU(queue))
 	for _, p := range queue {
 		best := best
 		if p.Rack != "" {
-			best = b.bestFactorNear(p.Rack, best, nearest)
+			best = b.bestFactorNear(p.Rack, best, nearFactors)
 		}
 		if b.cannotMeetObjective(now, p, best) {
 			b.refuse(now, p, reasonCannotMeetObjective)
@@ -115,10 +115,10 @@
 }
 
 // bestFactorNear returns the lowest factor for tasks whose data is on a rack, given the
-// lowest factor of all workers. It caches the result in found for other requests that
-// prefer the same rack.
-func (b *Book) bestFactorNear(rack string, best float64, found map[string]float64) float64 {
-	if f, ok := found[rack]; ok {
+// lowest factor of all workers. It caches the result in nearFactors for other requests
+// that prefer the same rack.
+func (b *Book) bestFactorNear(rack string, best float64, nearFactors map[string]float64) float64 {
+	if f, ok := nearFactors[rack]; ok {
 		return f
 	}
 	near := best * b.policy.Far
@@ -127,7 +127,7 @@
 			near = min(near, b.factor(w))
 		}
 	}
-	found[rack] = near
+	nearFactors[rack] = near
 	return near
 }
 
@@ -255,11 +255,11 @@
 	return time.Duration(float64(d) * factor)
 }
 
-func (b *Book) refuse(now time.Time, p *pendingRequest, why string) {
+func (b *Book) refuse(now time.Time, p *pendingRequest, reason string) {
 	b.drop(p)
-	b.counts.Refused[why]++
-	event.JobRefused.Log(b.log, "job", p.job, "queue", p.Queue, "why", why, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "aim_ms", p.objective.Sub(now).Milliseconds(), "waiting", len(b.pending))
-	b.emit(Action{To: p.owner, Refusal: &Refusal{Job: p.job, Why: why, After: b.retryAfter(p.job), Waited: now.Sub(p.requestedAt)}})
+	b.counts.Refused[reason]++
+	event.JobRefused.Log(b.log, "job", p.job, "queue", p.Queue, "why", reason, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "aim_ms", p.objective.Sub(now).Milliseconds(), "waiting", len(b.pending))
+	b.emit(Action{To: p.owner, Refusal: &Refusal{Job: p.job, Why: reason, After: b.retryAfter(p.job), Waited: now.Sub(p.requestedAt)}})
 }
 
 // reasonCannotMeetObjective is the reason of a refusal when cannotMeetObjective holds.
--- a/cell/policy.go
+++ b/cell/policy.go
@@ -30,8 +30,8 @@
 	Far float64
 }
 
-// defaultFar is the factor that the platform's deployments state today.
-const defaultFar = 2
+// defaultOtherRackFactor is the factor in the platform's deployments today.
+const defaultOtherRackFactor = 2
 
 // Order is an order of the pending requests. In each order, jobs that have begun go
 // first.
@@ -79,7 +79,7 @@
 		p.Margin = 1
 	}
 	if p.Far == 0 {
-		p.Far = defaultFar
+		p.Far = defaultOtherRackFactor
 	}
 	return p
 }
--- a/cell/report.go
+++ b/cell/report.go
@@ -17,7 +17,7 @@
 	firstFull := r.Whole && !m.reported
 	if r.Whole {
 		m.reported = true
-		b.dropUnreported(now, from, r)
+		b.clearHolderOfMissing(now, from, r)
 	}
 	for _, s := range r.States {
 		b.updateState(now, from, s)
@@ -35,9 +35,9 @@
 	}
 }
 
-// dropUnreported clears the holder of workers that are missing from a member's full
+// clearHolderOfMissing clears the holder of workers that are missing from a member's full
 // report.
-func (b *Book) dropUnreported(now time.Time, from mesh.ID, r Report) {
+func (b *Book) clearHolderOfMissing(now time.Time, from mesh.ID, r Report) {
 	for _, w := range b.workers {
 		if w.holder != from || !w.confirmed {
 			continue
@@ -107,9 +107,9 @@
 func (w *worker) dropReportedRuns(now time.Time) {
 	old := w.runs
 	w.runs, w.used = make(map[lease.Run]activeRun, len(old)), lease.Room{}
-	for r, h := range old {
-		if h.unreported && now.Sub(h.startedAt) < grantTimeout {
-			w.addRun(r, h)
+	for r, active := range old {
+		if active.unreported && now.Sub(active.startedAt) < grantTimeout {
+			w.addRun(r, active)
 		}
 	}
 }
