--- a/mesh/codec.go
+++ b/mesh/codec.go
@@ -35,7 +35,7 @@
 // The planner of a cell receives a few messages for each task. As plain JSON-RPC these
 // were some 1,200 bytes a task, and a planner on a VM of 2 Mbit/s fell behind from 200
 // tasks a second on: most jobs waited half a second for an answer while workers idled,
-// and were refused. TestMessagesAreSmall checks the sizes.
+// and were refused. TestMessagesAreSmall of package node checks the sizes.
 //
 // method and outgoing belong to the next notification to write, incoming to the last one
 // read. The former are used only by the goroutine that writes, the latter only by the one
--- a/mesh/member.go
+++ b/mesh/member.go
@@ -110,8 +110,8 @@
 	Leaving bool `json:"leaving,omitempty" cbor:"6,keyasint,omitzero"`
 	// Blind is set if the process can't reach the platform's store.
 	Blind bool `json:"blind,omitempty" cbor:"7,keyasint,omitzero"`
-	// Plans counts how often the process has become the planner of the cell. It has
-	// nothing that was sent to it before the last time.
+	// Plans counts how often the process has become the planner of the cell. Each time it
+	// starts with an empty state: it no longer has what was sent to it before.
 	Plans uint64 `json:"plans,omitempty" cbor:"8,keyasint,omitzero"`
 	// Catalog is the version of the routes and pools that are in force on the process.
 	Catalog catalog.Version `json:"catalog" cbor:"9,keyasint,omitzero"`
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -83,7 +83,8 @@
 
 // Event is what the mesh reports to the process.
 type Event[M any] struct {
-	Kind   Kind
+	Kind Kind
+	// Member is the member's state; only its ID is set with Mail, Quiet and Back.
 	Member Member
 	// Session numbers the sessions of this process. Messages of a session that has ended
 	// must be ignored.
@@ -103,7 +104,7 @@
 }
 
 // batch is the content of a notification with messages. From is set if the sender's
-// advertised state has changed, Watch while the sender watches the receiver.
+// advertised state has changed, Watch if the sender watches the receiver.
 type batch[M any] struct {
 	From  *Member `cbor:"1,keyasint,omitzero"`
 	Mail  []M     `cbor:"2,keyasint,omitzero"`
@@ -124,20 +125,20 @@
 	sessions map[netip.AddrPort]*session[M]
 	// watch holds the members whose silence must be noticed soon.
 	watch       map[ID]struct{}
-	addresses   map[netip.AddrPort]*address
+	addresses   map[netip.AddrPort]*addressState
 	lastSession uint64
 	// dialWake wakes dialLoop when an address was learned or a session has ended.
 	dialWake chan struct{}
 	wg       sync.WaitGroup
 }
 
-// address is the dialling state of an address at which there may be a member.
-type address struct {
-	// lastNamed is when the address was last learned or its session ended, nextDial when
+// addressState is the dialling state of an address at which there may be a member.
+type addressState struct {
+	// lastLearned is when the address was last learned or its session ended, nextDial when
 	// it may be dialled again.
-	lastNamed, nextDial time.Time
-	backoff             time.Duration
-	dialing             bool
+	lastLearned, nextDial time.Time
+	backoff               time.Duration
+	dialing               bool
 }
 
 // New returns a Mesh that accepts connections on the listener once Serve is called. It
@@ -152,7 +153,7 @@
 		self:      self,
 		sessions:  make(map[netip.AddrPort]*session[M]),
 		watch:     make(map[ID]struct{}),
-		addresses: make(map[netip.AddrPort]*address),
+		addresses: make(map[netip.AddrPort]*addressState),
 		dialWake:  make(chan struct{}, 1),
 	}
 }
@@ -184,10 +185,10 @@
 		return
 	}
 	if known, ok := m.addresses[a]; ok {
-		known.lastNamed = now
+		known.lastLearned = now
 		return
 	}
-	known := &address{lastNamed: now, nextDial: now, backoff: minRedialBackoff}
+	known := &addressState{lastLearned: now, nextDial: now, backoff: minRedialBackoff}
 	if m.self.ID.Address.Compare(a) > 0 {
 		known.nextDial = now.Add(higherAddressDialDelay)
 	}
@@ -276,7 +277,7 @@
 		case known.dialing || m.sessions[a] != nil:
 		case now.Before(known.nextDial):
 			next = min(next, known.nextDial.Sub(now))
-		case now.Sub(known.lastNamed) > addressRetention:
+		case now.Sub(known.lastLearned) > addressRetention:
 			delete(m.addresses, a)
 		default:
 			known.dialing = true
@@ -344,8 +345,8 @@
 var discardLogger = log.New(io.Discard, "", 0)
 
 // registerSession makes s the session with its member, and reports whether it did. It
-// ends an older session with the same address: a process that connects again has none as
-// far as it knows, unless both sides have dialled at once.
+// ends an older session with the same address: a process that connects again has lost it,
+// unless both sides have dialled at once.
 func (m *Mesh[M]) registerSession(s *session[M], h hello) bool {
 	m.mu.Lock()
 	now := time.Now()
@@ -396,10 +397,10 @@
 	}
 	delete(m.sessions, a)
 	if known := m.addresses[a]; known != nil {
-		known.lastNamed = time.Now()
-		known.nextDial = known.lastNamed
+		known.lastLearned = time.Now()
+		known.nextDial = known.lastLearned
 		if m.self.ID.Address.Compare(a) > 0 {
-			known.nextDial = known.lastNamed.Add(higherAddressDialDelay)
+			known.nextDial = known.lastLearned.Add(higherAddressDialDelay)
 		}
 	}
 	m.wakeDialer()
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -294,8 +294,8 @@
 	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 		before := n.Written(a.member.ID.Address.Addr())
 		time.Sleep(time.Minute)
-		const beatBytes = 2
-		if got, most := n.Written(a.member.ID.Address.Addr())-before, int64(time.Minute/IdleHeartbeatInterval+1)*beatBytes; got > most {
+		const heartbeatBytes = 2
+		if got, most := n.Written(a.member.ID.Address.Addr())-before, int64(time.Minute/IdleHeartbeatInterval+1)*heartbeatBytes; got > most {
 			t.Errorf("wrote %d bytes in a minute, want %d at most", got, most)
 		}
 	})
--- a/mesh/session.go
+++ b/mesh/session.go
@@ -41,7 +41,9 @@
 	deliverMu sync.Mutex
 	up, down  bool
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// member is the member's state. It is zero until the greeting has been accepted and Up
+	// has been delivered.
 	member    Member
 	ended     bool
 	reason    string
@@ -196,10 +198,10 @@
 		return
 	}
 	s.mu.Lock()
-	member, why, heard := s.member, s.reason, s.lastHeard
+	member, reason, heard := s.member, s.reason, s.lastHeard
 	s.mu.Unlock()
-	event.SessionDown.Log(s.mesh.log, "member", member.VM, "id", member.ID, "why", why, "silent_ms", time.Since(heard).Milliseconds())
-	s.mesh.deliver(Event[M]{Kind: Down, Member: member, Session: s.number, Heard: heard, Why: why})
+	event.SessionDown.Log(s.mesh.log, "member", member.VM, "id", member.ID, "why", reason, "silent_ms", time.Since(heard).Milliseconds())
+	s.mesh.deliver(Event[M]{Kind: Down, Member: member, Session: s.number, Heard: heard, Why: reason})
 }
 
 // deliver delivers an event if the session is up.
@@ -261,11 +263,11 @@
 }
 
 // end marks the session as ended and wakes the goroutine that delivers Down.
-func (s *session[M]) end(why string) {
+func (s *session[M]) end(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ended {
-		s.ended, s.reason = true, why
+		s.ended, s.reason = true, reason
 	}
 	s.wakeWriter()
 }
@@ -282,8 +284,9 @@
 	}
 }
 
-// noteMessage records that the member was heard from, and reports whether that ends a
-// silence for which Quiet was delivered.
+// noteMessage records that the member was heard from and whether its notification is
+// still being handled. It reports whether that ends a silence for which Quiet was
+// delivered.
 func (s *session[M]) noteMessage(handling bool) (recovered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
