--- a/event/event_test.go
+++ b/event/event_test.go
@@ -17,7 +17,7 @@
 	last := ID(0)
 	for _, e := range All() {
 		if e.ID <= last {
-			t.Errorf("event %d does not follow %d", e.ID, last)
+			t.Errorf("event %d is not above %d", e.ID, last)
 		}
 		last = e.ID
 		fmt.Fprintf(&b, "\n## %d %s\n\n%s, since %s. %s\n", e.ID, e.Title, e.Level, e.Since, e.Text)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if len(names) != len(All()) {
-		t.Errorf("%d numbers, %d entries", len(names), len(All()))
+		t.Errorf("%d constants, %d entries", len(names), len(All()))
 	}
 	for _, n := range names {
 		if !used[n] {
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -20,8 +20,8 @@
 const (
 	// metricPrefix is the prefix of each metric name in the exposition.
 	metricPrefix = "snipehub"
-	// otherLabel is the label value of all series beyond the limit.
-	otherLabel = "other"
+	// otherValue is the label value of all series beyond the limit.
+	otherValue = "other"
 	// reportInterval is how often tally reports its counts.
 	reportInterval = time.Second
 
@@ -46,7 +46,7 @@
 
 // series identifies a scope by its label values.
 type series struct {
-	a, b string
+	first, second string
 }
 
 // New returns an empty meter with at most limit series by caller, kind and code. It calls
@@ -85,7 +85,7 @@
 	if m == nil {
 		return
 	}
-	s := m.scope(series{a: code}, map[string]string{labelCode: code}, map[string]string{labelCode: otherLabel})
+	s := m.scope(series{first: code}, map[string]string{labelCode: code}, map[string]string{labelCode: otherValue})
 	s.Counter(string(name)).Inc(n)
 }
 
@@ -96,7 +96,7 @@
 	}
 	s := m.scope(series{caller, kind},
 		map[string]string{labelCaller: caller, labelKind: kind},
-		map[string]string{labelCaller: otherLabel, labelKind: otherLabel})
+		map[string]string{labelCaller: otherValue, labelKind: otherValue})
 	s.Histogram(string(name), buckets).RecordDuration(d)
 }
 
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -57,7 +57,7 @@
 		w := httptest.NewRecorder()
 		m.ServePublic(w, nil)
 		if have := w.Body.String(); strings.Contains(have, "a\\\"b") || !strings.Contains(have, "snipehub_forwards 3") {
-			t.Errorf("callers see each other's names, or nothing:\n%s", have)
+			t.Errorf("public metrics contain a caller's name, or lack the rest:\n%s", have)
 		}
 	})
 }
@@ -98,7 +98,7 @@
 	used["MetricSeries"] = true // by this package itself
 	for _, n := range names {
 		if !used[n] {
-			t.Errorf("meter.%s is never counted", n)
+			t.Errorf("meter.%s is never recorded", n)
 		}
 	}
 }
--- a/node/cells_test.go
+++ b/node/cells_test.go
@@ -64,7 +64,7 @@
 		c.MemberDown(ms(11), m.ID, 1, ms(9))
 	}
 	if got, want := c.Planner(), all[0].ID; got != want {
-		t.Errorf("fewer than %d in sight: planner is %s, want %s", mergeThreshold, got, want)
+		t.Errorf("fewer than %d reachable: planner is %s, want %s", mergeThreshold, got, want)
 	}
 }
 
@@ -74,7 +74,7 @@
 	c, _ := newTwoDataCenterCore(splitThreshold)
 	c.Say(ms(5), func(m *mesh.Member) { m.Share = 9 })
 	if !c.Plans() {
-		t.Fatal("does not plan")
+		t.Fatal("this process is not the planner")
 	}
 	var l cell.Listing
 	for i, dc := range []string{"even", "odd"} {
@@ -86,7 +86,7 @@
 	c.Tick(ms(3000))
 	for _, o := range c.Take(ms(3000)) {
 		if o.Mail != nil && o.Mail.Duty != nil && o.Mail.Duty.Worker.ID != "x" {
-			t.Errorf("%s is given to %s", o.Mail.Duty.Worker.ID, o.To)
+			t.Errorf("worker %s is assigned to %s", o.Mail.Duty.Worker.ID, o.To)
 		}
 	}
 	if v := c.Status(ms(3001)).Cell; v == nil || len(v.Holders) != 1 || v.Holders[0].Worker != "x" {
--- a/node/core.go
+++ b/node/core.go
@@ -97,7 +97,7 @@
 	// sortedHeld caches the sorted keys of held, since they are iterated after each event.
 	// It is nil when held has changed.
 	sortedHeld []string
-	habits     map[string]*lease.Habits
+	poolHabits map[string]*lease.Habits
 	// unannounced are the workers that became held since the members were last notified.
 	unannounced []string
 	// maxUsedFence is the highest fence used by leases of this process that have ended.
@@ -139,7 +139,7 @@
 		entry:         entry.New(log),
 		cell:          cell.New(log, self.ID, policy),
 		held:          make(map[string]*lease.Book),
-		habits:        make(map[string]*lease.Habits),
+		poolHabits:    make(map[string]*lease.Habits),
 		lostMembers:   make(map[mesh.ID]time.Time),
 		watched:       make(map[mesh.ID]struct{}),
 	}
--- a/node/core_test.go
+++ b/node/core_test.go
@@ -81,7 +81,7 @@
 		}
 	}
 	if len(held) != 1 || held[0].Worker != "w" || held[0].Fence == 0 {
-		t.Errorf("told %+v, want the worker", held)
+		t.Errorf("announced %+v, want the worker", held)
 	}
 }
 
@@ -96,11 +96,11 @@
 	start := entry.Start{Runs: []entry.Placed{{Run: lease.Run{Task: "j.0.0.0", Number: 1}, Worker: "w"}}}
 	c.Receive(ms(21), member(2).ID, 1, []Mail{{Start: &start}})
 	if got := messagesTo(c.Take(ms(21)), member(2).ID); len(got) != 0 {
-		t.Errorf("answered %+v", got)
+		t.Errorf("answered %+v to messages of an ended session", got)
 	}
 	c.Receive(ms(22), member(2).ID, 2, []Mail{{Start: &start}})
 	if got := messagesTo(c.Take(ms(22)), member(2).ID); len(got) != 1 || got[0].Ended == nil || got[0].Ended.End.Why != lease.NotHeld {
-		t.Errorf("%+v, want to be told that the worker is not held", got)
+		t.Errorf("answered %+v, want the run ended with reason not held", got)
 	}
 }
 
@@ -140,13 +140,13 @@
 	first := member(1)
 	c.MemberUp(ms(1), first, 1)
 	if _, _, ok := c.Reads(); ok {
-		t.Error("reads although the planner does")
+		t.Error("reads the worker list although the planner can")
 	}
 	first.Blind = true
 	c.MemberChanged(ms(2), first)
 	planner, _, ok := c.Reads()
 	if !ok || planner != first.ID {
-		t.Errorf("reads %v for %v, want for the planner", ok, planner)
+		t.Errorf("reads the worker list: %v, for %v; want true, for the planner", ok, planner)
 	}
 	c.Take(ms(2))
 	c.Workers(ms(3), cell.Listing{Whole: true, Listed: []cell.Listed{{Worker: testWorker()}}})
@@ -168,18 +168,18 @@
 		}
 	}
 	if want == nil {
-		t.Fatal("the catalog is not asked for")
+		t.Fatal("the newer catalog is not requested")
 	}
 	a.MemberUp(ms(2), b.Self(), 1)
 	a.Take(ms(2))
 	a.Receive(ms(3), b.Self().ID, 1, []Mail{{CatalogRequest: want}})
 	b.Receive(ms(4), a.Self().ID, 1, messagesTo(a.Take(ms(3)), b.Self().ID))
 	if v := b.Self().Catalog; v != 7 {
-		t.Errorf("version %d", v)
+		t.Errorf("catalog version %d, want 7", v)
 	}
 	b.Catalog(ms(5), &catalog.Catalog{Version: 5}, "store")
 	if v := b.Self().Catalog; v != 7 {
-		t.Errorf("version %d after an older one from the store", v)
+		t.Errorf("catalog version %d after an older one from the store, want 7", v)
 	}
 }
 
@@ -211,7 +211,7 @@
 			}
 		}
 		if (stops == 0) != back {
-			t.Errorf("%d stops; the process came back: %v", stops, back)
+			t.Errorf("%d stops; the process reconnected: %v", stops, back)
 		}
 	}
 }
@@ -236,23 +236,23 @@
 	other.MemberChanged(ms(10), first)
 	planner.Receive(ms(11), member(3).ID, 2, messagesTo(other.Take(ms(10)), planner.Self().ID))
 	planner.MemberChanged(ms(12), first)
-	var said *mesh.Member
+	var advertised *mesh.Member
 	for _, o := range planner.Take(ms(12)) {
 		if o.Say != nil {
-			said = o.Say
+			advertised = o.Say
 		}
 	}
-	if said == nil {
-		t.Fatal("a process that begins to plan doesn't say so")
+	if advertised == nil {
+		t.Fatal("a process that begins to plan does not advertise it")
 	}
-	other.MemberChanged(ms(13), *said)
+	other.MemberChanged(ms(13), *advertised)
 	var asked, reported bool
 	for _, m := range messagesTo(other.Take(ms(13)), planner.Self().ID) {
 		asked = asked || m.Ask != nil
 		reported = reported || m.Report != nil && m.Report.Whole
 	}
 	if !asked || !reported {
-		t.Errorf("asked again %v, reported again %v", asked, reported)
+		t.Errorf("requests sent again: %v, held workers reported again: %v", asked, reported)
 	}
 }
 
@@ -264,7 +264,7 @@
 func TestAnswerToACallOfAFormerHolding(t *testing.T) {
 	c := newCore(2, 1, 3)
 	c.MemberUp(ms(1), member(1), 1)
-	duty := func(at int, floor lease.Fence) (calls []lease.HoldCall) {
+	assign := func(at int, floor lease.Fence) (calls []lease.HoldCall) {
 		c.Receive(ms(at), member(1).ID, 1, []Mail{{Duty: &cell.Duty{Worker: testWorker(), Floor: floor}}})
 		for _, o := range c.Take(ms(at)) {
 			if o.Hold != nil {
@@ -273,27 +273,27 @@
 		}
 		return calls
 	}
-	look := duty(2, 0)[0]
-	c.Held(ms(3), "w", look, lease.Result{Verdict: lease.OK, Clock: 100, Born: 1})
-	var poll lease.HoldCall
+	firstHold := assign(2, 0)[0]
+	c.Held(ms(3), "w", firstHold, lease.Result{Verdict: lease.OK, Clock: 100, Born: 1})
+	var longHold lease.HoldCall
 	for _, o := range c.Take(ms(3)) {
 		if o.Hold != nil {
-			poll = *o.Hold
+			longHold = *o.Hold
 		}
 	}
 	c.Receive(ms(10), member(1).ID, 1, []Mail{{Relief: &cell.Relief{Worker: "w"}}})
 	c.Take(ms(10))
-	again := duty(20, 0)
-	if len(again) != 1 || again[0].Fence.Base() <= poll.Fence.Base() {
-		t.Fatalf("calls %+v, want one above %d", again, poll.Fence)
+	again := assign(20, 0)
+	if len(again) != 1 || again[0].Fence.Base() <= longHold.Fence.Base() {
+		t.Fatalf("calls %+v, want one with a fence above %d", again, longHold.Fence)
 	}
-	c.Held(ms(30), "w", poll, lease.Result{Verdict: lease.OK, Clock: 127, Born: 1})
+	c.Held(ms(30), "w", longHold, lease.Result{Verdict: lease.OK, Clock: 127, Born: 1})
 	if c.held["w"].Known() {
-		t.Error("the worker is held by the answer to a call of before")
+		t.Error("the worker is held after an answer to a call of the former lease")
 	}
 	c.Held(ms(31), "w", again[0], lease.Result{Verdict: lease.OK, Clock: 128, Born: 1})
 	if !c.held["w"].Known() {
-		t.Error("the worker is not held after the first look")
+		t.Error("the worker is not held after the answer to the first call")
 	}
 }
 
@@ -309,6 +309,6 @@
 	c.MemberDown(ms(2), large.ID, 1, ms(2))
 	planner, again, ok := c.Reads()
 	if planner != member(1).ID || !ok || again == first {
-		t.Errorf("reads %v for %v, begun %d times as before", ok, planner, again)
+		t.Errorf("reads the worker list: %v, for %v, which has begun %d times; want a new count", ok, planner, again)
 	}
 }
--- a/node/holder.go
+++ b/node/holder.go
@@ -45,10 +45,10 @@
 
 // habitsOf returns what is known of the workers of a pool as a whole.
 func (c *Core) habitsOf(pool string) *lease.Habits {
-	h := c.habits[pool]
+	h := c.poolHabits[pool]
 	if h == nil {
 		h = &lease.Habits{}
-		c.habits[pool] = h
+		c.poolHabits[pool] = h
 	}
 	return h
 }
--- a/node/list_test.go
+++ b/node/list_test.go
@@ -71,12 +71,12 @@
 
 	second.MemberDown(ms(100), planner.Self().ID, 1, ms(90))
 	if !second.Plans() {
-		t.Fatal("the second does not plan")
+		t.Fatal("the second process is not the planner")
 	}
 	second.Receive(ms(101), member(3).ID, 1, []Mail{{Report: &cell.Report{Whole: true}}})
 	second.Tick(ms(3000))
 	if got := assignments(second, second.Take(ms(3000))); len(got) != 2 {
-		t.Errorf("workers given %v, want both", got)
+		t.Errorf("assigned workers %v, want both", got)
 	}
 }
 
@@ -92,7 +92,7 @@
 	second.MemberDown(ms(100), planner.Self().ID, 1, ms(90))
 	second.Take(ms(100))
 	if want := "event=918 workers=1 from=" + planner.Self().ID.String(); strings.Count(log.String(), "event=918") != 1 || !strings.Contains(log.String(), want) {
-		t.Errorf("logs %s, want %s once", log.String(), want)
+		t.Errorf("log is %s, want %s once", log.String(), want)
 	}
 }
 
@@ -108,7 +108,7 @@
 	deliver(ms(21), planner, second, planner.Take(ms(20)))
 	planner.Workers(ms(30), fullList("x", "y"))
 	if out := planner.Take(ms(30)); len(messagesTo(out, second.Self().ID)) != 1 {
-		t.Errorf("told %+v, want the change of x alone", messagesTo(out, second.Self().ID))
+		t.Errorf("sent %+v, want the change of x alone", messagesTo(out, second.Self().ID))
 	} else {
 		deliver(ms(31), planner, second, out)
 	}
@@ -138,7 +138,7 @@
 	second.MemberDown(later, large.ID, 1, later)
 	second.MemberChanged(later, first)
 	if !second.Plans() {
-		t.Fatal("the second does not plan")
+		t.Fatal("the second process is not the planner")
 	}
 	if v := second.Status(later).Cell; len(v.Holders) > 0 {
 		t.Errorf("knows %+v, want nothing", v.Holders)
@@ -147,7 +147,7 @@
 	second.MemberUp(later, fresh, 9)
 	for _, m := range messagesTo(second.Take(later), fresh.ID) {
 		if m.Listing != nil {
-			t.Errorf("tells a deputy %+v", m.Listing)
+			t.Errorf("sends a deputy %+v", m.Listing)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	second.Take(ms(31))
 	for _, h := range second.Status(ms(32)).Cell.Holders {
 		if h.Worker == "old" {
-			t.Error("an old list changes what was read of the store")
+			t.Error("an old list changes the list read from the store")
 		}
 	}
 }
@@ -199,14 +199,14 @@
 		c.Say(ms(5), func(m *mesh.Member) { m.Share = 9 })
 		c.Take(ms(5))
 		c.Workers(ms(6), cell.Listing{Whole: true, Listed: []cell.Listed{{Worker: lease.Worker{ID: "w", DataCenter: "even"}}}})
-		told := make(map[mesh.ID]bool)
+		notified := make(map[mesh.ID]bool)
 		for _, o := range c.Take(ms(6)) {
 			if o.Mail != nil && o.Mail.Listing != nil {
-				told[o.To] = true
+				notified[o.To] = true
 			}
 		}
-		if len(told) != tt.want {
-			t.Errorf("%s: %d told, want %d", tt.name, len(told), tt.want)
+		if len(notified) != tt.want {
+			t.Errorf("%s: %d deputies notified, want %d", tt.name, len(notified), tt.want)
 		}
 	}
 }
--- a/node/mail_test.go
+++ b/node/mail_test.go
@@ -42,10 +42,10 @@
 	t.Logf("a job of four tasks: ask %d, reports %d, grant %d bytes", messageSize(t, Mail{Ask: ask}), reports, messageSize(t, Mail{Grant: grant}))
 	const most = 148
 	if in := (messageSize(t, Mail{Ask: ask}) + reports) / tasks; in > most {
-		t.Errorf("%d bytes in for a task, want %d at the most", in, most)
+		t.Errorf("%d bytes received per task, want at most %d", in, most)
 	}
 	if out := messageSize(t, Mail{Grant: grant}) / tasks; out > most {
-		t.Errorf("%d bytes out for a task, want %d at the most", out, most)
+		t.Errorf("%d bytes sent per task, want at most %d", out, most)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	var got Mail
 	if err := cbor.Unmarshal(b, &got); err != nil || !reflect.DeepEqual(got, m) {
-		t.Errorf("%+v is read as %+v, %v", m, got, err)
+		t.Errorf("%+v is decoded as %+v, %v", m, got, err)
 	}
 	return len(b)
 }
--- a/node/members.go
+++ b/node/members.go
@@ -217,12 +217,12 @@
 // Reads reports whether this process reads the list of workers, and returns the planner
 // for which it does and how often that has begun to plan. A planner that begins again
 // knows no workers, so it needs the whole list instead of changes.
-func (c *Core) Reads() (planner mesh.ID, plans uint64, ok bool) {
-	plans = c.self.Plans
+func (c *Core) Reads() (planner mesh.ID, term uint64, ok bool) {
+	term = c.self.Plans
 	if m, other := c.members[c.planner]; other {
-		plans = m.Plans
+		term = m.Plans
 	}
-	return c.planner, plans, c.listReader == c.self.ID
+	return c.planner, term, c.listReader == c.self.ID
 }
 
 // syncPlanner prepares a new planner to be sent everything: all held workers and all
--- a/node/node.go
+++ b/node/node.go
@@ -330,9 +330,9 @@
 
 // publish copies the state of the core that other goroutines need.
 func (n *Node) publish() {
-	p, plans, reads := n.core.Reads()
-	n.planner.Store(&p)
-	n.plannerTerm.Store(plans)
+	planner, term, reads := n.core.Reads()
+	n.planner.Store(&planner)
+	n.plannerTerm.Store(term)
 	n.quorum.Store(n.core.HasQuorum())
 	n.readsWorkers.Store(reads)
 }
--- a/node/records.go
+++ b/node/records.go
@@ -14,8 +14,8 @@
 // recordTracker tracks the processes that the store lists. It does no I/O.
 //
 // A listed process counts towards the quorum without which no worker is assigned to
-// another holder, and nobody deletes the record of a killed process. So records that are
-// no longer renewed must expire: otherwise a deployment of eight could not reassign
+// another holder, and a killed process does not delete its own record. So records that
+// are no longer renewed must expire: otherwise a deployment of eight could not reassign
 // workers after its eighth replacement at a new address, nor after five of eight
 // processes were lost at once, and tasks on the workers of the lost ones would never
 // start.
--- a/node/records_test.go
+++ b/node/records_test.go
@@ -43,7 +43,7 @@
 	r.markRenewed(vmAt(2))
 	for range maxMissedRenewals {
 		if gone := r.markRenewed(vmAt(1)); len(gone) != 0 {
-			t.Fatalf("%v was forgotten", gone)
+			t.Fatalf("%v was removed", gone)
 		}
 	}
 	r.markRenewed(vmAt(2))
@@ -51,7 +51,7 @@
 		r.markRenewed(vmAt(1))
 	}
 	if got := r.list(); len(got) != 2 {
-		t.Errorf("listed are %v", got)
+		t.Errorf("listed processes are %v, want both", got)
 	}
 }
 
@@ -62,6 +62,6 @@
 	r.markRenewed(vmAt(1))
 	r.markRenewed(vmAt(2))
 	if got := r.list(); len(got) != 2 {
-		t.Errorf("listed are %v", got)
+		t.Errorf("listed processes are %v, want both", got)
 	}
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -48,9 +48,9 @@
 	n.advertise(ctx, func(m *mesh.Member) { m.Leaving = true })
 	clock.Sleep(ctx, lameDuckPeriod)
 	n.closeCallersListener(ctx)
-	dropped := make(chan struct{})
+	recordDeleted := make(chan struct{})
 	go func() {
-		defer close(dropped)
+		defer close(recordDeleted)
 		if _, err := n.putOwnRecord(ctx, nil); err != nil {
 			event.MemberNotRecorded.Log(n.log, "error", err)
 		}
@@ -62,7 +62,7 @@
 		}
 		clock.Sleep(ctx, stopPollInterval)
 	}
-	<-dropped
+	<-recordDeleted
 	n.shutdown(ctx)
 }
 
@@ -75,9 +75,9 @@
 // once every caller has a connection and nobody has connected for a while.
 func (n *Node) closeCallersListener(ctx context.Context) {
 	n.closingListener.Store(true)
-	accepts, bounded := n.ln.callers.(deadlineListener)
-	if bounded {
-		_ = accepts.SetDeadline(time.Now().Add(acceptQuietPeriod))
+	listener, hasDeadline := n.ln.callers.(deadlineListener)
+	if hasDeadline {
+		_ = listener.SetDeadline(time.Now().Add(acceptQuietPeriod))
 	}
 	t := time.NewTimer(listenerCloseTimeout)
 	defer t.Stop()
--- a/node/store.go
+++ b/node/store.go
@@ -193,7 +193,7 @@
 		return err
 	}
 	numbered := false
-	for retry := recordRetryMin; ; {
+	for backoff := recordRetryMin; ; {
 		pause := renewInterval/2 + rand.N(renewInterval)
 		if n.stopping.Load() {
 			// stop deletes the record.
@@ -204,15 +204,15 @@
 		switch {
 		case err != nil:
 			event.MemberNotRecorded.Log(n.log, "error", err)
-			pause = retry
-			retry = min(2*retry, recordRetryMax)
+			pause = backoff
+			backoff = min(2*backoff, recordRetryMax)
 		case !numbered:
 			numbered = true
 			event.MemberRecorded.Log(n.log, "number", uint64(o)+1)
 			n.advertise(ctx, func(m *mesh.Member) { m.Number = uint64(o) + 1 })
-			retry = recordRetryMin
+			backoff = recordRetryMin
 		default:
-			retry = recordRetryMin
+			backoff = recordRetryMin
 		}
 		if !clock.Sleep(ctx, pause) {
 			return ctx.Err()
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -80,14 +80,14 @@
 	w := watchSet{}
 	c := connectedCore(4, 1, 2, 3)
 	w.take(c.Take(ms(1)))
-	w.want(t, "planner in sight", 1)
+	w.want(t, "planner reachable", 1)
 	c.MemberQuiet(ms(300), member(1).ID, 1, ms(50))
 	w.take(c.Take(ms(300)))
-	w.want(t, "planner late", 1, 2, 3)
+	w.want(t, "planner's heartbeat overdue", 1, 2, 3)
 	c.MemberBack(member(1).ID, 1)
 	c.Tick(ms(300).Add(watchAllDuration))
 	w.take(c.Take(ms(300).Add(watchAllDuration)))
-	w.want(t, "planner back", 1)
+	w.want(t, "planner heard from again", 1)
 }
 
 // A thousand workers get a holder when all processes start, and each is announced to all
@@ -106,10 +106,10 @@
 		}
 	}
 	if got := messagesTo(c.Take(ms(5)), member(3).ID); len(got) != 0 {
-		t.Errorf("told at once: %+v", got)
+		t.Errorf("announced before the next tick: %+v", got)
 	}
 	c.Tick(ms(10))
 	if got := messagesTo(c.Take(ms(10)), member(3).ID); len(got) != 2 || got[0].Held == nil || got[1].Held == nil {
-		t.Errorf("told %+v, want both workers", got)
+		t.Errorf("announced %+v, want both workers", got)
 	}
 }
