--- a/node/core.go
+++ b/node/core.go
@@ -113,9 +113,8 @@
 	// and quorumSince is the time from which it has been.
 	quorum      bool
 	quorumSince time.Time
-	// fullReportAt is when the planner was last sent the list of all held workers, and
-	// describedAt when it was last sent their complete states. Zero means that this is
-	// still due.
+	// fullReportAt is when the planner was last sent the list of all held workers, or zero
+	// while that is due; describedAt is when it was last sent their complete states.
 	fullReportAt, describedAt time.Time
 	// reportedAt is when the planner was last sent any report.
 	reportedAt time.Time
