--- a/node/cells.go
+++ b/node/cells.go
@@ -17,8 +17,8 @@
 )
 
 // updateCellLayout decides whether each data centre is a cell of its own, and reports
-// whether that has changed. It counts the processes that the store lists or, without that
-// list, the reachable ones.
+// whether that has changed. It counts the processes that the store lists or the reachable
+// ones, whichever are more.
 func (c *Core) updateCellLayout(reachable []mesh.Member) bool {
 	n := max(len(c.recordedAddrs), len(reachable))
 	before := c.cellPerDataCenter
--- a/node/core.go
+++ b/node/core.go
@@ -36,8 +36,8 @@
 	Unheld         *entry.Unheld    `cbor:"17,keyasint,omitzero"`
 }
 
-// CatalogRequest asks a member for its catalog, which it advertises with this version or
-// a newer one.
+// CatalogRequest asks a member for its catalog. Version is the version that the member
+// advertised; its catalog may be newer by now.
 type CatalogRequest struct {
 	Version catalog.Version `cbor:"1,keyasint,omitzero"`
 }
@@ -102,15 +102,15 @@
 	unannounced []string
 	// maxUsedFence is the highest fence used by leases of this process that have ended.
 	maxUsedFence lease.Fence
-	// lostMembers maps entry processes that are unreachable to the time they were last
-	// heard.
+	// lostMembers maps members whose session has ended to the time they were last heard,
+	// until they reconnect or their runs here are stopped.
 	lostMembers map[mesh.ID]time.Time
 	// watched are the members whose heartbeats are watched closely. Until watchAllUntil,
 	// all members are.
 	watched       map[mesh.ID]struct{}
 	watchAllUntil time.Time
 	// quorum is set if more than half of the processes that the store lists are reachable,
-	// and quorumSince is the time from which it has been.
+	// and quorumSince is when it was set or this process last resumed from a suspension.
 	quorum      bool
 	quorumSince time.Time
 	// fullReportAt is when the planner was last sent the list of all held workers, or zero
@@ -175,14 +175,14 @@
 
 func (c *Core) runActionsOnce(now time.Time) bool {
 	c.cell.Place(now)
-	entries, plans := c.entry.Take(), c.cell.Take()
-	for _, a := range entries {
+	entryActions, plannerActions := c.entry.Take(), c.cell.Take()
+	for _, a := range entryActions {
 		c.handleEntryAction(now, a)
 	}
-	for _, a := range plans {
+	for _, a := range plannerActions {
 		c.handlePlannerAction(now, a)
 	}
-	more := len(entries)+len(plans) > 0
+	more := len(entryActions)+len(plannerActions) > 0
 	for _, id := range c.heldIDs() {
 		b := c.held[id]
 		acts := b.Take()
@@ -250,7 +250,8 @@
 	}
 }
 
-// send delivers a message. One to this process itself does not pass through the mesh.
+// send delivers a message. One to this process itself does not pass through the mesh, and
+// one to the zero ID is dropped.
 func (c *Core) send(now time.Time, to mesh.ID, m Mail) {
 	switch {
 	case to == (mesh.ID{}):
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -17,7 +17,7 @@
 // since the start.
 type coreStats struct {
 	sessions, held, jobs int
-	plans                bool
+	isPlanner            bool
 	view                 cell.View
 	granted              int64
 	refused              map[string]int64
@@ -31,13 +31,13 @@
 		sessions:   len(c.members),
 		held:       len(c.held),
 		jobs:       c.entry.Len(),
-		plans:      c.Plans(),
+		isPlanner:  c.Plans(),
 		granted:    c.cell.Counts().Granted,
 		refused:    copied(c.cell.Counts().Refused),
 		ended:      copied(c.entry.Counts().Ended),
 		notStarted: copied(c.entry.Counts().NotStarted),
 	}
-	if stats.plans {
+	if stats.isPlanner {
 		stats.view = c.cell.View(now)
 	}
 	return stats
@@ -77,7 +77,7 @@
 	m.Gauge(meter.StoreAge, n.storeAge()[topicOperator].Seconds())
 	m.Gauge(meter.OpenJobs, float64(stats.jobs))
 	m.Gauge(meter.WorkersHeld, float64(stats.held))
-	m.Gauge(meter.Planning, float64(compareBool(stats.plans, false)))
+	m.Gauge(meter.Planning, float64(compareBool(stats.isPlanner, false)))
 	m.Gauge(meter.PlannerWaiting, float64(stats.view.Waiting))
 	m.Gauge(meter.PlannerWorkers, float64(stats.view.Workers))
 	m.Gauge(meter.PlannerFreeCores, stats.view.FreeCores)
--- a/node/holder.go
+++ b/node/holder.go
@@ -21,8 +21,8 @@
 	event.HoldingBegan.Log(c.log, "worker", d.Worker.ID, "address", d.Worker.Address, "floor", uint64(d.Floor))
 	c.dropHolding(d.Worker.ID)
 	c.sortedHeld = nil
-	floor := max(d.Floor, c.maxUsedFence)
-	c.held[d.Worker.ID] = lease.NewBook(now, d.Worker, lease.NewFence(c.self.Number), floor, d.Speed, c.habitsOf(d.Worker.Pool))
+	minFence := max(d.Floor, c.maxUsedFence)
+	c.held[d.Worker.ID] = lease.NewBook(now, d.Worker, lease.NewFence(c.self.Number), minFence, d.Speed, c.habitsOf(d.Worker.Pool))
 }
 
 // dropHolding removes the lease on a worker and keeps the highest fence that it used,
@@ -68,7 +68,7 @@
 		// The grant may stem from an earlier lease of this process, if the planner knows
 		// only that one. The owner orders holders by the fence of its grant, so if the run
 		// were started here, a holder from between the two leases could make the owner
-		// believe that it is lost.
+		// believe that the run is lost.
 		if b == nil || b.Fence().Base() != r.Fence.Base() {
 			end := lease.End{Run: r.Run, How: lease.Never, Why: lease.NotHeld}
 			c.send(now, from, Mail{Ended: &entry.Ended{Worker: r.Worker, End: end}})
--- a/node/list.go
+++ b/node/list.go
@@ -12,13 +12,13 @@
 
 // workerList is the platform's list of workers as a planner last knew it. The planner
 // copies it to its deputies. Otherwise a new planner that starts while the store is
-// unreachable would know only the workers with live holders, and those of the previous
-// planner would get no tasks until the store is back.
+// unreachable would know only the workers with live holders, and the workers that the
+// previous planner held would get no tasks until the store is back.
 type workerList struct {
 	// source is the process that has sent the list, or this process if it was the planner.
 	source mesh.ID
-	// expires is when the list becomes too old to be used. It is zero while source is the
-	// planner.
+	// expires is when the list becomes too old to be used. It is zero until source is no
+	// longer the planner.
 	expires time.Time
 	workers map[string]cell.Listed
 }
@@ -88,7 +88,8 @@
 }
 
 // handleWorkerList handles a list of workers: either one read from the store for the
-// planner, by this process or another one, or the copy of a planner.
+// planner, by this process or another one, or the copy of a planner. Only the planner uses
+// the former. A member ignores a copy from another process while it has the planner's.
 func (c *Core) handleWorkerList(now time.Time, from mesh.ID, l cell.Listing) {
 	switch {
 	case c.cell.Active() && l.Copy:
@@ -162,8 +163,8 @@
 		_, is := c.deputies[m.ID]
 		switch {
 		case is && !was && len(c.list.workers) > 0:
-			whole := c.list.full()
-			c.send(now, m.ID, Mail{Listing: &whole})
+			full := c.list.full()
+			c.send(now, m.ID, Mail{Listing: &full})
 		case was && !is:
 			c.send(now, m.ID, Mail{Listing: &cell.Listing{Whole: true, Copy: true}})
 		}
--- a/node/mail_test.go
+++ b/node/mail_test.go
@@ -40,16 +40,17 @@
 		reports += messageSize(t, Mail{Report: &cell.Report{States: []lease.State{s}}})
 	}
 	t.Logf("a job of four tasks: ask %d, reports %d, grant %d bytes", messageSize(t, Mail{Ask: ask}), reports, messageSize(t, Mail{Grant: grant}))
-	const most = 148
-	if in := (messageSize(t, Mail{Ask: ask}) + reports) / tasks; in > most {
-		t.Errorf("%d bytes received per task, want at most %d", in, most)
+	const maxBytesPerTask = 148
+	if in := (messageSize(t, Mail{Ask: ask}) + reports) / tasks; in > maxBytesPerTask {
+		t.Errorf("%d bytes received per task, want at most %d", in, maxBytesPerTask)
 	}
-	if out := messageSize(t, Mail{Grant: grant}) / tasks; out > most {
-		t.Errorf("%d bytes sent per task, want at most %d", out, most)
+	if out := messageSize(t, Mail{Grant: grant}) / tasks; out > maxBytesPerTask {
+		t.Errorf("%d bytes sent per task, want at most %d", out, maxBytesPerTask)
 	}
 }
 
-// holdOf returns the hold call that the lease has in progress.
+// holdOf returns the hold call among the actions of the lease or, if there is none, one
+// with a number that no call has.
 func holdOf(t *testing.T, b *lease.Book) lease.HoldCall {
 	t.Helper()
 	call := lease.HoldCall{Number: -1, Sent: ms(2), Wait: time.Second}
--- a/node/members.go
+++ b/node/members.go
@@ -100,19 +100,19 @@
 		return
 	}
 	event.MemberStateChanged.Log(c.log, "member", m.VM, "id", m.ID, "number", m.Number, "leaving", m.Leaving, "blind", m.Blind, "plans", m.Plans, "catalog", uint64(m.Catalog))
-	before, was := c.planner, p.Member
+	formerPlanner, previous := c.planner, p.Member
 	began := m.Plans != p.Plans
 	p.Member = m
 	c.members[m.ID] = p
 	c.requestNewerCatalog(now, m)
-	was.Catalog = m.Catalog
-	if was == m {
+	previous.Catalog = m.Catalog
+	if previous == m {
 		// Only the catalog version differs, which does not affect the election. Each change
 		// of the configuration causes one such message from every member at once.
 		return
 	}
 	c.elect(now)
-	if began && m.ID == before && m.ID == c.planner {
+	if began && m.ID == formerPlanner && m.ID == c.planner {
 		c.syncPlanner(now)
 	}
 }
@@ -183,9 +183,10 @@
 // connect to each other: some hundred milliseconds, a second on slow VMs.
 const discoveryTimeout = 2 * time.Second
 
-// updatePlanning starts or stops planning, and reports whether it has started. Members
-// that elected this process before it elected itself have sent it messages that it could
-// not use. It therefore advertises that it has started, and they send them again.
+// updatePlanning starts or stops planning, and reports whether it has started; self is set
+// if this process is the elected planner. Members that elected this process before it
+// elected itself have sent it messages that it could not use. It therefore advertises that
+// it has started, and they send them again.
 func (c *Core) updatePlanning(now time.Time, self bool) (began bool) {
 	switch {
 	case self == c.cell.Active():
@@ -225,15 +226,16 @@
 	return c.planner, term, c.listReader == c.self.ID
 }
 
-// syncPlanner prepares a new planner to be sent everything: all held workers and all
-// pending tasks.
+// syncPlanner has everything sent to a planner that is new, has connected or has begun to
+// plan: all held workers with the next report, and all pending tasks again.
 func (c *Core) syncPlanner(now time.Time) {
 	c.fullReportAt, c.reportedAt = time.Time{}, time.Time{}
 	if c.self.Blind && c.planner != c.self.ID && c.planner != c.list.source && c.list.usable(now) {
 		// The planner may be unable to reach the store as well.
-		whole := c.list.full()
-		c.send(now, c.planner, Mail{Listing: &whole})
+		full := c.list.full()
+		c.send(now, c.planner, Mail{Listing: &full})
 	}
+	// The entry sends its requests again only if the planner changes.
 	c.entry.Planner(now, mesh.ID{})
 	c.entry.Planner(now, c.planner)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -102,7 +102,7 @@
 	core     *Core
 	ln       listeners
 
-	// work queues the events for the core in the order of their arrival.
+	// work is the queue of events for the core, in the order of their arrival.
 	work chan work
 	// root is the context of calls to workers and of the process's services. It outlives
 	// the context of Run until the stop is complete.
@@ -116,8 +116,8 @@
 	closingListener atomic.Bool
 	listenerClosed  chan struct{}
 	openJobs        atomic.Int64
-	// quorum is set if most other processes are reachable; startedAt is when this one
-	// started.
+	// quorum is set if more than half of the processes that the store lists are reachable;
+	// startedAt is when this process started, as the time since boot.
 	quorum    atomic.Bool
 	startedAt time.Duration
 	// readsWorkers is set if this process reads the list of workers for the planner.
@@ -167,13 +167,13 @@
 		listenerClosed: make(chan struct{}),
 		topics:         make(map[string]*registry.Follower),
 	}
-	n.meter = meter.New(metricSeries, func() { event.MetricsFull.Log(log) })
+	n.meter = meter.New(maxMetricSeries, func() { event.MetricsFull.Log(log) })
 	n.mesh = mesh.New(log, self, ln.peers, p.Dial, n.handleMeshEvent)
 	return n, nil
 }
 
-// metricSeries bounds the metric series that are kept apart by queue, status or code.
-const metricSeries = 500
+// maxMetricSeries bounds the metric series that are kept apart by queue, status or code.
+const maxMetricSeries = 500
 
 func bind(cfg Config) (listeners, error) {
 	var l listeners
--- a/node/records_test.go
+++ b/node/records_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func vmAt(n int) netip.AddrPort {
+func vmAddr(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
 }
 
@@ -15,8 +15,8 @@
 // would be no majority any more, and the workers of the next process that died would get
 // no holder: their tasks would never start.
 func TestReplacedProcessesDoNotCount(t *testing.T) {
-	r := newRecordTracker(vmAt(1))
-	live := []netip.AddrPort{vmAt(1), vmAt(2), vmAt(3), vmAt(4)}
+	r := newRecordTracker(vmAddr(1))
+	live := []netip.AddrPort{vmAddr(1), vmAddr(2), vmAddr(3), vmAddr(4)}
 	next := 5
 	renew := func() {
 		for _, a := range live {
@@ -25,7 +25,7 @@
 	}
 	renew()
 	for range 8 {
-		live[3] = vmAt(next)
+		live[3] = vmAddr(next)
 		next++
 		for range maxMissedRenewals + 1 {
 			renew()
@@ -39,16 +39,16 @@
 // A live process renews its record a little later than the others, or misses two renewals
 // because the store rejects it. It still counts.
 func TestProcessThatRenewsLateCounts(t *testing.T) {
-	r := newRecordTracker(vmAt(1))
-	r.markRenewed(vmAt(2))
+	r := newRecordTracker(vmAddr(1))
+	r.markRenewed(vmAddr(2))
 	for range maxMissedRenewals {
-		if gone := r.markRenewed(vmAt(1)); len(gone) != 0 {
+		if gone := r.markRenewed(vmAddr(1)); len(gone) != 0 {
 			t.Fatalf("%v was removed", gone)
 		}
 	}
-	r.markRenewed(vmAt(2))
+	r.markRenewed(vmAddr(2))
 	for range maxMissedRenewals {
-		r.markRenewed(vmAt(1))
+		r.markRenewed(vmAddr(1))
 	}
 	if got := r.list(); len(got) != 2 {
 		t.Errorf("listed processes are %v, want both", got)
@@ -58,9 +58,9 @@
 // While the store is unreachable for an hour, no record can be renewed, and none must be
 // removed.
 func TestNobodyIsForgottenWithoutTheStore(t *testing.T) {
-	r := newRecordTracker(vmAt(1))
-	r.markRenewed(vmAt(1))
-	r.markRenewed(vmAt(2))
+	r := newRecordTracker(vmAddr(1))
+	r.markRenewed(vmAddr(1))
+	r.markRenewed(vmAddr(2))
 	if got := r.list(); len(got) != 2 {
 		t.Errorf("listed processes are %v, want both", got)
 	}
--- a/node/report.go
+++ b/node/report.go
@@ -16,17 +16,18 @@
 	fullReportInterval = time.Second
 	// describeInterval is how often the complete states are sent. A session loses no
 	// messages, and a new planner is sent everything at once, so this only repairs what
-	// should not happen. At once a second it was a third of what a planner received.
+	// should not happen. Sent every second, they were a third of what a planner received.
 	describeInterval = 5 * time.Second
 	// reportsPerPlannerDelay is how many reports are sent in the time that the planner
 	// takes to answer. More would carry little new information and fill the planner's
-	// link: single reports took two fifths of it. A planner that answers in 4 ms gets each
-	// change at once, since changes are further apart.
+	// link: one report for each change took two fifths of it. A planner that answers in
+	// 4 ms gets each change at once, since changes are further apart.
 	reportsPerPlannerDelay = 4
 )
 
 // report sends the planner the states of workers that have changed and, at intervals, of
-// all workers.
+// all workers. It also removes the leases that are closed and notifies the owners of runs
+// on these workers.
 func (c *Core) report(now time.Time) {
 	if c.planner == (mesh.ID{}) || now.Sub(c.reportedAt) < c.entry.PlannerDelay()/reportsPerPlannerDelay {
 		return
--- a/node/stop.go
+++ b/node/stop.go
@@ -66,8 +66,8 @@
 	n.shutdown(ctx)
 }
 
-// closeCallersListener closes the callers' listener, then has requests over open
-// connections refused.
+// closeCallersListener closes the callers' listener. From then on, requests that arrive
+// over open connections are refused.
 //
 // Closing a listener resets the connections in its accept queue, whose callers have
 // already written requests. While each answer closes its connection, busy callers keep
--- a/node/store.go
+++ b/node/store.go
@@ -41,9 +41,11 @@
 	topicMembers  = "members"
 )
 
-func (n *Node) follower(cfg registry.Config, s registry.Source, turn func() string, emit func(context.Context, registry.News)) *registry.Follower {
+// follower returns a follower of a topic. If readFor is not nil, the topic is read only
+// while it does not return "", and from the start when its result changes.
+func (n *Node) follower(cfg registry.Config, s registry.Source, readFor func() string, emit func(context.Context, registry.News)) *registry.Follower {
 	cfg.Timeout = storeTimeout
-	f := registry.New(cfg, n.log, s, turn, emit)
+	f := registry.New(cfg, n.log, s, readFor, emit)
 	f.Count = func(ok bool) {
 		name := meter.StoreReads
 		if !ok {
@@ -139,28 +141,28 @@
 
 // followMembers follows the list of processes.
 func (n *Node) followMembers() *registry.Follower {
-	known := newRecordTracker(n.cfg.Peers)
+	tracker := newRecordTracker(n.cfg.Peers)
 	return n.follower(registry.Config{Name: topicMembers, Wait: membersPollWait}, n.platform.Members, nil, func(ctx context.Context, news registry.News) {
 		if news.Whole {
-			known.clear()
+			tracker.clear()
 		}
 		for _, r := range news.Records {
-			n.applyMemberRecord(ctx, known, r)
+			n.applyMemberRecord(ctx, tracker, r)
 		}
-		addrs := known.list()
+		addrs := tracker.list()
 		n.mesh.Learn(addrs...)
 		n.enqueue(ctx, func(now time.Time, c *Core) { c.Known(now, addrs) })
 	})
 }
 
-func (n *Node) applyMemberRecord(ctx context.Context, known *recordTracker, r registry.Record) {
+func (n *Node) applyMemberRecord(ctx context.Context, tracker *recordTracker, r registry.Record) {
 	a, err := netip.ParseAddrPort(r.Key)
 	if err != nil {
 		event.RecordUnreadable.Log(n.log, "topic", topicMembers, "key", r.Key, "error", err)
 		return
 	}
 	if r.Dropped {
-		known.remove(a)
+		tracker.remove(a)
 		return
 	}
 	var m memberRecord
@@ -168,7 +170,7 @@
 		event.RecordUnreadable.Log(n.log, "topic", topicMembers, "key", r.Key, "error", err)
 		return
 	}
-	for _, gone := range known.markRenewed(a) {
+	for _, gone := range tracker.markRenewed(a) {
 		n.removeRecord(ctx, gone)
 	}
 }
