--- a/node/core_test.go
+++ b/node/core_test.go
@@ -22,8 +22,8 @@
 	return mesh.Member{ID: mesh.ID{Address: a, Boot: uint64(n)}, DataCenter: "dc", Share: 1, Number: uint64(n)}
 }
 
-// newCore is the core of member n, which has the first catalog and knows others by the
-// store.
+// newCore returns the core of member n, which has the first catalog and the store's list
+// of the known members.
 func newCore(n int, known ...int) *Core {
 	self := member(n)
 	self.Number = 0
@@ -39,8 +39,8 @@
 	return c
 }
 
-// mail returns the messages to a member.
-func mail(out []Output, to mesh.ID) (all []Mail) {
+// messagesTo returns the messages to a member.
+func messagesTo(out []Output, to mesh.ID) (all []Mail) {
 	for _, o := range out {
 		if o.Mail != nil && o.To == to {
 			all = append(all, *o.Mail)
@@ -53,8 +53,8 @@
 	return lease.Worker{ID: "w", Address: netip.MustParseAddrPort("10.1.0.1:1"), DataCenter: "dc", Pool: "p", Room: lease.Room{CPU: 60}}
 }
 
-// holding is a core that holds a worker with a run that nobody has claimed yet.
-func holding(t *testing.T, c *Core, from mesh.Member) {
+// holdWorker makes a core hold a worker with a run that nobody has claimed yet.
+func holdWorker(t *testing.T, c *Core, from mesh.Member) {
 	t.Helper()
 	c.MemberUp(ms(1), from, 1)
 	c.Receive(ms(2), from.ID, 1, []Mail{{Duty: &cell.Duty{Worker: testWorker()}}})
@@ -67,26 +67,26 @@
 	c.Take(ms(3))
 }
 
-// A process that has just started takes over a worker before it has met all others.
-// One that it meets later has a run there: it must learn who holds the worker now, or
-// its caller waits for two seconds until the run counts as lost.
+// A process that has just started takes over a worker before it has sessions with all
+// others. A member that connects later owns a run there: if it is not told the new
+// holder, its caller waits two seconds until the run counts as lost.
 func TestHeldWorkersAreToldToANewSession(t *testing.T) {
 	c := newCore(2, 1, 3)
-	holding(t, c, member(1))
+	holdWorker(t, c, member(1))
 	c.MemberUp(ms(50), member(3), 2)
 	var held []entry.Held
-	for _, m := range mail(c.Take(ms(50)), member(3).ID) {
+	for _, m := range messagesTo(c.Take(ms(50)), member(3).ID) {
 		if m.Held != nil {
 			held = append(held, *m.Held)
 		}
 	}
 	if len(held) != 1 || held[0].Worker != "w" || held[0].Fence == 0 {
-		t.Errorf("told %+v, want the worker", held)
+		t.Errorf("announced %+v, want the worker", held)
 	}
 }
 
-// The messages of a session that is over arrive after its end was noted. What they ask
-// for was settled otherwise since.
+// Messages of an ended session arrive after its end was handled. What they ask for has
+// been settled since, so they must be dropped.
 func TestMailOfAnEndedSession(t *testing.T) {
 	c := newCore(1, 2)
 	c.MemberUp(ms(1), member(2), 1)
@@ -95,18 +95,18 @@
 	c.Take(ms(20))
 	start := entry.Start{Runs: []entry.Placed{{Run: lease.Run{Task: "j.0.0.0", Number: 1}, Worker: "w"}}}
 	c.Receive(ms(21), member(2).ID, 1, []Mail{{Start: &start}})
-	if got := mail(c.Take(ms(21)), member(2).ID); len(got) != 0 {
-		t.Errorf("answered %+v", got)
+	if got := messagesTo(c.Take(ms(21)), member(2).ID); len(got) != 0 {
+		t.Errorf("answered %+v to messages of an ended session", got)
 	}
 	c.Receive(ms(22), member(2).ID, 2, []Mail{{Start: &start}})
-	if got := mail(c.Take(ms(22)), member(2).ID); len(got) != 1 || got[0].Ended == nil || got[0].Ended.End.Why != lease.NotHeld {
-		t.Errorf("%+v, want to be told that the worker is not held", got)
+	if got := messagesTo(c.Take(ms(22)), member(2).ID); len(got) != 1 || got[0].Ended == nil || got[0].Ended.End.Why != lease.NotHeld {
+		t.Errorf("answered %+v, want the run ended with reason not held", got)
 	}
 }
 
-// Who plans must not change when another process joins: what waits would have to be
-// asked for again. It changes when the planner leaves.
-func TestWhoPlans(t *testing.T) {
+// The planner must not change when another process joins, because all pending tasks would
+// have to be requested again. It changes when the planner leaves.
+func TestPlannerElection(t *testing.T) {
 	c := newCore(3, 1, 2)
 	if c.Planner() != member(3).ID || !c.Plans() {
 		t.Fatalf("alone, the planner is %v", c.Planner())
@@ -133,62 +133,62 @@
 	}
 }
 
-// The store turns the planner away and serves the others: one of them reads the list
-// of workers for it. Else tasks would be started on workers that have long left.
-func TestWhoReads(t *testing.T) {
+// The store rejects the planner and serves the others, so one of them must read the list
+// of workers for it. Otherwise tasks would be started on workers that have long left.
+func TestWorkerListReaderElection(t *testing.T) {
 	c := newCore(2, 1)
 	first := member(1)
 	c.MemberUp(ms(1), first, 1)
 	if _, _, ok := c.Reads(); ok {
-		t.Error("reads although the planner does")
+		t.Error("reads the worker list although the planner can")
 	}
 	first.Blind = true
 	c.MemberChanged(ms(2), first)
 	planner, _, ok := c.Reads()
 	if !ok || planner != first.ID {
-		t.Errorf("reads %v for %v, want for the planner", ok, planner)
+		t.Errorf("reads the worker list: %v, for %v; want true, for the planner", ok, planner)
 	}
 	c.Take(ms(2))
 	c.Workers(ms(3), cell.Listing{Whole: true, Listed: []cell.Listed{{Worker: testWorker()}}})
-	got := mail(c.Take(ms(3)), first.ID)
+	got := messagesTo(c.Take(ms(3)), first.ID)
 	if len(got) != 1 || got[0].Listing == nil || !got[0].Listing.Whole {
 		t.Errorf("sent %+v, want the list", got)
 	}
 }
 
-// A member has a newer configuration; the store may never tell this process.
+// A member has a newer configuration, which this process may never get from the store.
 func TestNewerCatalogOfAMember(t *testing.T) {
 	a, b := newCore(1, 2), newCore(2, 1)
 	a.Catalog(ms(1), &catalog.Catalog{Version: 7}, "store")
 	b.MemberUp(ms(2), a.Self(), 1)
-	var want *Want
-	for _, m := range mail(b.Take(ms(2)), a.Self().ID) {
-		if m.Want != nil {
-			want = m.Want
+	var want *CatalogRequest
+	for _, m := range messagesTo(b.Take(ms(2)), a.Self().ID) {
+		if m.CatalogRequest != nil {
+			want = m.CatalogRequest
 		}
 	}
 	if want == nil {
-		t.Fatal("the catalog is not asked for")
+		t.Fatal("the newer catalog is not requested")
 	}
 	a.MemberUp(ms(2), b.Self(), 1)
 	a.Take(ms(2))
-	a.Receive(ms(3), b.Self().ID, 1, []Mail{{Want: want}})
-	b.Receive(ms(4), a.Self().ID, 1, mail(a.Take(ms(3)), b.Self().ID))
+	a.Receive(ms(3), b.Self().ID, 1, []Mail{{CatalogRequest: want}})
+	b.Receive(ms(4), a.Self().ID, 1, messagesTo(a.Take(ms(3)), b.Self().ID))
 	if v := b.Self().Catalog; v != 7 {
-		t.Errorf("version %d", v)
+		t.Errorf("catalog version %d, want 7", v)
 	}
 	b.Catalog(ms(5), &catalog.Catalog{Version: 5}, "store")
 	if v := b.Self().Catalog; v != 7 {
-		t.Errorf("version %d after an older one from the store", v)
+		t.Errorf("catalog version %d after an older one from the store, want 7", v)
 	}
 }
 
-// The process that had taken in a job is lost. Its runs here are stopped before its
-// caller can have started them elsewhere; but not if it only connects anew.
+// The entry process of a job is lost. Its runs here are stopped before its caller can
+// have started them elsewhere, but not if the process only reconnects.
 func TestRunsOfALostProcess(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		c := newCore(2, 1, 3)
-		holding(t, c, member(1))
+		holdWorker(t, c, member(1))
 		e := member(3)
 		c.MemberUp(ms(10), e, 5)
 		run := lease.Run{Task: "j.0.0.0", Number: 1}
@@ -211,15 +211,15 @@
 			}
 		}
 		if (stops == 0) != back {
-			t.Errorf("%d stops; the process came back: %v", stops, back)
+			t.Errorf("%d stops; the process reconnected: %v", stops, back)
 		}
 	}
 }
 
-// The planner leaves. One member hears of it first, takes this process for the new
-// planner, and tells it all that it holds and asks for its jobs before this process
-// knows that it plans: what was said is lost, and those jobs would get no workers until
-// their time is over. So a new planner says when it begins, and is told again then.
+// The planner leaves. One member notices first, elects this process, and sends it its
+// held workers and requests before this process knows that it is the planner. These
+// messages are lost, and the jobs would get no workers until their timeout. So a new
+// planner advertises when it begins, and everything is sent again then.
 func TestWhatAPlannerWasToldTooEarly(t *testing.T) {
 	planner := newCore(2, 1, 3)
 	other := newCore(3, 1, 2)
@@ -234,37 +234,37 @@
 
 	first.Leaving = true
 	other.MemberChanged(ms(10), first)
-	planner.Receive(ms(11), member(3).ID, 2, mail(other.Take(ms(10)), planner.Self().ID))
+	planner.Receive(ms(11), member(3).ID, 2, messagesTo(other.Take(ms(10)), planner.Self().ID))
 	planner.MemberChanged(ms(12), first)
-	var said *mesh.Member
+	var advertised *mesh.Member
 	for _, o := range planner.Take(ms(12)) {
 		if o.Say != nil {
-			said = o.Say
+			advertised = o.Say
 		}
 	}
-	if said == nil {
-		t.Fatal("a process that begins to plan doesn't say so")
+	if advertised == nil {
+		t.Fatal("a process that begins to plan does not advertise it")
 	}
-	other.MemberChanged(ms(13), *said)
+	other.MemberChanged(ms(13), *advertised)
 	var asked, reported bool
-	for _, m := range mail(other.Take(ms(13)), planner.Self().ID) {
+	for _, m := range messagesTo(other.Take(ms(13)), planner.Self().ID) {
 		asked = asked || m.Ask != nil
 		reported = reported || m.Report != nil && m.Report.Whole
 	}
 	if !asked || !reported {
-		t.Errorf("asked again %v, reported again %v", asked, reported)
+		t.Errorf("requests sent again: %v, held workers reported again: %v", asked, reported)
 	}
 }
 
-// A process passes a worker on and is given it back while its last long call to the worker
-// is still without an answer. The answer comes to the new holding, which took it for that to
-// its own first look: it believed that it holds the worker, and that nothing runs there. The
-// owner of a task that another holder was just starting there was told that it does not run,
-// and had it started a second time, beside the first.
+// A process releases a worker and is assigned it again while its last long call to the
+// worker is still unanswered. If the new lease takes that answer for the one to its own
+// first call, it believes that it holds the worker and that nothing runs there. It then
+// tells the owner of a task that another holder was just starting there that the task
+// does not run, and the owner starts it a second time.
 func TestAnswerToACallOfAFormerHolding(t *testing.T) {
 	c := newCore(2, 1, 3)
 	c.MemberUp(ms(1), member(1), 1)
-	duty := func(at int, floor lease.Fence) (calls []lease.HoldCall) {
+	assign := func(at int, floor lease.Fence) (calls []lease.HoldCall) {
 		c.Receive(ms(at), member(1).ID, 1, []Mail{{Duty: &cell.Duty{Worker: testWorker(), Floor: floor}}})
 		for _, o := range c.Take(ms(at)) {
 			if o.Hold != nil {
@@ -273,33 +273,33 @@
 		}
 		return calls
 	}
-	look := duty(2, 0)[0]
-	c.Held(ms(3), "w", look, lease.Result{Verdict: lease.OK, Clock: 100, Born: 1})
-	var poll lease.HoldCall
+	firstHold := assign(2, 0)[0]
+	c.Held(ms(3), "w", firstHold, lease.Result{Verdict: lease.OK, Clock: 100, Born: 1})
+	var longHold lease.HoldCall
 	for _, o := range c.Take(ms(3)) {
 		if o.Hold != nil {
-			poll = *o.Hold
+			longHold = *o.Hold
 		}
 	}
 	c.Receive(ms(10), member(1).ID, 1, []Mail{{Relief: &cell.Relief{Worker: "w"}}})
 	c.Take(ms(10))
-	again := duty(20, 0)
-	if len(again) != 1 || again[0].Fence.Base() <= poll.Fence.Base() {
-		t.Fatalf("calls %+v, want one above %d", again, poll.Fence)
+	again := assign(20, 0)
+	if len(again) != 1 || again[0].Fence.Base() <= longHold.Fence.Base() {
+		t.Fatalf("calls %+v, want one with a fence above %d", again, longHold.Fence)
 	}
-	c.Held(ms(30), "w", poll, lease.Result{Verdict: lease.OK, Clock: 127, Born: 1})
+	c.Held(ms(30), "w", longHold, lease.Result{Verdict: lease.OK, Clock: 127, Born: 1})
 	if c.held["w"].Known() {
-		t.Error("the worker is held by the answer to a call of before")
+		t.Error("the worker is held after an answer to a call of the former lease")
 	}
 	c.Held(ms(31), "w", again[0], lease.Result{Verdict: lease.OK, Clock: 128, Born: 1})
 	if !c.held["w"].Known() {
-		t.Error("the worker is not held after the first look")
+		t.Error("the worker is not held after the answer to the first call")
 	}
 }
 
-// A planner ends and begins again between two reads of the list of workers, because a larger
-// VM was in sight for a moment. It has forgotten all workers; with changes of the list in
-// place of the whole it did not know those that nobody holds.
+// A planner stops and begins again between two reads of the list of workers, because a
+// larger VM was reachable for a moment. It has dropped all workers, so if it got only
+// changes instead of the whole list, it would not know the workers that nobody holds.
 func TestReaderReadsAnewForAPlannerThatBeganAgain(t *testing.T) {
 	c := newCore(1, 2)
 	_, first, _ := c.Reads()
@@ -309,6 +309,6 @@
 	c.MemberDown(ms(2), large.ID, 1, ms(2))
 	planner, again, ok := c.Reads()
 	if planner != member(1).ID || !ok || again == first {
-		t.Errorf("reads %v for %v, begun %d times as before", ok, planner, again)
+		t.Errorf("reads the worker list: %v, for %v, which has begun %d times; want a new count", ok, planner, again)
 	}
 }
