--- a/lease/away.go
+++ b/lease/away.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// OwnerAway takes note that the owner of runs is out of sight, and that its callers may come
-// back over another process at a time. The runs must be over by then even if this process
-// dies before it has stopped them, so no lease is renewed beyond.
-func (b *Book) OwnerAway(o Owner, back time.Time) { b.away[o] = back }
+// OwnerAway records that the owner of runs is unreachable, and the time from which its
+// callers may retry at another process. The runs must be over by then even if this
+// process dies before it has stopped them, so no lease is renewed beyond that time.
+func (b *Book) OwnerAway(o Owner, back time.Time) { b.unreachableOwners[o] = back }
 
-// OwnerBack takes note that the owner is in sight again.
-func (b *Book) OwnerBack(o Owner) { delete(b.away, o) }
+// OwnerBack records that the owner is reachable again.
+func (b *Book) OwnerBack(o Owner) { delete(b.unreachableOwners, o) }
 
-// renewal is the end of the lease that a call asks for now, 0 for none.
-func (b *Book) renewal(now time.Time) int64 {
-	until := b.at(now) + leaseFor.Milliseconds()
-	for o, back := range b.away {
+// renewalEnd returns the end of the lease that a call asks for now, or 0 for none.
+func (b *Book) renewalEnd(now time.Time) int64 {
+	until := b.maxWorkerClock(now) + leaseDuration.Milliseconds()
+	for o, back := range b.unreachableOwners {
 		switch {
-		case b.owns(o):
-			until = min(until, b.sure(back))
+		case b.hasRuns(o):
+			until = min(until, b.minWorkerClock(back))
 		case now.After(back):
-			delete(b.away, o)
+			delete(b.unreachableOwners, o)
 		}
 	}
-	if until <= b.at(now) {
+	if until <= b.maxWorkerClock(now) {
 		return 0
 	}
 	return until
 }
 
-func (b *Book) owns(o Owner) bool {
+func (b *Book) hasRuns(o Owner) bool {
 	for _, e := range b.runs {
 		if e.owner == o {
 			return true
@@ -36,8 +36,8 @@
 	return false
 }
 
-// sure returns the worker's clock that is surely reached by a time here: the clock may be
-// slow.
-func (b *Book) sure(t time.Time) int64 {
-	return b.clock + int64(float64(t.Sub(b.clockAt).Milliseconds())*(1-Drift))
+// minWorkerClock returns the lowest value that the worker's clock can have at a local
+// time: the clock may run slow.
+func (b *Book) minWorkerClock(t time.Time) int64 {
+	return b.clock + int64(float64(t.Sub(b.clockAt).Milliseconds())*(1-MaxClockDrift))
 }
--- a/lease/away_test.go
+++ b/lease/away_test.go
@@ -2,32 +2,31 @@
 
 import "testing"
 
-// The process whose callers wait for a run is killed, and the holder of its worker dies a
-// moment later, before it has stopped the run. What it had renewed just before kept the run
-// alive past the time at which the caller came back and had the task started again: it ran
-// twice at once. With the owner out of sight, no renewal goes beyond that time, also on a
-// worker's clock that is slow; when the owner is back, or has no run there, it is a whole
-// lease again.
+// A run's owner is killed, and the worker's holder dies a moment later, before it has
+// stopped the run. The lease renewed just before kept the run alive past the time at
+// which the caller retried: the task ran twice at once. While the owner is unreachable,
+// no renewal goes beyond that time, also for a worker whose clock is slow; when the owner
+// is reachable again, or has no run there, the renewal is for a whole lease.
 func TestNoLeaseBeyondTheReturnOfCallers(t *testing.T) {
-	whole := leaseFor.Milliseconds()
+	whole := leaseDuration.Milliseconds()
 	for _, tt := range []struct {
 		name   string
 		change func(b *Book)
-		// want is the time that the next renewal, at 300 ms, asks for.
+		// want is the duration that the next renewal, at 300 ms, asks for.
 		want int64
 	}{
-		{"in sight", func(*Book) {}, whole},
-		{"away", func(b *Book) { b.OwnerAway(alice, ms(1000)) }, 686},
-		{"away, the return is far", func(b *Book) { b.OwnerAway(alice, ms(2000)) }, whole},
-		{"away, the return has passed", func(b *Book) { b.OwnerAway(alice, ms(250)) }, 0},
-		{"back", func(b *Book) { b.OwnerAway(alice, ms(1000)); b.OwnerBack(alice) }, whole},
-		{"another one is away", func(b *Book) { b.OwnerAway(bob, ms(1000)) }, whole},
+		{"reachable", func(*Book) {}, whole},
+		{"unreachable", func(b *Book) { b.OwnerAway(alice, ms(1000)) }, 686},
+		{"unreachable, retry is far", func(b *Book) { b.OwnerAway(alice, ms(2000)) }, whole},
+		{"unreachable, retry has passed", func(b *Book) { b.OwnerAway(alice, ms(250)) }, 0},
+		{"reachable again", func(b *Book) { b.OwnerAway(alice, ms(1000)); b.OwnerBack(alice) }, whole},
+		{"another one is unreachable", func(b *Book) { b.OwnerAway(bob, ms(1000)) }, whole},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b, poll, s := runningBook(t)
+			b, poll, s := newRunningBook(t)
 			tt.change(b)
-			b.Answered(ms(300), poll, listed(ms(300), []Run{s.Run}))
-			holds := take(b).holds
+			b.Answered(ms(300), poll, listResult(ms(300), []Run{s.Run}))
+			holds := takeActions(b).holds
 			if len(holds) != 1 {
 				t.Fatalf("calls %+v", holds)
 			}
@@ -36,7 +35,7 @@
 				got -= 5300
 			}
 			if got != tt.want {
-				t.Errorf("asks for %d ms, want %d", got, tt.want)
+				t.Errorf("renews for %d ms, want %d", got, tt.want)
 			}
 		})
 	}
--- a/lease/book.go
+++ b/lease/book.go
@@ -7,211 +7,217 @@
 )
 
 const (
-	// leaseFor is the time that each renewal asks for. A platform grants a
-	// second at the most; less ends lost runs sooner, more bears longer pauses
-	// of this process. It is four polls.
-	leaseFor = 1000 * time.Millisecond
-	// pollFor is how long a hold call waits for an end.
-	pollFor = 300 * time.Millisecond
-	// pollIdle is the same while nothing runs: there is no end to wait for and no
+	// leaseDuration is how long each renewal asks for. A platform grants a second at the
+	// most; a shorter lease ends lost runs sooner, a longer one survives longer pauses of
+	// this process. It is four polls.
+	leaseDuration = 1000 * time.Millisecond
+	// pollWait is how long a hold call waits for a run to end.
+	pollWait = 300 * time.Millisecond
+	// idlePollWait is pollWait while nothing runs: there is no end to wait for and no
 	// lease to renew, only the worker's silence to be noticed. It must be below
-	// the time of a lease, since a run can start while it waits.
-	pollIdle = 600 * time.Millisecond
-	// pollShort is the same while calls get lost: an end is noticed only with the
+	// leaseDuration, since a run can start while the call waits.
+	idlePollWait = 600 * time.Millisecond
+	// lossyPollWait is pollWait while calls get lost: an end is noticed only with the
 	// next answer.
-	pollShort = 100 * time.Millisecond
-	// answerFor is when a call that does not wait counts as not answered, and
-	// what one that waits may take besides. A round trip takes a millisecond in
-	// the data centre and a few between two; a slow VM of our own takes tens.
-	answerFor = 100 * time.Millisecond
-	// startAnswer is the same for a start. It may be shorter: finding out what
+	lossyPollWait = 100 * time.Millisecond
+	// answerTimeout is when a call that does not wait counts as unanswered; a call that
+	// waits has this in addition to its wait. A round trip takes a millisecond within a
+	// data centre and a few between two; a slow VM of our own takes tens.
+	answerTimeout = 100 * time.Millisecond
+	// startTimeout is answerTimeout for a start. It may be shorter: finding out what
 	// became of the start costs one more call, and its caller waits.
-	startAnswer = 50 * time.Millisecond
-	// startShort is the same while calls get lost.
-	startShort = 25 * time.Millisecond
-	// lossyFor is how long calls are taken to get lost after one was.
-	lossyFor = 3 * time.Second
-	// deafAfter is how many calls in a row must get no answer before a worker
-	// counts as out of reach. With one, a loss of 15% of the calls left half of
-	// the workers unused at any time, and callers got 0.48 of the worth in the
-	// model; with this and the shorter times below 0.86 (TestLostCalls).
-	deafAfter = 3
-	// startFor is the time in which a start must be carried out. An order that
-	// got no answer can reach the worker seconds later; it is refused then.
-	startFor = 250 * time.Millisecond
-	// claimFor is how long a new holder waits for the owners of the runs that it
-	// finds. Two trips between data centres, and time for a busy process.
-	claimFor = 150 * time.Millisecond
-	// slack is added to reckoned ends of leases: the worker's own timer.
-	slack = 50 * time.Millisecond
-	// fenceTries bounds the search for a fence that the worker accepts, doubling
-	// the step each time.
-	fenceTries = 20
-	// retryHold is the pause between hold calls that fail.
-	retryHold = 60 * time.Millisecond
-	// reportAfter is when the planner is told of a run that has not ended: with that, two
-	// tasks in three of the users' jobs are reported once, at their end. It is well below
-	// the time for which a grant counts without a report.
-	reportAfter = 250 * time.Millisecond
-	// stopAgain is when a stop without effect is repeated.
-	stopAgain = 150 * time.Millisecond
+	startTimeout = 50 * time.Millisecond
+	// lossyStartTimeout is startTimeout while calls get lost.
+	lossyStartTimeout = 25 * time.Millisecond
+	// lossyPeriod is how long after a lost call further losses are expected.
+	lossyPeriod = 3 * time.Second
+	// unreachableThreshold is how many calls in a row must go unanswered before a worker
+	// counts as unreachable. With one, a loss of 15% of the calls left half of the
+	// workers unused at any time, and callers got 0.48 of the worth in the model; with
+	// this and the shorter lossy times 0.86 (TestLostCalls).
+	unreachableThreshold = 3
+	// startValidity is the time within which a start must be carried out. An unanswered
+	// order can reach the worker seconds later; it is refused then.
+	startValidity = 250 * time.Millisecond
+	// claimTimeout is how long a new holder waits for the owners of the runs that it
+	// finds: two trips between data centres, and time for a busy process.
+	claimTimeout = 150 * time.Millisecond
+	// leaseEndMargin is added to the computed end of a lease, for the worker's own timer.
+	leaseEndMargin = 50 * time.Millisecond
+	// maxFenceRaises bounds the search for a fence that the worker accepts, which doubles
+	// its step each time.
+	maxFenceRaises = 20
+	// holdRetryInterval is the pause between hold calls that fail.
+	holdRetryInterval = 60 * time.Millisecond
+	// reportDelay is how long after its start a run that has not ended is reported to the
+	// planner: with this, two tasks in three of the users' jobs are reported once, at
+	// their end. It is well below the time for which a grant counts without a report.
+	reportDelay = 250 * time.Millisecond
+	// stopRetryInterval is when a stop without effect is repeated.
+	stopRetryInterval = 150 * time.Millisecond
 )
 
-// phase is the state of a book.
 type phase int
 
 const (
-	// looking: the first hold call isn't answered yet.
-	looking phase = iota + 1
-	// claiming: runs of unknown owners were found.
+	// connecting: the first hold call is unanswered.
+	connecting phase = iota + 1
+	// claiming: runs of unknown owners were found, who may claim them.
 	claiming
 	// open: tasks may be started.
 	open
-	// leaving: being passed on; nothing is started any more.
-	leaving
+	// releasing: the worker is being released; nothing is started any more.
+	releasing
 	// closed: another holder has taken over, or the worker is gone.
 	closed
 )
 
-// state is the state of a run.
 type state int
 
 const (
 	starting state = iota + 1
-	// doubtful: the start got no answer.
-	doubtful
+	// unconfirmed: the start got no answer.
+	unconfirmed
 	running
 	stopping
 )
 
 type run struct {
-	// Claim is what the owner said of it last.
+	// Claim is the owner's latest description of the run.
 	Claim
 	// text is set by the start alone: a start that the worker turns down is sent again,
-	// and it must say what it said before.
+	// and it must carry the same text.
 	text    Text
 	owner   Owner
 	state   state
 	fence   Fence
 	attempt int
-	// sent is when it was started, began when the start was confirmed, clock the
-	// worker's time of the confirmation.
-	sent, began time.Time
-	clock       int64
-	percent     int
-	// progressed is when percent last changed. sampled tells that its speed was
-	// learned before its end, adopted that its beginning isn't known.
-	progressed       time.Time
+	// sentAt is when the start was sent, confirmedAt when it was confirmed, and clock the
+	// worker's clock at the confirmation.
+	sentAt, confirmedAt time.Time
+	clock               int64
+	percent             int
+	// progressedAt is when percent last changed. sampled is set if the worker's speed was
+	// learned from this run before its end, adopted if the run's beginning is unknown.
+	progressedAt     time.Time
 	sampled, adopted bool
-	// reported tells that the planner was told of it, and of its speed if sampled.
+	// reported is set if the planner knows of the run, and of its speed if sampled.
 	reported bool
-	// orphan tells that its owner isn't known.
+	// orphan is set while the owner is unknown.
 	orphan bool
-	// stopSent is when the last stop was sent.
-	stopSent time.Time
+	// stopSentAt is when the last stop was sent.
+	stopSentAt time.Time
 }
 
 // Book is the state of one worker at its holder.
 type Book struct {
 	worker Worker
-	// first is the fence with which the holding began, spent the last one if it was given
-	// back unused.
-	first, spent Fence
-	fence        Fence
-	phase        phase
-	why          string
-	born         int64
-	tries        int
-
-	// clock is the worker's clock as of clockAt here, from the newest answer.
+	// firstFence is the fence with which the holding began, spentFence the last one if
+	// the worker was given up without an answer.
+	firstFence, spentFence Fence
+	fence                  Fence
+	phase                  phase
+	closeReason            string
+	incarnation            int64
+	fenceRaises            int
+
+	// clock is the worker's clock at the local time clockAt, from the newest answer.
 	clock   int64
 	clockAt time.Time
-	// listed is the worker's clock of the newest list.
-	listed int64
-	// lease is the latest end of lease that was ever asked for.
-	lease int64
-	seen  int64
+	// listClock is the worker's clock in the newest list of runs.
+	listClock int64
+	// leaseEnd is the latest end of a lease that was ever asked for, on the worker's
+	// clock.
+	leaseEnd    int64
+	lastEndSeen int64
 
 	runs map[Run]*run
-	// away are the owners out of sight, and when their callers may come back.
-	away map[Owner]time.Time
-	// ended are ends found by a new holder before it knew the owners.
-	ended   map[Run]How
-	claimBy time.Time
-
-	// calls counts hold calls, poll and look are those without answer.
-	calls      int
-	poll, look int
-	// looked is when the last call that doesn't wait was made.
-	looked time.Time
-	// sound tells that the worker answers. look is due when something has to be
-	// known at once.
-	sound   bool
-	lookDue bool
-	// full tells that a start was refused for want of room since the last list.
-	full bool
-	// thawed is when the process last went on after a pause. Answers to calls
-	// from before tell what was, perhaps long ago.
-	thawed   time.Time
-	failures int
-	lossy    time.Time
-	nextHold time.Time
-
-	// draining tells that the worker takes no new tasks.
+	// unreachableOwners maps each unreachable owner to the time from which its callers
+	// may retry.
+	unreachableOwners map[Owner]time.Time
+	// unclaimedEnds are the outcomes of runs that ended before this holder knew their
+	// owners.
+	unclaimedEnds map[Run]How
+	claimDeadline time.Time
+
+	// callCount counts the hold calls. openPoll is the number of the unanswered call that
+	// waits for ends, openCheck that of the unanswered call that returns at once; 0 if
+	// there is none.
+	callCount           int
+	openPoll, openCheck int
+	// checkedAt is when the last call that returns at once was made.
+	checkedAt time.Time
+	// reachable is set while the worker answers. checkDue is set when a call that returns
+	// at once is needed.
+	reachable bool
+	checkDue  bool
+	// resourcesRefused is set if the worker has refused a start for lack of resources
+	// since its last list.
+	resourcesRefused bool
+	// resumedAt is when this process last resumed after a suspension. Answers to earlier
+	// calls may be long out of date.
+	resumedAt  time.Time
+	failures   int
+	lossyUntil time.Time
+	nextHoldAt time.Time
+
+	// draining is set if the worker takes no new tasks.
 	draining bool
 
-	speed  Speed
-	habits *Habits
-	// dirty tells that the planner has to be told something, gone are the runs that
-	// were removed, stated that a whole state was given once.
-	dirty, stated bool
-	gone          []Run
-	// told is what the planner was last told that is left out while it is the same.
-	told struct {
+	speed Speed
+	pool  *Habits
+	// unreported is set if there is something to report to the planner, fullStateSent
+	// once a full state was reported. removedRuns are the runs removed since the last
+	// report.
+	unreported, fullStateSent bool
+	removedRuns               []Run
+	// lastReported is what the planner was last told of the parts that a partial report
+	// leaves out while they are unchanged.
+	lastReported struct {
 		Fence Fence
 		Speed Speed
 	}
-	acts []Action
+	actions []Action
 }
 
-// NewBook begins to hold a worker with a fence above the floor, and with what its
-// former holder had learned of its speed. The floor must be above all that this process
-// has used for the worker before (Spent).
+// NewBook begins to hold a worker with a fence above the minimum fence floor, and with
+// what its former holder had learned of its speed. The floor must be above every fence
+// that this process has used for the worker before (Spent).
 func NewBook(now time.Time, w Worker, own, floor Fence, speed Speed, habits *Habits) *Book {
 	fence := own.Above(floor)
-	b := &Book{worker: w, speed: speed, habits: habits, first: fence, fence: fence, phase: looking, runs: make(map[Run]*run), away: make(map[Owner]time.Time), ended: make(map[Run]How), nextHold: now}
+	b := &Book{worker: w, speed: speed, pool: habits, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]How), nextHoldAt: now}
 	b.Tick(now)
 	return b
 }
 
 // Take returns the actions that have come up since the last call.
 func (b *Book) Take() []Action {
-	a := b.acts
-	b.acts = nil
+	a := b.actions
+	b.actions = nil
 	return a
 }
 
-// Worker returns the worker.
 func (b *Book) Worker() Worker { return b.worker }
 
-// Closed tells that another holder has taken over, or that the worker is gone,
-// or that it was passed on: the book has nothing more to do.
+// Closed reports whether another holder has taken over, the worker is gone, or it was
+// released: there is nothing left to do.
 func (b *Book) Closed() bool { return b.phase == closed }
 
-// Why tells in a word why the book is closed.
-func (b *Book) Why() string { return b.why }
+// Why returns the reason why the worker is not held any more, in a word.
+func (b *Book) Why() string { return b.closeReason }
 
-// now returns the worker's clock at a time here, at most: the clock may be slow.
-func (b *Book) at(t time.Time) int64 { return b.clock + t.Sub(b.clockAt).Milliseconds() }
+// maxWorkerClock returns the highest value that the worker's clock can have at a local
+// time: the clock may run slow.
+func (b *Book) maxWorkerClock(t time.Time) int64 { return b.clock + t.Sub(b.clockAt).Milliseconds() }
 
-// Lapse returns when every lease asked for so far has run out.
-func (b *Book) Lapse() time.Time {
-	left := time.Duration(float64(b.lease-b.clock)/(1-Drift)) * time.Millisecond
-	return b.clockAt.Add(max(left, 0) + slack)
+// LeaseEnd returns when every lease asked for so far has expired.
+func (b *Book) LeaseEnd() time.Time {
+	left := time.Duration(float64(b.leaseEnd-b.clock)/(1-MaxClockDrift)) * time.Millisecond
+	return b.clockAt.Add(max(left, 0) + leaseEndMargin)
 }
 
-// used is the room of all runs.
-func (b *Book) used() Room {
+// usedResources returns the resources that all runs take together.
+func (b *Book) usedResources() Room {
 	var r Room
 	for _, e := range b.runs {
 		r = r.Plus(e.Room)
@@ -219,22 +225,22 @@
 	return r
 }
 
-// missed takes note of a call that got no answer.
-func (b *Book) missed(now time.Time) {
+// callMissed records a call that got no answer.
+func (b *Book) callMissed(now time.Time) {
 	b.failures++
-	b.lossy = now.Add(lossyFor)
-	b.lookDue = true
-	b.nextHold = now
-	if b.failures >= deafAfter {
-		b.dirty = b.dirty || b.sound
-		b.sound = false
+	b.lossyUntil = now.Add(lossyPeriod)
+	b.checkDue = true
+	b.nextHoldAt = now
+	if b.failures >= unreachableThreshold {
+		b.unreported = b.unreported || b.reachable
+		b.reachable = false
 	}
-	if b.failures > deafAfter {
-		b.nextHold = now.Add(retryHold)
+	if b.failures > unreachableThreshold {
+		b.nextHoldAt = now.Add(holdRetryInterval)
 	}
 }
 
-// Stop ends a run.
+// Stop stops a run.
 func (b *Book) Stop(now time.Time, r Run) {
 	e, ok := b.runs[r]
 	if !ok {
@@ -244,18 +250,18 @@
 }
 
 func (b *Book) stop(now time.Time, e *run) {
-	if e.state == stopping && now.Sub(e.stopSent) < stopAgain {
+	if e.state == stopping && now.Sub(e.stopSentAt) < stopRetryInterval {
 		return
 	}
-	e.state, e.stopSent = stopping, now
-	b.dirty = true
-	b.act(Action{Stop: &StopCall{Run: e.Run, Fence: b.fence}})
+	e.state, e.stopSentAt = stopping, now
+	b.unreported = true
+	b.emit(Action{Stop: &StopCall{Run: e.Run, Fence: b.fence}})
 }
 
-// OwnerLost stops the runs of a process that was lost. Its caller may come back
-// over another one and have the tasks started again.
+// OwnerLost stops the runs of a process that was lost. Its caller may retry at another
+// process and have the tasks started again.
 func (b *Book) OwnerLost(now time.Time, o Owner) {
-	for _, e := range b.sorted() {
+	for _, e := range b.sortedRuns() {
 		if e.owner == o {
 			b.stop(now, e)
 		}
@@ -264,57 +270,57 @@
 
 // Drain has all further starts refused.
 func (b *Book) Drain() {
-	b.dirty = b.dirty || !b.draining
+	b.unreported = b.unreported || !b.draining
 	b.draining = true
 }
 
-// Release passes the worker on: nothing is started any more, and the book
-// closes when no start is without an answer.
+// Release gives the worker up for another holder: nothing is started any more, and the
+// book closes once no start is unanswered.
 func (b *Book) Release(now time.Time) {
 	if b.phase != closed {
-		b.phase = leaving
-		b.dirty = true
+		b.phase = releasing
+		b.unreported = true
 	}
 	b.Tick(now)
 }
 
-// Tick does what is due.
+// Tick performs what is due at a time.
 func (b *Book) Tick(now time.Time) {
 	switch b.phase {
 	case closed:
 		return
 	case claiming:
-		if now.After(b.claimBy) {
-			b.unlock(now)
+		if now.After(b.claimDeadline) {
+			b.endClaiming(now)
 		}
-	case leaving:
+	case releasing:
 		if b.Unanswered() == 0 {
 			b.close("passed_on")
 			return
 		}
 	}
-	for _, e := range b.sorted() {
-		if e.state == stopping && now.Sub(e.stopSent) >= stopAgain {
+	for _, e := range b.sortedRuns() {
+		if e.state == stopping && now.Sub(e.stopSentAt) >= stopRetryInterval {
 			b.stop(now, e)
 		}
-		// The planner knows what it has granted and needs no report of each
-		// start; short runs end before this, with one report in place of two.
-		if !e.reported && now.Sub(e.sent) >= reportAfter {
-			b.dirty = true
+		// The planner knows what it has granted and needs no report of each start; short
+		// runs end before this delay, with one report in place of two.
+		if !e.reported && now.Sub(e.sentAt) >= reportDelay {
+			b.unreported = true
 		}
 	}
-	// A lost poll hides ends until it is given up; while calls get lost, a second
-	// call looks now and then, but not so often that the looks fill the link.
-	if len(b.runs) > 0 && now.Before(b.lossy) && b.look == 0 && now.Sub(b.looked) >= b.habits.limit(0) {
-		b.lookDue = true
+	// A lost poll hides ends until it times out. While calls get lost, a second call
+	// checks from time to time, but not so often that the checks fill the link.
+	if len(b.runs) > 0 && now.Before(b.lossyUntil) && b.openCheck == 0 && now.Sub(b.checkedAt) >= b.pool.timeout(0) {
+		b.checkDue = true
 	}
-	if !b.sound && len(b.runs) > 0 && b.clock != 0 && now.After(b.Lapse()) {
-		b.lapsed(now)
+	if !b.reachable && len(b.runs) > 0 && b.clock != 0 && now.After(b.LeaseEnd()) {
+		b.expireRuns(now)
 	}
-	b.hold(now)
+	b.callHold(now)
 }
 
-// Unanswered counts the starts without an answer.
+// Unanswered returns the number of unanswered starts.
 func (b *Book) Unanswered() int {
 	n := 0
 	for _, e := range b.runs {
@@ -325,51 +331,51 @@
 	return n
 }
 
-// lapsed tells that the runs of a worker that can't be reached are over: their
-// leases have run out.
-func (b *Book) lapsed(now time.Time) {
-	for _, e := range b.sorted() {
+// expireRuns reports the runs of an unreachable worker as lost: their leases have
+// expired.
+func (b *Book) expireRuns(now time.Time) {
+	for _, e := range b.sortedRuns() {
 		b.end(now, e, End{Run: e.Run, How: Lost})
 	}
 }
 
-func (b *Book) act(a Action) { b.acts = append(b.acts, a) }
+func (b *Book) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Book) tell(o Owner, e End) { b.act(Action{Tell: &Told{Owner: o, End: e}}) }
+func (b *Book) tellOwner(o Owner, e End) { b.emit(Action{Tell: &Told{Owner: o, End: e}}) }
 
-// end removes a run and tells its owner.
+// end removes a run and reports its end to the owner.
 func (b *Book) end(now time.Time, e *run, end End) {
 	if _, ok := b.runs[e.Run]; !ok {
 		return
 	}
-	if !e.began.IsZero() {
-		end.Took = now.Sub(e.began)
+	if !e.confirmedAt.IsZero() {
+		end.Took = now.Sub(e.confirmedAt)
 	}
 	delete(b.runs, e.Run)
-	b.gone = append(b.gone, e.Run)
-	b.dirty = true
-	b.speed.learn(e, end)
+	b.removedRuns = append(b.removedRuns, e.Run)
+	b.unreported = true
+	b.speed.learnFromEnd(e, end)
 	if !e.orphan {
-		b.tell(e.owner, end)
+		b.tellOwner(e.owner, end)
 	}
 }
 
-// close ends the book because another holder has taken over, or the worker is
-// gone. What runs there is the next holder's.
+// close ends this holding because another holder has taken over, the worker is gone or it
+// was released. What still runs there belongs to the next holder.
 func (b *Book) close(why string) {
-	b.phase, b.why = closed, why
-	b.dirty = true
+	b.phase, b.closeReason = closed, why
+	b.unreported = true
 }
 
-// sorted returns the runs in the order of their starts, so that the same events have
+// sortedRuns returns the runs in the order of their starts, so that the same events have
 // the same outcome.
-func (b *Book) sorted() []*run {
+func (b *Book) sortedRuns() []*run {
 	out := make([]*run, 0, len(b.runs))
 	for _, e := range b.runs {
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(x, y *run) int {
-		return cmp.Or(x.sent.Compare(y.sent), cmp.Compare(x.Task, y.Task), cmp.Compare(x.Number, y.Number))
+		return cmp.Or(x.sentAt.Compare(y.sentAt), cmp.Compare(x.Task, y.Task), cmp.Compare(x.Number, y.Number))
 	})
 	return out
 }
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -29,8 +29,9 @@
 	return Order{claim(task, n), NewText(task.Job(), "text")}
 }
 
-// listed is the answer to a hold call: the worker's clock runs like ours, from 5 s.
-func listed(now time.Time, running []Run, ended ...ListedEnd) Result {
+// listResult returns the answer to a hold call. The worker's clock runs like ours,
+// starting at 5 s.
+func listResult(now time.Time, running []Run, ended ...ListedEnd) Result {
 	r := Result{Verdict: OK, Clock: 5000 + now.Sub(epoch).Milliseconds(), Born: 7, Ended: ended}
 	for _, k := range running {
 		r.Running = append(r.Running, Listed{Run: k})
@@ -38,8 +39,8 @@
 	return r
 }
 
-// took is the actions of a book, by kind.
-type took struct {
+// actions are the actions of a book, by kind.
+type actions struct {
 	holds  []HoldCall
 	starts []StartCall
 	stops  []StopCall
@@ -47,8 +48,8 @@
 	held   bool
 }
 
-func take(b *Book) took {
-	var out took
+func takeActions(b *Book) actions {
+	var out actions
 	for _, a := range b.Take() {
 		switch {
 		case a.Hold != nil:
@@ -66,28 +67,29 @@
 	return out
 }
 
-// opened is a book that holds an idle worker at 0 ms, with its first poll.
-func opened(t *testing.T) (*Book, HoldCall) {
+// newOpenBook returns a book that holds an idle worker at 0 ms, with its first poll.
+func newOpenBook(t *testing.T) (*Book, HoldCall) {
 	t.Helper()
 	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	first := take(b).holds
+	first := takeActions(b).holds
 	if len(first) != 1 || first[0].Until != 0 || first[0].Wait != 0 {
-		t.Fatalf("the first call %+v is no look", first)
+		t.Fatalf("the first call %+v is not a check", first)
 	}
-	b.Answered(ms(0), first[0], listed(ms(0), nil))
-	polls := take(b)
+	b.Answered(ms(0), first[0], listResult(ms(0), nil))
+	polls := takeActions(b)
 	if !polls.held || len(polls.holds) != 1 || polls.holds[0].Until == 0 {
 		t.Fatalf("no renewal after the first answer: %+v", polls)
 	}
 	return b, polls.holds[0]
 }
 
-// runningBook is a book with one run, started at 10 ms.
-func runningBook(t *testing.T) (*Book, HoldCall, StartCall) {
+// newRunningBook returns a book with one run, started at 10 ms, with its poll and its
+// start.
+func newRunningBook(t *testing.T) (*Book, HoldCall, StartCall) {
 	t.Helper()
-	b, poll := opened(t)
+	b, poll := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
-	s := take(b).starts
+	s := takeActions(b).starts
 	if len(s) != 1 {
 		t.Fatalf("%d starts", len(s))
 	}
@@ -98,35 +100,35 @@
 func wantEnd(t *testing.T, tells []Told, owner Owner, how How, why Reason) {
 	t.Helper()
 	if len(tells) != 1 || tells[0].Owner != owner || tells[0].End.How != how || tells[0].End.Why != why {
-		t.Errorf("told %+v, want %v to %v because of %q", tells, how, owner, why)
+		t.Errorf("reported %+v, want %v to %v because of %q", tells, how, owner, why)
 	}
 }
 
-// A worker that has room for two tasks is asked for a third while one of the two is
-// being stopped, and while the start of another got no answer. Both may still run:
-// the third would be refused by a worker that guards its room, and overload one that
+// A worker with resources for two tasks is asked for a third while one of the two is
+// being stopped, and while the start of another is unanswered. Both may still run: the
+// third would be refused by a worker that enforces its resources, and overload one that
 // doesn't.
-func TestRoomOfRunsInDoubt(t *testing.T) {
-	b, _, first := runningBook(t)
+func TestResourcesOfUnconfirmedRuns(t *testing.T) {
+	b, _, first := newRunningBook(t)
 	b.Start(ms(12), alice, order("b", 1))
-	second := take(b).starts[0]
+	second := takeActions(b).starts[0]
 	b.Stop(ms(13), first.Run)
 	b.Start(ms(14), alice, order("c", 1))
-	wantEnd(t, take(b).tells, alice, Never, NoRoom)
+	wantEnd(t, takeActions(b).tells, alice, Never, NoRoom)
 
 	b.Started(ms(100), second, Result{Verdict: NoAnswer})
-	look := take(b).holds[0]
-	b.Answered(ms(101), look, listed(ms(101), []Run{second.Run}, ListedEnd{1, first.Run, Stopped}))
-	take(b)
+	check := takeActions(b).holds[0]
+	b.Answered(ms(101), check, listResult(ms(101), []Run{second.Run}, ListedEnd{1, first.Run, Stopped}))
+	takeActions(b)
 	b.Start(ms(102), alice, order("c", 1))
-	if s := take(b).starts; len(s) != 1 {
-		t.Error("no start although the stop has ended")
+	if s := takeActions(b).starts; len(s) != 1 {
+		t.Error("no start although the run has stopped")
 	}
 }
 
-// A start gets no answer. It may have been carried out, or may be in seconds. If its
-// task is placed elsewhere while it can still begin, it runs twice; if it is given up
-// for seconds, its caller waits.
+// A start gets no answer. It may have been carried out, or may be in seconds. If its task
+// is placed on another worker while it can still begin, it runs twice; if it is given up
+// only after seconds, its caller waits.
 func TestStartWithoutAnswer(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -138,47 +140,47 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := opened(t)
+			b, _ := newOpenBook(t)
 			b.Start(ms(10), alice, order("a", 1))
-			s := take(b).starts[0]
+			s := takeActions(b).starts[0]
 			b.Started(ms(90), s, Result{Verdict: NoAnswer})
-			got := take(b)
+			got := takeActions(b)
 			if len(got.holds) != 1 || got.holds[0].Fence <= s.Fence || got.holds[0].Wait != 0 {
-				t.Fatalf("%+v is no call that voids the start", got.holds)
+				t.Fatalf("%+v, want one call that voids the start", got.holds)
 			}
 			if len(got.tells) != 0 {
-				t.Fatalf("told %+v before it is known", got.tells)
+				t.Fatalf("reported %+v before it is known", got.tells)
 			}
 			var runs []Run
 			if tt.running {
 				runs = append(runs, s.Run)
 			}
-			b.Answered(ms(91), got.holds[0], listed(ms(91), runs))
-			tells := take(b).tells
+			b.Answered(ms(91), got.holds[0], listResult(ms(91), runs))
+			tells := takeActions(b).tells
 			if tt.want != 0 {
 				wantEnd(t, tells, alice, tt.want, Unanswered)
 			} else if len(tells) != 0 {
-				t.Errorf("told %+v of a run that goes on", tells)
+				t.Errorf("reported %+v of a run that continues", tells)
 			}
 		})
 	}
 }
 
 // A holder renews a worker's lease and is replaced at once. The new holder gets one
-// answer, then pauses for a moment, and its further calls are lost before it has
-// renewed anything. The runs go on under the old lease for almost a second. Told too
-// early that they are lost, their owner starts them again elsewhere while they run.
+// answer, then is suspended for a moment, and its further calls are lost before it has
+// renewed anything. The runs continue under the old lease for almost a second. If they
+// were reported as lost earlier, their owner would start them again while they run.
 func TestLeaseOfTheHolderBefore(t *testing.T) {
 	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	look := take(b).holds[0]
-	b.Answered(ms(0), look, listed(ms(0), []Run{{"a", 1}}))
-	take(b)
+	check := takeActions(b).holds[0]
+	b.Answered(ms(0), check, listResult(ms(0), []Run{{"a", 1}}))
+	takeActions(b)
 	b.Thawed(ms(1))
 	b.Claim(ms(1), alice, []Claim{claim("a", 1)})
 	for at := 1; at < 990; at += 10 {
-		got := take(b)
+		got := takeActions(b)
 		if len(got.tells) != 0 {
-			t.Fatalf("at %d ms told %+v", at, got.tells)
+			t.Fatalf("at %d ms reported %+v", at, got.tells)
 		}
 		for _, h := range got.holds {
 			b.Answered(ms(at), h, Result{Verdict: NoAnswer})
@@ -187,7 +189,7 @@
 	}
 	for at := 1000; at < 2300; at += 50 {
 		b.Tick(ms(at))
-		got := take(b)
+		got := takeActions(b)
 		for _, h := range got.holds {
 			b.Answered(ms(at), h, Result{Verdict: NoAnswer})
 		}
@@ -196,114 +198,114 @@
 			return
 		}
 	}
-	t.Error("never told that the run is lost")
+	t.Error("the run was never reported as lost")
 }
 
-// A new holder finds runs and waits for their owners. A call that waits for ends
-// without renewing would keep it from renewing for its whole wait, and what runs
-// would be killed in the middle.
+// A new holder finds runs and waits for their owners. A call that waits for ends without
+// renewing would keep it from renewing for its whole wait, and the runs would be killed.
 func TestClaimedRunsAreRenewedAtOnce(t *testing.T) {
 	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	b.Answered(ms(0), take(b).holds[0], listed(ms(0), []Run{{"a", 1}}))
-	if h := take(b).holds; len(h) != 0 {
+	b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}))
+	if h := takeActions(b).holds; len(h) != 0 {
 		t.Fatalf("calls %+v while runs are claimed", h)
 	}
 	b.Claim(ms(5), alice, []Claim{claim("a", 1)})
-	if h := take(b).holds; len(h) != 1 || h[0].Until == 0 {
+	if h := takeActions(b).holds; len(h) != 1 || h[0].Until == 0 {
 		t.Errorf("calls %+v, want one that renews", h)
 	}
 }
 
-// The process that had taken in a job has died, and so has the holder of its worker.
-// The new holder finds a run that nobody claims. Renewed, it would run on beside the
-// copy that the caller has sent to another process.
-func TestRunOfNobody(t *testing.T) {
+// The process that accepted a job has died, and so has the holder of its worker. The new
+// holder finds a run that nobody claims. If its lease were renewed, it would run beside
+// the copy that the caller has sent to another process.
+func TestUnclaimedRunIsStopped(t *testing.T) {
 	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	b.Answered(ms(0), take(b).holds[0], listed(ms(0), []Run{{"a", 1}, {"b", 1}}))
-	take(b)
+	b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}, {"b", 1}}))
+	takeActions(b)
 	b.Claim(ms(2), alice, []Claim{claim("a", 1)})
 	b.Tick(ms(100))
-	if got := take(b); len(got.stops) != 0 || len(got.holds) != 0 {
+	if got := takeActions(b); len(got.stops) != 0 || len(got.holds) != 0 {
 		t.Fatalf("%+v before the owners had time to claim", got)
 	}
 	b.Tick(ms(200))
-	got := take(b)
+	got := takeActions(b)
 	if len(got.stops) != 1 || got.stops[0].Run != (Run{"b", 1}) {
 		t.Errorf("stops %+v, want only that of b", got.stops)
 	}
 }
 
-// A new holder is asked for runs that ended before it came, that go on, and that it
-// has never heard of.
+// A new holder gets claims for runs that ended before it took over, that continue, and
+// that it has never seen.
 func TestClaims(t *testing.T) {
 	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	b.Answered(ms(0), take(b).holds[0], listed(ms(0), []Run{{"a", 1}}, ListedEnd{4, Run{"b", 1}, Done}, ListedEnd{5, Run{"c", 1}, Failed}))
-	take(b)
+	b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}, ListedEnd{4, Run{"b", 1}, Done}, ListedEnd{5, Run{"c", 1}, Failed}))
+	takeActions(b)
 	b.Claim(ms(2), bob, []Claim{claim("a", 1), claim("b", 1), claim("c", 1), claim("d", 1)})
 	var got []How
-	for _, e := range take(b).tells {
+	for _, e := range takeActions(b).tells {
 		if e.Owner != bob {
-			t.Errorf("told %v", e.Owner)
+			t.Errorf("reported to %v", e.Owner)
 		}
 		got = append(got, e.End.How)
 	}
 	if want := []How{Done, Failed, Lost}; !slices.Equal(got, want) {
-		t.Errorf("told %v, want %v", got, want)
+		t.Errorf("reported %v, want %v", got, want)
 	}
 }
 
-// A holder freezes, another one takes over, the first wakes up: the worker refuses
-// its token. It must let go and tell nothing of runs that are not its own any more.
+// A holder is suspended, another one takes over, and the first one resumes: the worker
+// refuses its fence. It must give the worker up and report nothing of runs that are not
+// its own any more.
 func TestReplacedHolder(t *testing.T) {
-	b, poll, s := runningBook(t)
+	b, poll, s := newRunningBook(t)
 	b.Answered(ms(20), poll, Result{Verdict: Refused, Reason: Fenced})
-	if got := take(b); !b.Closed() || len(got.tells) != 0 || len(got.stops) != 0 {
-		t.Errorf("closed %v, %+v", b.Closed(), got)
+	if got := takeActions(b); !b.Closed() || len(got.tells) != 0 || len(got.stops) != 0 {
+		t.Errorf("closed %v, actions %+v", b.Closed(), got)
 	}
 	b.Start(ms(21), alice, order("z", 1))
-	wantEnd(t, take(b).tells, alice, Never, NotHeld)
+	wantEnd(t, takeActions(b).tells, alice, Never, NotHeld)
 	if o := b.Owners(); len(o) != 1 || o[0] != alice {
 		t.Errorf("owners %v of %v", o, s.Run)
 	}
 }
 
-// A worker starts again under its old id: what ran there is gone, its clock and the
-// numbers of its ends begin anew.
-func TestRebornWorker(t *testing.T) {
-	b, poll, _ := runningBook(t)
+// A worker restarts under its old id: what ran there is gone, and its clock and the
+// numbers of its ends start over.
+func TestRestartedWorker(t *testing.T) {
+	b, poll, _ := newRunningBook(t)
 	r := Result{Verdict: OK, Clock: 3, Born: 8}
 	b.Answered(ms(300), poll, r)
-	got := take(b)
+	got := takeActions(b)
 	wantEnd(t, got.tells, alice, Lost, "")
 	if len(got.holds) != 1 || got.holds[0].Seen != 0 || got.holds[0].Until > 3+2000 {
-		t.Errorf("calls %+v go by the clock of before", got.holds)
+		t.Errorf("calls %+v use the clock of the earlier incarnation", got.holds)
 	}
 	b.Start(ms(301), alice, order("a", 2))
-	if len(take(b).starts) != 1 {
-		t.Error("no start on the new life")
+	if len(takeActions(b).starts) != 1 {
+		t.Error("no start on the new incarnation")
 	}
 }
 
-// Answers on two connections overtake each other: the list of an older call arrives
-// after a run was started, and does not name it.
+// Answers on two connections overtake each other: the list of an older call arrives after
+// a run was started, and does not contain it.
 func TestOldList(t *testing.T) {
-	b, poll, _ := runningBook(t)
-	b.Answered(ms(20), poll, listed(ms(5), nil))
-	if got := take(b).tells; len(got) != 0 {
-		t.Errorf("told %+v by a list from before the start", got)
+	b, poll, _ := newRunningBook(t)
+	b.Answered(ms(20), poll, listResult(ms(5), nil))
+	if got := takeActions(b).tells; len(got) != 0 {
+		t.Errorf("reported %+v from a list older than the start", got)
 	}
-	b.Answered(ms(30), HoldCall{Fence: b.Fence()}, listed(ms(30), nil))
-	wantEnd(t, take(b).tells, alice, Lost, "")
+	b.Answered(ms(30), HoldCall{Fence: b.Fence()}, listResult(ms(30), nil))
+	wantEnd(t, takeActions(b).tells, alice, Lost, "")
 }
 
-// A worker can't be reached and may run on. Its runs are lost only when every lease
-// that was asked for has run out, also on a clock that is slow.
+// A worker is unreachable and may run on. Its runs are lost only when every lease that
+// was asked for has expired, also on a clock that is slow.
 func TestLapse(t *testing.T) {
-	b, poll, _ := runningBook(t)
+	b, poll, _ := newRunningBook(t)
 	b.Answered(ms(500), poll, Result{Verdict: NoAnswer})
 	for at := 500; at < 2000; at += 10 {
 		b.Tick(ms(at))
-		got := take(b)
+		got := takeActions(b)
 		for _, h := range got.holds {
 			if h.Until != 0 {
 				t.Fatalf("%+v renews although the worker does not answer", h)
@@ -316,47 +318,48 @@
 		// The poll of 0 ms asked for 1,000 ms, which a clock 2% slow reaches
 		// after 1,020.
 		if at < 1020 {
-			t.Errorf("told %+v at %d ms", got.tells, at)
+			t.Errorf("reported %+v at %d ms", got.tells, at)
 		}
 		return
 	}
-	t.Error("never told that the run is lost")
+	t.Error("the run was never reported as lost")
 }
 
-// One call to a sound worker gets no answer. The worker stays in use: a call that is
-// lost now and then would else take a good part of all workers out of use.
+// One call to a healthy worker gets no answer. The worker stays in use: otherwise
+// occasional lost calls would take a good part of all workers out of use.
 func TestOneLostCall(t *testing.T) {
-	b, poll, _ := runningBook(t)
+	b, poll, _ := newRunningBook(t)
 	b.Answered(ms(400), poll, Result{Verdict: NoAnswer})
-	got := take(b)
+	got := takeActions(b)
 	if len(got.holds) != 1 || got.holds[0].Wait != 0 {
-		t.Fatalf("calls %+v, want one that looks at once", got.holds)
+		t.Fatalf("calls %+v, want one check at once", got.holds)
 	}
 	b.Start(ms(401), alice, order("b", 1))
-	if s := take(b).starts; len(s) != 1 {
-		t.Error("the worker is out of use")
+	if s := takeActions(b).starts; len(s) != 1 {
+		t.Error("the worker is not used any more")
 	}
-	for i := range deafAfter - 1 {
-		look := got.holds[0]
-		b.Answered(ms(410+i), look, Result{Verdict: NoAnswer})
-		if got = take(b); len(got.holds) == 0 {
+	for i := range unreachableThreshold - 1 {
+		check := got.holds[0]
+		b.Answered(ms(410+i), check, Result{Verdict: NoAnswer})
+		if got = takeActions(b); len(got.holds) == 0 {
 			break
 		}
 	}
 	b.Start(ms(420), alice, order("c", 1))
-	wantEnd(t, take(b).tells, alice, Never, Unsound)
+	wantEnd(t, takeActions(b).tells, alice, Never, Unreachable)
 }
 
-// A holder that is passed on starts nothing more and ends when no start is open.
+// A holder that releases its worker starts nothing more and closes when no start is
+// unanswered.
 func TestRelease(t *testing.T) {
-	b, _ := opened(t)
+	b, _ := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
-	s := take(b).starts[0]
+	s := takeActions(b).starts[0]
 	b.Release(ms(11))
 	b.Start(ms(12), alice, order("b", 1))
-	wantEnd(t, take(b).tells, alice, Never, NotHeld)
+	wantEnd(t, takeActions(b).tells, alice, Never, NotHeld)
 	if b.Closed() {
-		t.Error("closed with a start open")
+		t.Error("closed while a start is unanswered")
 	}
 	b.Started(ms(13), s, Result{Verdict: OK, Clock: 5013})
 	b.Tick(ms(14))
@@ -367,26 +370,26 @@
 
 // The order to drain a worker overtakes starts that were granted before.
 func TestDrainingWorker(t *testing.T) {
-	b, _ := opened(t)
+	b, _ := newOpenBook(t)
 	b.Drain()
 	b.Start(ms(10), alice, order("a", 1))
-	wantEnd(t, take(b).tells, alice, Never, Draining)
+	wantEnd(t, takeActions(b).tells, alice, Never, Draining)
 	if s := b.State(ms(11)); !s.Draining {
-		t.Error("the state does not tell that the worker drains")
+		t.Error("the state does not show that the worker drains")
 	}
 }
 
-// A start is refused as fenced because this holder has raised its own round since:
-// it is given out again and not told as refused.
-func TestOwnRound(t *testing.T) {
-	b, _ := opened(t)
+// A start is refused as fenced because this holder has raised its own round since: it is
+// sent again and not reported as refused.
+func TestStartFencedByOwnRound(t *testing.T) {
+	b, _ := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
 	b.Start(ms(10), alice, order("b", 1))
-	starts := take(b).starts
+	starts := takeActions(b).starts
 	b.Started(ms(90), starts[0], Result{Verdict: NoAnswer})
-	take(b)
+	takeActions(b)
 	b.Started(ms(91), starts[1], Result{Verdict: Refused, Reason: Fenced, Clock: 5091})
-	got := take(b)
+	got := takeActions(b)
 	if len(got.tells) != 0 || len(got.starts) != 1 || got.starts[0].Fence <= starts[1].Fence {
 		t.Errorf("%+v, want the start again with a higher round", got)
 	}
@@ -395,7 +398,7 @@
 func TestFence(t *testing.T) {
 	a, b := NewFence(3), NewFence(5)
 	if a >= b {
-		t.Error("a later number has no higher fence")
+		t.Error("a higher number has no higher fence")
 	}
 	if f := a.Above(b); f <= b || f.Term() != b.Term()+1 {
 		t.Errorf("%x is not in the term after %x", f, b)
@@ -405,11 +408,11 @@
 	}
 	f := a
 	for {
-		n, ok := f.Next()
+		n, ok := f.NextRound()
 		if !ok {
 			break
 		}
-		if n <= f || n.Base() != a || n >= a.Raise(1) {
+		if n <= f || n.Base() != a || n >= a.AddTerms(1) {
 			t.Fatalf("round %x after %x of %x", n, f, a)
 		}
 		f = n
@@ -419,37 +422,38 @@
 	}
 }
 
-// A process is frozen while the answer to a call waits in its buffers; when it goes
-// on, the answer tells what ran long ago. Taken for new, it opens the worker for
-// starts, and what has begun since is told to be lost and starts a second time.
+// A process is suspended while the answer to a call waits in its buffers; when it
+// resumes, the answer shows what ran long ago. Taken as current, it would open the worker
+// for starts, and what has started since would be reported as lost and start a second
+// time.
 func TestAnswersFromBeforeAPause(t *testing.T) {
-	b, poll, s := runningBook(t)
+	b, poll, s := newRunningBook(t)
 	b.Thawed(ms(5000))
-	look := take(b).holds
-	if len(look) != 1 || look[0].Until != 0 {
-		t.Fatalf("calls %+v after a pause, want one that only looks", look)
+	check := takeActions(b).holds
+	if len(check) != 1 || check[0].Until != 0 {
+		t.Fatalf("calls %+v after a pause, want one that renews nothing", check)
 	}
-	b.Answered(ms(5001), poll, listed(ms(300), nil))
-	if got := take(b); len(got.tells) != 0 || len(got.holds) != 0 {
-		t.Errorf("%+v by an answer from before", got)
+	b.Answered(ms(5001), poll, listResult(ms(300), nil))
+	if got := takeActions(b); len(got.tells) != 0 || len(got.holds) != 0 {
+		t.Errorf("%+v from an answer older than the suspension", got)
 	}
 	b.Start(ms(5002), alice, order("b", 1))
-	wantEnd(t, take(b).tells, alice, Never, Unsound)
-	b.Answered(ms(5003), look[0], listed(ms(5003), []Run{s.Run}))
-	if got := take(b).tells; len(got) != 0 {
-		t.Errorf("told %+v of a run that goes on", got)
+	wantEnd(t, takeActions(b).tells, alice, Never, Unreachable)
+	b.Answered(ms(5003), check[0], listResult(ms(5003), []Run{s.Run}))
+	if got := takeActions(b).tells; len(got) != 0 {
+		t.Errorf("reported %+v of a run that continues", got)
 	}
 }
 
-// A data centre is cut off, and its workers are given to members elsewhere, which don't
-// reach them. When it is back, each call that is still tried would take a worker from the
-// holder that has served it all the time, and what runs there would be lost: it was one
-// run in three. So a holder that never got an answer gives up, and does not claim to have
-// used a fence.
+// A data centre is cut off, and its workers are assigned to members in others, which
+// can't reach them. When it is connected again, each call that is still tried would take
+// a worker from the holder that has served it all the time, and what runs there would be
+// lost: it was one run in three. So a holder that never got an answer gives up, and does
+// not claim to have used a fence.
 func TestHolderThatNeverGetsAnAnswerGivesUp(t *testing.T) {
 	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
 	for at := 0; at < 600; at += 20 {
-		for _, h := range take(b).holds {
+		for _, h := range takeActions(b).holds {
 			b.Answered(ms(at+20), h, Result{Verdict: NoAnswer})
 		}
 		b.Tick(ms(at + 20))
@@ -459,117 +463,117 @@
 	}
 }
 
-// A holder freezes for longer than its lease. Another one takes the worker over, and the
-// run goes on there. When the first one wakes up it can't tell by its own lease that the
-// run is over: it would be started a second time beside the first.
-func TestThawedHolderDoesNotTellRunsLost(t *testing.T) {
-	b, poll := opened(t)
+// A holder is suspended for longer than its lease. Another one takes the worker over, and
+// the run continues there. When the first one resumes, it can't conclude from its own
+// lease that the run is over: it would be started a second time beside the first.
+func TestResumedHolderReportsNoRunLost(t *testing.T) {
+	b, poll := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
-	s := take(b).starts[0]
+	s := takeActions(b).starts[0]
 	b.Started(ms(11), s, Result{Verdict: OK, Clock: 5011})
-	b.Answered(ms(20), poll, listed(ms(20), []Run{s.Run}))
-	take(b)
+	b.Answered(ms(20), poll, listResult(ms(20), []Run{s.Run}))
+	takeActions(b)
 	for at := 1400; at < 2390; at += 50 {
 		if at == 1400 {
 			b.Thawed(ms(at))
 		}
 		b.Tick(ms(at))
-		if got := take(b).tells; len(got) != 0 {
-			t.Fatalf("at %d ms told %+v", at, got)
+		if got := takeActions(b).tells; len(got) != 0 {
+			t.Fatalf("at %d ms reported %+v", at, got)
 		}
 	}
 }
 
 // A start gets lost, and another one for the same worker raises the round; meanwhile the
 // owner's session ends and begins again, so it claims its runs, without their text. The
-// worker turns the first order down, and the start is sent anew: it must carry the text
+// worker refuses the first order, and the start is sent again: it must carry the text
 // that the caller sent, or the worker does some other work, or none.
 func TestClaimedStartKeepsItsText(t *testing.T) {
-	b, _ := opened(t)
+	b, _ := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
-	first := take(b).starts[0]
+	first := takeActions(b).starts[0]
 	b.Start(ms(11), alice, order("b", 1))
-	b.Started(ms(60), take(b).starts[0], Result{Verdict: NoAnswer})
+	b.Started(ms(60), takeActions(b).starts[0], Result{Verdict: NoAnswer})
 	b.Claim(ms(61), alice, []Claim{claim("a", 1)})
 	b.Started(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
-	again := take(b).starts
+	again := takeActions(b).starts
 	if len(again) != 1 || again[0].Spec != "text" {
-		t.Errorf("sent again %+v", again)
+		t.Errorf("sent again: %+v", again)
 	}
 }
 
-// A holder freezes before its first call is answered, so it does not know the worker's
-// clock. Reckoned from no clock at all, the end of the lease is beyond all times and comes
-// out as past: a run that the holder before has just renewed would be told lost at once,
-// and started beside itself.
-func TestThawedBeforeTheFirstAnswer(t *testing.T) {
+// A holder is suspended before its first call is answered, so it does not know the
+// worker's clock. Computed without a clock, the end of the lease overflows and appears to
+// be past: a run that the previous holder has just renewed would be reported as lost at
+// once, and started beside itself.
+func TestSuspendedBeforeTheFirstAnswer(t *testing.T) {
 	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	first := take(b).holds[0]
+	first := takeActions(b).holds[0]
 	b.Thawed(ms(700))
 	b.Answered(ms(701), first, Result{Verdict: NoAnswer})
-	for _, h := range take(b).holds {
-		b.Answered(ms(702), h, listed(ms(702), nil))
+	for _, h := range takeActions(b).holds {
+		b.Answered(ms(702), h, listResult(ms(702), nil))
 	}
-	if end := b.Lapse(); end.Before(ms(1702)) || end.After(ms(3000)) {
+	if end := b.LeaseEnd(); end.Before(ms(1702)) || end.After(ms(3000)) {
 		t.Errorf("the lease ends at %v", end.Sub(epoch))
 	}
 }
 
-// A worker starts again under its old id just when a start reaches it; the new life
-// accepts it. Told to be lost with all that ran before, its task would be started a
-// second time beside it.
-func TestStartAtARebornWorker(t *testing.T) {
+// A worker restarts under its old id just when a start reaches it, and the new
+// incarnation accepts it. If the run were reported as lost with all that ran before, its
+// task would be started a second time beside it.
+func TestStartAtARestartedWorker(t *testing.T) {
 	tests := []struct {
 		name    string
 		running bool
-	}{{"it is in the list", true}, {"it is still on the way", false}}
+	}{{"it is in the list", true}, {"it is still in flight", false}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, poll, old := runningBook(t)
+			b, poll, old := newRunningBook(t)
 			b.Start(ms(20), alice, order("b", 1))
-			s := take(b).starts[0]
+			s := takeActions(b).starts[0]
 			r := Result{Verdict: OK, Clock: 4, Born: 8}
 			if tt.running {
 				r.Running = []Listed{{Run: s.Run}}
 			}
 			b.Answered(ms(21), poll, r)
-			got := take(b)
+			got := takeActions(b)
 			wantEnd(t, got.tells, alice, Lost, "")
 			if got.tells[0].End.Run != old.Run {
 				t.Errorf("%v is lost", got.tells[0].End.Run)
 			}
 			b.Started(ms(22), s, Result{Verdict: OK, Clock: 5})
 			for range 2 {
-				for _, h := range take(b).holds {
+				for _, h := range takeActions(b).holds {
 					b.Answered(ms(30), h, Result{Verdict: OK, Clock: 9, Born: 8, Running: []Listed{{Run: s.Run}}})
 				}
 			}
-			if got := take(b).tells; len(got) != 0 {
-				t.Errorf("told %+v of the run on the new life", got)
+			if got := takeActions(b).tells; len(got) != 0 {
+				t.Errorf("reported %+v of the run on the new incarnation", got)
 			}
 			if n := len(b.Peek(ms(40)).Runs); n != 1 {
-				t.Errorf("%d runs, want that of the new life", n)
+				t.Errorf("%d runs, want that of the new incarnation", n)
 			}
 		})
 	}
 }
 
-// The worker refuses a start for want of room although there seems to be some: it runs
-// something that is not known here. Given out again and again, the room that isn't
-// there would keep the tasks that wait from the room that is.
-func TestRoomThatIsNotThere(t *testing.T) {
-	b, poll := opened(t)
+// The worker refuses a start for lack of resources although there seem to be some: it
+// runs something that is unknown here. If these resources were granted again and again,
+// pending tasks would be kept from resources that are really free.
+func TestRefusalForResourcesBlocksStarts(t *testing.T) {
+	b, poll := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
-	s := take(b).starts[0]
+	s := takeActions(b).starts[0]
 	b.Started(ms(11), s, Result{Verdict: Refused, Reason: NoRoom, Clock: 5011})
-	got := take(b)
+	got := takeActions(b)
 	wantEnd(t, got.tells, alice, Never, NoRoom)
 	if len(got.holds) != 1 || b.State(ms(12)).Open {
-		t.Fatalf("calls %+v, open %v; want a look, and no more starts", got.holds, b.State(ms(12)).Open)
+		t.Fatalf("calls %+v, open %v; want a check, and no more starts", got.holds, b.State(ms(12)).Open)
 	}
 	b.Start(ms(13), alice, order("b", 1))
-	wantEnd(t, take(b).tells, alice, Never, NoRoom)
-	b.Answered(ms(14), got.holds[0], listed(ms(14), nil))
+	wantEnd(t, takeActions(b).tells, alice, Never, NoRoom)
+	b.Answered(ms(14), got.holds[0], listResult(ms(14), nil))
 	if !b.State(ms(15)).Open {
 		t.Error("not open after the list")
 	}
--- a/lease/call.go
+++ b/lease/call.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// HoldCall renews the lease of a worker, or only looks when it asks for no time.
+// HoldCall renews the lease of a worker, or only queries it if Until is 0.
 type HoldCall struct {
-	// Number tells the calls of a book apart.
+	// Number identifies the call among those of a book.
 	Number int
 	Fence  Fence
-	// Until is the end of the lease on the worker's clock, in milliseconds; 0
+	// Until is the requested end of the lease on the worker's clock, in milliseconds; 0
 	// renews nothing.
 	Until int64
-	// Seen is the number of the last end that needn't be told again.
+	// Seen is the number of the last end that needn't be listed again.
 	Seen int64
-	// Wait is how long the answer may wait for an end.
+	// Wait is how long the worker may wait for an end before it answers.
 	Wait time.Duration
-	// Timeout is when the call counts as not answered.
+	// Timeout is how long after Sent the call counts as unanswered.
 	Timeout time.Duration
-	// Sent is when the call was given out.
+	// Sent is when the call was issued.
 	Sent time.Time
 }
 
 // StartCall starts a run.
 type StartCall struct {
 	Order
-	// Until is when the order loses its force, and the end of the lease that it
-	// brings, on the worker's clock in milliseconds.
+	// Until is when the order expires, and the end of the lease that it requests, on the
+	// worker's clock in milliseconds.
 	Until int64
 	Fence Fence
-	// Attempt tells the calls for one run apart.
+	// Attempt distinguishes the calls for one run.
 	Attempt int
-	// Clock is the worker's clock as last heard before the call.
+	// Clock is the worker's clock in its newest answer before the call.
 	Clock int64
-	// Timeout is when the call counts as not answered.
+	// Timeout is how long after Sent the call counts as unanswered.
 	Timeout time.Duration
 	Sent    time.Time
 }
@@ -42,18 +42,18 @@
 	Fence Fence
 }
 
-// Verdict is what became of a call.
+// Verdict is the outcome of a call.
 type Verdict int
 
 // The verdicts.
 const (
-	// OK: the worker did what was asked.
+	// OK: the worker did what it was asked to.
 	OK Verdict = iota + 1
 	// Refused: it did nothing, for the reason given.
 	Refused
-	// OtherBoot: another life of a worker answers at the address.
+	// OtherBoot: another incarnation of a worker answers at the address.
 	OtherBoot
-	// NoAnswer: it may have done it, or may do it later.
+	// NoAnswer: it may have done what it was asked to, or may do it later.
 	NoAnswer
 )
 
@@ -63,39 +63,39 @@
 	Reason  Reason
 	// Clock is the worker's clock in milliseconds, 0 if it wasn't told.
 	Clock int64
-	// Born numbers the worker's life, with a hold call.
+	// Born identifies the worker's incarnation, in the answer to a hold call.
 	Born    int64
 	Running []Listed
 	Ended   []ListedEnd
 }
 
-// Listed is a run that a worker says it runs.
+// Listed is a run in the worker's list of what it runs.
 type Listed struct {
 	Run
 	// Percent is how much of the work is done.
 	Percent int
 }
 
-// ListedEnd is an end that a worker lists.
+// ListedEnd is an end in the worker's list.
 type ListedEnd struct {
 	Number int64
 	Run
 	How How
 }
 
-// Action is what a book asks its shell to do. One field is set.
+// Action is what a book asks its driver to do. One field is set.
 type Action struct {
 	Hold  *HoldCall
 	Start *StartCall
 	Stop  *StopCall
-	// Tell is an end to be told to the owner of the run.
+	// Tell reports an end to the owner of the run.
 	Tell *Told
-	// Held tells all processes that this one holds the worker now; those who
-	// have runs there claim them.
+	// Held announces to all processes that this one holds the worker now; those that have
+	// runs there claim them.
 	Held bool
 }
 
-// Told is an end and who must know it.
+// Told is an end and the owner that must know it.
 type Told struct {
 	Owner Owner
 	End   End
--- a/lease/claim.go
+++ b/lease/claim.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Claim is what the owner of a run says of it to a holder that may not know it. It has no
-// text: with a type of its own, it can't take the place of the order that was given.
+// Claim is an owner's description of its run, for a holder that may not know it. It has
+// no text: as a type of its own, it can't take the place of the order that was given.
 type Claim struct {
 	Run
 	Room Room
-	// Estimate is the expected time at ordinary speed.
+	// Estimate is the expected duration at ordinary speed.
 	Estimate time.Duration
 }
 
-// Claim tells the owner of runs that were found, or that are still its own in a
-// new session. Runs that aren't there are told as such. It must not be called for
-// runs that were placed under a later holder: this one's list is from before them.
+// Claim handles the claims of an owner: for runs that this holder has found, or that are
+// still its own in a new session. Runs that don't exist are reported as such. It must not
+// be called for runs that were placed under a later holder: this one's list is older than
+// they are.
 func (b *Book) Claim(now time.Time, owner Owner, claims []Claim) {
 	for _, c := range claims {
 		b.claim(owner, c)
 	}
-	if b.phase == claiming && !b.orphans() {
-		b.unlock(now)
+	if b.phase == claiming && !b.hasOrphans() {
+		b.endClaiming(now)
 	}
 }
 
@@ -27,22 +28,22 @@
 	if e, ok := b.runs[c.Run]; ok {
 		e.owner, e.orphan = owner, false
 		e.Claim = c
-		e.reported, b.dirty = false, true
+		e.reported, b.unreported = false, true
 		return
 	}
-	if how, ok := b.ended[c.Run]; ok {
-		b.tell(owner, End{Run: c.Run, How: how})
+	if how, ok := b.unclaimedEnds[c.Run]; ok {
+		b.tellOwner(owner, End{Run: c.Run, How: how})
 		return
 	}
-	// Before the first list nothing is known; the claim is repeated when the
-	// worker is announced as held.
-	if b.phase == looking {
+	// Before the first list nothing is known; the claim is repeated when the worker is
+	// announced as held.
+	if b.phase == connecting {
 		return
 	}
-	b.tell(owner, End{Run: c.Run, How: Lost})
+	b.tellOwner(owner, End{Run: c.Run, How: Lost})
 }
 
-func (b *Book) orphans() bool {
+func (b *Book) hasOrphans() bool {
 	for _, e := range b.runs {
 		if e.orphan {
 			return true
@@ -51,17 +52,17 @@
 	return false
 }
 
-// unlock opens the book after the owners have claimed their runs. Those of
-// nobody are stopped: their caller may be served by another process by now.
-func (b *Book) unlock(now time.Time) {
+// endClaiming opens the worker after the owners have claimed their runs. Unclaimed runs
+// are stopped: their caller may be served by another process by now.
+func (b *Book) endClaiming(now time.Time) {
 	b.phase = open
-	b.ended = make(map[Run]How)
-	b.dirty = true
-	for _, e := range b.sorted() {
+	b.unclaimedEnds = make(map[Run]How)
+	b.unreported = true
+	for _, e := range b.sortedRuns() {
 		if e.orphan {
 			b.stop(now, e)
 		}
 	}
-	b.nextHold = now
+	b.nextHoldAt = now
 	b.Tick(now)
 }
--- a/lease/hold.go
+++ b/lease/hold.go
@@ -5,227 +5,227 @@
 	"time"
 )
 
-// hold gives out hold calls: one that waits for ends, and a second one that does
-// not wait while the first is without answer and something has to be known now.
-// None waits while runs are being claimed: it would renew nothing and keep the
-// call that renews from being made.
-func (b *Book) hold(now time.Time) {
-	if b.phase == closed || now.Before(b.nextHold) {
+// callHold issues hold calls: a poll, which waits for ends, and a check, which returns at
+// once, when the worker does not answer or something has to be known now. No poll is made
+// while runs are being claimed: it would renew nothing and delay the call that renews.
+func (b *Book) callHold(now time.Time) {
+	if b.phase == closed || now.Before(b.nextHoldAt) {
 		return
 	}
 	switch {
-	case b.poll == 0 && b.sound && b.failures == 0 && b.phase != looking && b.phase != claiming:
-		b.poll = b.call(now, b.pollTime(now))
-	case (!b.sound || b.lookDue) && b.look == 0:
-		b.lookDue, b.looked = false, now
-		b.look = b.call(now, 0)
+	case b.openPoll == 0 && b.reachable && b.failures == 0 && b.phase != connecting && b.phase != claiming:
+		b.openPoll = b.emitHoldCall(now, b.nextPollWait(now))
+	case (!b.reachable || b.checkDue) && b.openCheck == 0:
+		b.checkDue, b.checkedAt = false, now
+		b.openCheck = b.emitHoldCall(now, 0)
 	}
 }
 
-func (b *Book) pollTime(now time.Time) time.Duration {
+func (b *Book) nextPollWait(now time.Time) time.Duration {
 	switch {
-	case now.Before(b.lossy):
-		return pollShort
+	case now.Before(b.lossyUntil):
+		return lossyPollWait
 	case len(b.runs) == 0:
-		return pollIdle
+		return idlePollWait
 	}
-	return pollFor
+	return pollWait
 }
 
-func (b *Book) call(now time.Time, wait time.Duration) int {
-	b.calls++
-	c := &HoldCall{Number: b.calls, Fence: b.fence, Seen: b.seen, Wait: wait, Timeout: wait + b.habits.limit(answerFor), Sent: now}
-	// A call to a worker that does not answer renews nothing: its order may be
-	// carried out although the answer is lost, and the runs there would be in
-	// doubt for as long as it is tried. Nor does the first call after a pause.
-	if b.clock != 0 && b.sound && b.failures == 0 && (b.phase == open || b.phase == leaving) {
-		c.Until = b.renewal(now)
-		b.lease = max(b.lease, c.Until)
-	}
-	b.act(Action{Hold: c})
+func (b *Book) emitHoldCall(now time.Time, wait time.Duration) int {
+	b.callCount++
+	c := &HoldCall{Number: b.callCount, Fence: b.fence, Seen: b.lastEndSeen, Wait: wait, Timeout: wait + b.pool.timeout(answerTimeout), Sent: now}
+	// A call to an unreachable worker renews nothing: its order may be carried out
+	// although the answer is lost, and the runs there would be in doubt for as long as
+	// calls are tried. Nor does the first call after a suspension.
+	if b.clock != 0 && b.reachable && b.failures == 0 && (b.phase == open || b.phase == releasing) {
+		c.Until = b.renewalEnd(now)
+		b.leaseEnd = max(b.leaseEnd, c.Until)
+	}
+	b.emit(Action{Hold: c})
 	return c.Number
 }
 
-// Answered takes the answer to a hold call.
+// Answered handles the answer to a hold call.
 func (b *Book) Answered(now time.Time, c HoldCall, r Result) {
-	if b.foreign(c.Fence) {
+	if b.fromEarlierHolding(c.Fence) {
 		return
 	}
 	switch c.Number {
-	case b.poll:
-		b.poll = 0
-	case b.look:
-		b.look = 0
+	case b.openPoll:
+		b.openPoll = 0
+	case b.openCheck:
+		b.openCheck = 0
 	}
 	if b.phase == closed {
 		return
 	}
-	if c.Sent.Before(b.thawed) {
+	if c.Sent.Before(b.resumedAt) {
 		b.Tick(now)
 		return
 	}
 	if c.Wait == 0 {
-		b.habits.took(now.Sub(c.Sent), r)
+		b.pool.recordAnswer(now.Sub(c.Sent), r)
 	}
 	switch r.Verdict {
 	case OK:
-		b.list(now, c, r)
+		b.handleList(now, c, r)
 	case Refused:
 		b.holdRefused(now, c, r)
 	case OtherBoot:
-		b.allLost(now)
+		b.loseAllRuns(now)
 		b.close("worker_gone")
 	case NoAnswer:
-		b.missed(now)
-		b.giveUp()
+		b.callMissed(now)
+		b.closeIfNeverAnswered()
 	}
 	b.Tick(now)
 }
 
-// foreign tells that a call was made in a former holding of the worker by this process.
-// Its answer tells what was before others held the worker: as the answer to the first
-// look, it would have this holder tell owners that runs aren't there which it has not seen.
-func (b *Book) foreign(f Fence) bool { return f < b.first }
+// fromEarlierHolding reports whether a call was made in an earlier holding of the worker
+// by this process. Its answer shows the state before others held the worker: taken for
+// the answer to the first call, it would make this holder report runs as missing that it
+// has never seen.
+func (b *Book) fromEarlierHolding(f Fence) bool { return f < b.firstFence }
 
-// Spent returns the highest fence that was used in calls. The next holding of this process
-// must begin above it, also when the planner does not know of it.
-func (b *Book) Spent() Fence { return max(b.spent, b.fence) }
+// Spent returns the highest fence that was used in calls. The next holding of this
+// process must begin above it, also when the planner does not know of it.
+func (b *Book) Spent() Fence { return max(b.spentFence, b.fence) }
 
-// giveUp closes a book that never got an answer.
-func (b *Book) giveUp() {
-	if b.phase == looking && b.clock == 0 && b.failures >= deafAfter {
-		b.spent, b.fence = b.fence, 0
+// closeIfNeverAnswered gives up a worker that has never answered.
+func (b *Book) closeIfNeverAnswered() {
+	if b.phase == connecting && b.clock == 0 && b.failures >= unreachableThreshold {
+		b.spentFence, b.fence = b.fence, 0
 		b.close("out_of_reach")
 	}
 }
 
-// holdRefused looks for a higher fence at the beginning; later, a refusal of the
-// fence in use means that another holder has taken over.
+// holdRefused looks for a higher fence at the beginning; later, a refusal of the fence in
+// use means that another holder has taken over.
 func (b *Book) holdRefused(now time.Time, c HoldCall, r Result) {
 	switch {
 	case r.Reason != Fenced:
-		b.sound = false
+		b.reachable = false
 		b.failures++
-		b.nextHold = now.Add(retryHold)
+		b.nextHoldAt = now.Add(holdRetryInterval)
 	case c.Fence < b.fence:
 		// A call from before the last round.
-	case b.phase == looking && b.tries < fenceTries:
-		b.fence = b.fence.Raise(1 << b.tries)
-		b.tries++
-		b.nextHold = now
+	case b.phase == connecting && b.fenceRaises < maxFenceRaises:
+		b.fence = b.fence.AddTerms(1 << b.fenceRaises)
+		b.fenceRaises++
+		b.nextHoldAt = now
 	default:
 		b.close(string(Fenced))
 	}
 }
 
-// list takes what the worker says it runs and what has ended.
-func (b *Book) list(now time.Time, c HoldCall, r Result) {
-	if b.born != 0 && r.Born != b.born {
-		b.reborn(now, c, r)
+// handleList handles a worker's list of what it runs and what has ended.
+func (b *Book) handleList(now time.Time, c HoldCall, r Result) {
+	if b.incarnation != 0 && r.Born != b.incarnation {
+		b.handleRestart(now, c, r)
 	}
-	b.born = r.Born
-	b.dirty = b.dirty || b.failures > 0
+	b.incarnation = r.Born
+	b.unreported = b.unreported || b.failures > 0
 	b.failures = 0
-	if c.Fence == b.fence && !b.sound {
-		b.sound, b.dirty = true, true
+	if c.Fence == b.fence && !b.reachable {
+		b.reachable, b.unreported = true, true
 	}
-	b.nextHold = now
-	b.learnClock(now, r)
+	b.nextHoldAt = now
+	b.updateClock(now, r)
 	for _, e := range r.Ended {
-		b.listedEnd(now, e)
-	}
-	// Answers on two connections can overtake each other; an old list says
-	// nothing of what has begun since.
-	if r.Clock >= b.listed {
-		b.listed = r.Clock
-		b.dirty = b.dirty || b.full
-		b.full = false
-		b.compare(now, c, r)
-	}
-	if b.phase == looking {
-		// The holder before may have renewed until just now. From here on it
-		// can't, but what it renewed keeps its runs for a whole lease.
-		b.lease = max(b.lease, r.Clock+leaseFor.Milliseconds())
-		b.found(now)
+		b.handleListedEnd(now, e)
+	}
+	// Answers on two connections can overtake each other; an old list says nothing of
+	// what has started since.
+	if r.Clock >= b.listClock {
+		b.listClock = r.Clock
+		b.unreported = b.unreported || b.resourcesRefused
+		b.resourcesRefused = false
+		b.reconcileRuns(now, c, r)
+	}
+	if b.phase == connecting {
+		// The previous holder may have renewed until just now. It can't renew from here
+		// on, but its last renewal keeps its runs alive for a whole lease.
+		b.leaseEnd = max(b.leaseEnd, r.Clock+leaseDuration.Milliseconds())
+		b.firstListDone(now)
 	}
 }
 
-// found goes on after the first list.
-func (b *Book) found(now time.Time) {
-	b.act(Action{Held: true})
-	b.dirty = true
-	if len(b.runs) == 0 && len(b.ended) == 0 {
+// firstListDone announces the worker as held, and opens it or waits for claims.
+func (b *Book) firstListDone(now time.Time) {
+	b.emit(Action{Held: true})
+	b.unreported = true
+	if len(b.runs) == 0 && len(b.unclaimedEnds) == 0 {
 		b.phase = open
 		return
 	}
 	b.phase = claiming
-	b.claimBy = now.Add(claimFor)
+	b.claimDeadline = now.Add(claimTimeout)
 }
 
-// reborn takes note that the worker has started again: nothing of before runs, and its
-// clock and the numbers of its ends begin anew. A start that was on the way may have
-// reached the new life, which knows no fence yet; it is there, or in doubt as long as
-// the worker may still accept it.
-func (b *Book) reborn(now time.Time, c HoldCall, r Result) {
-	b.clock, b.listed, b.lease, b.seen = 0, 0, 0, 0
-	b.ended = make(map[Run]How)
-	for _, e := range b.sorted() {
+// handleRestart handles a restart of the worker: nothing of before runs, and its clock
+// and the numbers of its ends start over. A start in flight may have reached the new
+// incarnation, which knows no fence yet; it is either listed, or unconfirmed for as long
+// as the worker may still accept it.
+func (b *Book) handleRestart(now time.Time, c HoldCall, r Result) {
+	b.clock, b.listClock, b.leaseEnd, b.lastEndSeen = 0, 0, 0, 0
+	b.unclaimedEnds = make(map[Run]How)
+	for _, e := range b.sortedRuns() {
 		here := slices.ContainsFunc(r.Running, func(l Listed) bool { return l.Run == e.Run })
 		switch {
 		case here:
 			e.clock = r.Clock
-		case e.began.IsZero() && c.Fence <= e.fence:
-			b.doubt(now, e)
+		case e.confirmedAt.IsZero() && c.Fence <= e.fence:
+			b.resolveStart(now, e)
 		default:
 			b.end(now, e, End{Run: e.Run, How: Lost})
 		}
 	}
 }
 
-func (b *Book) allLost(now time.Time) {
-	for _, e := range b.sorted() {
+func (b *Book) loseAllRuns(now time.Time) {
+	for _, e := range b.sortedRuns() {
 		b.end(now, e, End{Run: e.Run, How: Lost})
 	}
 }
 
-func (b *Book) listedEnd(now time.Time, l ListedEnd) {
-	if l.Number <= b.seen {
+func (b *Book) handleListedEnd(now time.Time, l ListedEnd) {
+	if l.Number <= b.lastEndSeen {
 		return
 	}
-	b.seen = l.Number
+	b.lastEndSeen = l.Number
 	e, ok := b.runs[l.Run]
 	switch {
 	case ok && e.orphan:
 		delete(b.runs, l.Run)
-		b.ended[l.Run] = l.How
-		b.gone = append(b.gone, l.Run)
-		b.dirty = true
+		b.unclaimedEnds[l.Run] = l.How
+		b.removedRuns = append(b.removedRuns, l.Run)
+		b.unreported = true
 	case ok:
 		b.end(now, e, End{Run: l.Run, How: l.How})
-	case b.phase == looking || b.phase == claiming:
-		b.ended[l.Run] = l.How
+	case b.phase == connecting || b.phase == claiming:
+		b.unclaimedEnds[l.Run] = l.How
 	}
 }
 
-// compare settles what is running.
-func (b *Book) compare(now time.Time, c HoldCall, r Result) {
-	there := make(map[Run]Listed, len(r.Running))
+// reconcileRuns updates the known runs from a list.
+func (b *Book) reconcileRuns(now time.Time, c HoldCall, r Result) {
+	listed := make(map[Run]Listed, len(r.Running))
 	for _, l := range r.Running {
-		there[l.Run] = l
+		listed[l.Run] = l
 	}
-	for _, e := range b.sorted() {
-		l, ok := there[e.Run]
+	for _, e := range b.sortedRuns() {
+		l, ok := listed[e.Run]
 		switch {
 		case ok:
-			b.progress(now, e, l.Percent)
-			if e.state == doubtful || e.state == starting {
-				b.confirm(now, e, r.Clock)
+			b.updateProgress(now, e, l.Percent)
+			if e.state == unconfirmed || e.state == starting {
+				b.confirmStart(now, e, r.Clock)
 			}
-		case e.state == doubtful && c.Fence > e.fence:
+		case e.state == unconfirmed && c.Fence > e.fence:
 			b.end(now, e, End{Run: e.Run, How: Never, Why: Unanswered})
-		case e.state == stopping && e.began.IsZero() && c.Fence > e.fence:
+		case e.state == stopping && e.confirmedAt.IsZero() && c.Fence > e.fence:
 			b.end(now, e, End{Run: e.Run, How: Never, Why: Unanswered})
-		case !e.began.IsZero() && r.Clock > e.clock:
+		case !e.confirmedAt.IsZero() && r.Clock > e.clock:
 			b.end(now, e, End{Run: e.Run, How: Lost})
 		}
 	}
@@ -236,17 +236,18 @@
 	}
 }
 
-// adopt takes in a run that nobody here knows: of the holder before, or of a
-// start that was carried out late. In an open book it is stopped.
+// adopt adds a listed run that is unknown here: it was started by the previous holder, or
+// by an order that was carried out late. If tasks may already be started, or the worker
+// is being released, the run is stopped.
 func (b *Book) adopt(now time.Time, l Listed, clock int64) {
-	e := &run{Claim: Claim{Run: l.Run}, state: running, orphan: true, adopted: true, sent: now, began: now, progressed: now, clock: clock, percent: l.Percent}
+	e := &run{Claim: Claim{Run: l.Run}, state: running, orphan: true, adopted: true, sentAt: now, confirmedAt: now, progressedAt: now, clock: clock, percent: l.Percent}
 	b.runs[l.Run] = e
-	if b.phase == open || b.phase == leaving {
+	if b.phase == open || b.phase == releasing {
 		b.stop(now, e)
 	}
 }
 
-func (b *Book) learnClock(now time.Time, r Result) {
+func (b *Book) updateClock(now time.Time, r Result) {
 	if r.Clock > b.clock {
 		b.clock, b.clockAt = r.Clock, now
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,22 +1,22 @@
-// Package lease holds workers: for each one, the state of the one process that
-// may start and stop tasks there.
+// Package lease manages workers under leases: for each worker, the state of the one
+// process (its holder) that may start and stop tasks there.
 //
-// A worker kills everything that it runs when the lease that its holder renews
-// runs out, and refuses orders with a lower fencing token than it has seen. From
-// these two follows that a holder which froze, died or was cut off can't keep a
-// task running, and can't start one after another holder has taken over.
+// A worker kills everything that it runs when the lease that its holder renews expires,
+// and refuses orders with a lower fencing token than it has seen. Therefore a holder that
+// is suspended, dead or cut off can't keep a task running, and can't start one after
+// another holder has taken over.
 //
-// A Book is the state for one worker, as a pure value: events and times go in,
-// actions come out. It has no goroutine, socket or clock. What it guarantees:
+// A Book is the state of one worker as a deterministic state machine without I/O: events
+// and times go in, actions come out. It has no goroutine, socket or clock. It guarantees:
 //
-//   - a run that it reports as not started, ended or lost does not run and will
-//     not run, whatever happens to orders that are still on the way;
-//   - it never has more tasks on a worker, counting those that are being stopped
-//     and those whose start was not answered, than the worker has room for.
+//   - a run that it reports as not started, ended or lost does not run and will not run,
+//     whatever happens to orders that are still in flight;
+//   - the tasks on a worker, including those that are being stopped and those whose start
+//     is unanswered, never take more resources than the worker has.
 //
-// Limits: times of the worker are read off its answers; its clock may be slow by
-// Drift. A holder that can't reach the worker knows the end of its runs only
-// when the lease has run out.
+// Limits: the worker's clock is known from its answers alone, and it may run slow by
+// MaxClockDrift. A holder that can't reach the worker learns that its runs have ended
+// only when the lease has expired.
 package lease
 
 import (
@@ -27,10 +27,10 @@
 	"snipehub.example/mesh"
 )
 
-// Worker is one life of a backend server that runs tasks under leases.
+// Worker is one incarnation of a backend server that runs tasks under leases.
 type Worker struct {
-	// ID names this life; a worker that starts again at its address usually has
-	// a new one.
+	// ID identifies this incarnation; a worker that restarts at its address usually has a
+	// new one.
 	ID         string         `json:"id" cbor:"1,keyasint,omitzero"`
 	Address    netip.AddrPort `json:"address" cbor:"2,keyasint,omitzero"`
 	DataCenter string         `json:"dc" cbor:"3,keyasint,omitzero"`
@@ -41,8 +41,8 @@
 	Room Room   `json:"room" cbor:"7,keyasint,omitzero"`
 }
 
-// Room is what tasks take of a worker: thousandths of a core, megabytes,
-// accelerators.
+// Room is an amount of a worker's resources: CPU in thousandths of a core, memory in
+// megabytes, and GPUs.
 type Room struct {
 	CPU    int `json:"cpu,omitempty" cbor:"1,keyasint,omitzero"`
 	Memory int `json:"mem,omitempty" cbor:"2,keyasint,omitzero"`
@@ -55,30 +55,30 @@
 // Minus returns the difference.
 func (r Room) Minus(o Room) Room { return Room{r.CPU - o.CPU, r.Memory - o.Memory, r.GPU - o.GPU} }
 
-// Fits tells whether r fits into o.
+// Fits reports whether r fits into o.
 func (r Room) Fits(o Room) bool { return r.CPU <= o.CPU && r.Memory <= o.Memory && r.GPU <= o.GPU }
 
-// Fence is a fencing token: higher for each holder of a worker than for the one
-// before, and never the same for two.
+// Fence is a fencing token: higher for each holder of a worker than for the one before,
+// and never the same for two.
 //
-// From the highest bit down it has a term, which each holder sets above that of
-// the one before; bits that tell holders apart that choose the same term; and a
-// round, which a holder raises to void its own orders that got no answer. A round
-// never reaches the next term. If it did, a holder that has been replaced and
-// voids an old order would take the worker back unknowingly: the new holder would
-// tell the owners of runs that these don't run, while the old one starts them.
+// From the highest bit down it has a term, which each holder sets above that of the one
+// before; bits that distinguish holders that choose the same term; and a round, which a
+// holder raises to void its own unanswered orders. A round never overflows into the next
+// term. If it did, a holder that has been replaced and voids an old order would take the
+// worker back unknowingly: the new holder would report to the owners of runs that these
+// don't run, while the old one starts them.
 type Fence uint64
 
 const (
 	roundBits = 8
-	// holderBits tell holders apart. Two processes have the same bits if 2^20
-	// others have started in between.
+	// holderBits distinguish holders. Two processes have the same bits if 2^20 others
+	// have started in between.
 	holderBits = 20
 	termShift  = roundBits + holderBits
 	maxRound   = 1<<roundBits - 1
 )
 
-// NewFence makes the first fence of a holder with a number that no other has.
+// NewFence returns the first fence of a holder whose number is unique.
 func NewFence(number uint64) Fence {
 	return Fence(number<<termShift | number&(1<<holderBits-1)<<roundBits)
 }
@@ -86,12 +86,11 @@
 // Term returns the term.
 func (f Fence) Term() uint64 { return uint64(f >> termShift) }
 
-// Base returns the fence without its round: what tells one holding of a worker
-// from another.
+// Base returns the fence without its round. It identifies one holding of a worker.
 func (f Fence) Base() Fence { return f &^ maxRound }
 
-// Raise returns the fence of the same holder in a higher term.
-func (f Fence) Raise(terms uint64) Fence {
+// AddTerms returns the fence of the same holder in a term that is higher by terms.
+func (f Fence) AddTerms(terms uint64) Fence {
 	return f.Base() + Fence(terms<<termShift)
 }
 
@@ -101,18 +100,18 @@
 	if f.Term() > o.Term() {
 		return f
 	}
-	return f.Raise(o.Term() - f.Term() + 1)
+	return f.AddTerms(o.Term() - f.Term() + 1)
 }
 
-// Next returns the fence in the next round, false if there is none in the term.
-func (f Fence) Next() (Fence, bool) {
+// NextRound returns the fence in the next round, or false if the term has no rounds left.
+func (f Fence) NextRound() (Fence, bool) {
 	if f&maxRound == maxRound {
 		return f, false
 	}
 	return f + 1, true
 }
 
-// Run is one run of a task.
+// Run is one attempt of a task.
 type Run struct {
 	Task Task `json:"task" cbor:"1,keyasint,omitzero"`
 	// Number counts the runs of the task from 1.
@@ -122,55 +121,55 @@
 // Job returns the name of the run's job.
 func (r Run) Job() string { return r.Task.Job() }
 
-// Order asks for one run.
+// Order asks for one run to be started.
 type Order struct {
 	Claim
 	Text
 }
 
-// How tells how a run ended.
+// How is the outcome of a run.
 type How int
 
 // The ways in which a run ends.
 const (
-	// Done: it has done its work.
+	// Done: it completed its work.
 	Done How = iota + 1
-	// Failed: by its own fault or the worker's.
+	// Failed: it failed by its own fault or the worker's.
 	Failed
-	// Stopped: by order.
+	// Stopped: it was stopped by order.
 	Stopped
-	// Lapsed: the lease ran out.
+	// Lapsed: the worker killed it because the lease had expired.
 	Lapsed
 	// Never: it was not started and will not be.
 	Never
-	// Lost: it does not run any more, and it is not known how it ended.
+	// Lost: it does not run any more, and its outcome is unknown.
 	Lost
 )
 
 var howNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Never: "never", Lost: "lost"}
 
-// String names the way.
+// String returns the outcome's name.
 func (h How) String() string { return howNames[h] }
 
-// LogValue shows the name in logs.
+// LogValue logs the outcome by its name.
 func (h How) LogValue() slog.Value { return slog.StringValue(h.String()) }
 
-// Reason tells why a run was not started.
+// Reason is why a run was not started.
 type Reason string
 
 // The reasons.
 const (
-	NoRoom     Reason = "room"
-	NotHeld    Reason = "not_held"
-	Unsound    Reason = "unsound"
-	Draining   Reason = "draining"
-	Unhealthy  Reason = "unhealthy"
-	Late       Reason = "late"
-	Old        Reason = "old"
-	Fenced     Reason = "fenced"
-	Unanswered Reason = "unanswered"
-	Invalid    Reason = "invalid"
-	// TextDiffers: the order has another text than its caller has sent.
+	NoRoom      Reason = "room"
+	NotHeld     Reason = "not_held"
+	Unreachable Reason = "unsound"
+	Draining    Reason = "draining"
+	Unhealthy   Reason = "unhealthy"
+	Late        Reason = "late"
+	Old         Reason = "old"
+	Fenced      Reason = "fenced"
+	Unanswered  Reason = "unanswered"
+	Invalid     Reason = "invalid"
+	// TextDiffers: the order's text is not the one that its caller sent.
 	TextDiffers Reason = "text_differs"
 )
 
@@ -178,18 +177,18 @@
 type End struct {
 	Run
 	How How `cbor:"3,keyasint,omitzero"`
-	// Why is set with Never.
+	// Why is set if How is Never.
 	Why Reason `cbor:"4,keyasint,omitzero"`
-	// Took is how long it ran, as the holder saw it; 0 if it isn't known.
+	// Took is how long it ran as seen by the holder, or 0 if that is unknown.
 	Took time.Duration `cbor:"5,keyasint,omitzero"`
 }
 
-// Unfit tells that the order itself was wrong, so that the run will not be started on any
-// worker either.
+// Unfit reports whether the order itself was wrong, so that no other worker will start
+// the run either.
 func (e End) Unfit() bool { return e.How == Never && (e.Why == TextDiffers || e.Why == Invalid) }
 
 // Owner is the process that serves the caller whose task runs.
 type Owner = mesh.ID
 
-// Drift is by how much a worker's clock may be slow.
-const Drift = 0.02
+// MaxClockDrift is the fraction by which a worker's clock may run slow.
+const MaxClockDrift = 0.02
--- a/lease/speed_test.go
+++ b/lease/speed_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// What a worker's speed is taken for after some ends. A task so short that messages
-// are most of its time must not make a worker look slow: jobs that it could serve
-// would be refused.
+// A worker's speed factor after some ends. A task so short that messages are most of its
+// duration must not make a worker look slow: jobs that it could serve would be refused.
 func TestSpeed(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
@@ -25,7 +24,7 @@
 	for _, tt := range tests {
 		var s Speed
 		for range tt.ends {
-			s.learn(&run{Claim: Claim{Estimate: tt.est}}, End{How: Done, Took: tt.took})
+			s.learnFromEnd(&run{Claim: Claim{Estimate: tt.est}}, End{How: Done, Took: tt.took})
 		}
 		if s.Factor < tt.least || s.Factor > tt.most {
 			t.Errorf("%s: factor %.2f, want %.2f to %.2f", tt.name, s.Factor, tt.least, tt.most)
@@ -33,57 +32,57 @@
 	}
 }
 
-// Jobs that can never be done come to a sound worker. One of them alone, however many
-// tasks it has, must not make the worker look sick.
+// Jobs that can never be done come to a healthy worker. One of them alone, however many
+// tasks it has, must not make the worker look unhealthy.
 func TestBadEnds(t *testing.T) {
 	var s Speed
 	for _, task := range []Task{"a.0.0.0", "a.0.0.1", "b.0.0.0", "b.0.0.3"} {
-		s.learn(&run{Claim: Claim{Run: Run{Task: task}}}, End{How: Failed})
+		s.learnFromEnd(&run{Claim: Claim{Run: Run{Task: task}}}, End{How: Failed})
 	}
 	if s.Bad != 2 {
 		t.Errorf("%d bad ends of two jobs", s.Bad)
 	}
-	s.learn(&run{}, End{How: Done})
+	s.learnFromEnd(&run{}, End{How: Done})
 	if s.Bad != 0 {
 		t.Errorf("%d bad ends after a good one", s.Bad)
 	}
 }
 
-// Tasks stand still on a worker that answers as if it were well. They are stopped, so
-// that they can go on elsewhere, and the worker counts as sick. Where workers never
-// tell how far tasks are, nothing of this may happen.
-func TestStandingStill(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		habits := &Habits{Progress: told}
+// Tasks stall on a worker that answers as if it were healthy. They are stopped, so that
+// they can continue on another worker, and the worker counts as unhealthy. Where workers
+// never report progress, none of this may happen.
+func TestStalledRuns(t *testing.T) {
+	for _, reportsProgress := range []bool{true, false} {
+		habits := &Habits{ReportsProgress: reportsProgress}
 		b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, habits)
-		b.Answered(ms(0), take(b).holds[0], listed(ms(0), nil))
-		poll := take(b).holds[0]
+		b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), nil))
+		poll := takeActions(b).holds[0]
 		b.Start(ms(10), alice, order("a", 1))
-		s := take(b).starts[0]
+		s := takeActions(b).starts[0]
 		b.Started(ms(11), s, Result{Verdict: OK, Clock: 5011})
 		stops := 0
 		for at := 300; at <= 1200; at += 300 {
-			b.Answered(ms(at), poll, listed(ms(at), []Run{s.Run}))
-			got := take(b)
+			b.Answered(ms(at), poll, listResult(ms(at), []Run{s.Run}))
+			got := takeActions(b)
 			stops += len(got.stops)
 			if len(got.holds) > 0 {
 				poll = got.holds[0]
 			}
 		}
-		if want := told; (stops > 0) != want {
-			t.Errorf("%d stops of a run without progress; progress is told: %v", stops, told)
+		if want := reportsProgress; (stops > 0) != want {
+			t.Errorf("%d stops of a run without progress; progress is reported: %v", stops, reportsProgress)
 		}
-		if told && b.State(ms(1300)).Speed.Bad < 2 {
-			t.Error("the worker counts as well")
+		if reportsProgress && b.State(ms(1300)).Speed.Bad < 2 {
+			t.Error("the worker counts as healthy")
 		}
 	}
 }
 
-// How long a run will take is foreseen from its progress, so a worker that has turned
-// slow is known before its first task ends.
+// The duration of a run is extrapolated from its progress, so a worker that has turned
+// slow is recognized before its first task ends.
 func TestSpeedFromProgress(t *testing.T) {
-	b, poll, s := runningBook(t)
-	r := listed(ms(310), nil)
+	b, poll, s := newRunningBook(t)
+	r := listResult(ms(310), nil)
 	r.Running = []Listed{{Run: s.Run, Percent: 50}}
 	b.Answered(ms(310), poll, r)
 	if f := b.State(ms(311)).Speed.Factor; f < 2 {
--- a/lease/start.go
+++ b/lease/start.go
@@ -2,121 +2,122 @@
 
 import "time"
 
-// Start starts a run for its owner, or tells why not.
+// Start starts a run for its owner, or reports why not.
 func (b *Book) Start(now time.Time, owner Owner, o Order) {
 	if e, ok := b.runs[o.Run]; ok {
-		b.again(owner, e, o)
+		b.handleRepeatedStart(owner, e, o)
 		return
 	}
-	why := b.refusal(o)
+	why := b.refusalReason(o)
 	if why != "" {
-		b.tell(owner, End{Run: o.Run, How: Never, Why: why})
-		b.gone = append(b.gone, o.Run)
-		b.misjudged()
+		b.tellOwner(owner, End{Run: o.Run, How: Never, Why: why})
+		b.removedRuns = append(b.removedRuns, o.Run)
+		b.reportFullState()
 		return
 	}
-	e := &run{Claim: o.Claim, text: o.Text, owner: owner, state: starting, sent: now}
+	e := &run{Claim: o.Claim, text: o.Text, owner: owner, state: starting, sentAt: now}
 	b.runs[o.Run] = e
-	b.send(now, e)
+	b.sendStart(now, e)
 }
 
-// again takes the start of a run that is there already. If it is that of another job under
-// the same id, its owner must not be given the end of this one.
-func (b *Book) again(owner Owner, e *run, o Order) {
+// handleRepeatedStart handles the start of a run that exists already. If the order is
+// that of another job under the same id, its owner must not be given the end of this run.
+func (b *Book) handleRepeatedStart(owner Owner, e *run, o Order) {
 	if e.text != (Text{}) && e.text != o.Text {
-		b.tell(owner, End{Run: o.Run, How: Never, Why: TextDiffers})
+		b.tellOwner(owner, End{Run: o.Run, How: Never, Why: TextDiffers})
 		return
 	}
 	e.owner, e.orphan = owner, false
 }
 
-func (b *Book) refusal(o Order) Reason {
+func (b *Book) refusalReason(o Order) Reason {
 	switch {
 	case b.phase != open:
 		return NotHeld
 	case b.draining:
 		return Draining
-	case !b.sound:
-		return Unsound
-	case b.full || !b.used().Plus(o.Room).Fits(b.worker.Room):
+	case !b.reachable:
+		return Unreachable
+	case b.resourcesRefused || !b.usedResources().Plus(o.Room).Fits(b.worker.Room):
 		return NoRoom
 	}
 	return ""
 }
 
-// send gives out the start of a run. A worker would run whatever text comes with it, so
-// one that is not the job's goes no further; the owner has the task placed again.
-func (b *Book) send(now time.Time, e *run) {
-	if !e.text.of(e.Job()) {
+// sendStart issues the start of a run. A worker would run whatever text comes with the
+// order, so a text that is not the job's is not sent; the owner has the task placed
+// again.
+func (b *Book) sendStart(now time.Time, e *run) {
+	if !e.text.matches(e.Job()) {
 		b.end(now, e, End{Run: e.Run, How: Never, Why: TextDiffers})
 		return
 	}
-	e.state, e.fence, e.sent = starting, b.fence, now
+	e.state, e.fence, e.sentAt = starting, b.fence, now
 	e.attempt++
-	until := b.at(now) + startFor.Milliseconds()
-	b.lease = max(b.lease, until)
-	b.act(Action{Start: &StartCall{Order: Order{Claim: e.Claim, Text: e.text}, Until: until, Fence: e.fence, Attempt: e.attempt, Clock: b.clock, Timeout: b.startTime(now), Sent: now}})
+	until := b.maxWorkerClock(now) + startValidity.Milliseconds()
+	b.leaseEnd = max(b.leaseEnd, until)
+	b.emit(Action{Start: &StartCall{Order: Order{Claim: e.Claim, Text: e.text}, Until: until, Fence: e.fence, Attempt: e.attempt, Clock: b.clock, Timeout: b.nextStartTimeout(now), Sent: now}})
 }
 
-func (b *Book) startTime(now time.Time) time.Duration {
-	if now.Before(b.lossy) {
-		return b.habits.limit(startShort)
+func (b *Book) nextStartTimeout(now time.Time) time.Duration {
+	if now.Before(b.lossyUntil) {
+		return b.pool.timeout(lossyStartTimeout)
 	}
-	return b.habits.limit(startAnswer)
+	return b.pool.timeout(startTimeout)
 }
 
-// Started takes the answer to a start.
+// Started handles the answer to a start.
 func (b *Book) Started(now time.Time, c StartCall, r Result) {
-	if b.foreign(c.Fence) {
+	if b.fromEarlierHolding(c.Fence) {
 		return
 	}
-	if c.Sent.Before(b.thawed) {
+	if c.Sent.Before(b.resumedAt) {
 		r = Result{Verdict: NoAnswer}
 	} else {
-		b.habits.took(now.Sub(c.Sent), r)
+		b.pool.recordAnswer(now.Sub(c.Sent), r)
 	}
-	b.learnClock(now, r)
+	b.updateClock(now, r)
 	e, ok := b.runs[c.Run]
-	if !ok || e.attempt != c.Attempt || e.state != starting && e.state != doubtful && e.state != stopping {
+	if !ok || e.attempt != c.Attempt || e.state != starting && e.state != unconfirmed && e.state != stopping {
 		return
 	}
 	switch {
 	case r.Verdict == OK && r.Clock < c.Clock:
-		// A clock that went back is that of another life under the same id. The
-		// run is there; the next list tells what else became of the worker.
-		b.doubt(now, e)
+		// A clock that went back is that of another incarnation under the same id. The
+		// run is there; the next list shows what else became of the worker.
+		b.resolveStart(now, e)
 	case r.Verdict == OK:
-		b.confirm(now, e, r.Clock)
+		b.confirmStart(now, e, r.Clock)
 	case r.Verdict == Refused:
-		b.turnedDown(now, e, c, r.Reason)
+		b.startRefused(now, e, c, r.Reason)
 	case r.Verdict == OtherBoot:
 		b.end(now, e, End{Run: e.Run, How: Never, Why: NotHeld})
 		b.close("worker_gone")
 	default:
-		b.doubt(now, e)
+		b.resolveStart(now, e)
 	}
 }
 
-func (b *Book) confirm(now time.Time, e *run, clock int64) {
-	e.began, e.progressed, e.clock = now, now, clock
+func (b *Book) confirmStart(now time.Time, e *run, clock int64) {
+	e.confirmedAt, e.progressedAt, e.clock = now, now, clock
 	if e.state != stopping {
 		e.state = running
 	}
 }
 
-func (b *Book) turnedDown(now time.Time, e *run, c StartCall, why Reason) {
+func (b *Book) startRefused(now time.Time, e *run, c StartCall, why Reason) {
 	if why != Fenced {
 		switch why {
 		case Unhealthy:
-			b.speed.bad(e.Run)
+			b.speed.countBad(e.Run)
 		case NoRoom:
-			b.surprised(now)
+			b.resourcesMissing(now)
 		}
 		b.end(now, e, End{Run: e.Run, How: Never, Why: why})
 		return
 	}
 	if c.Fence < b.fence && e.state == starting && b.phase == open {
-		b.send(now, e)
+		b.sendStart(now, e)
 		return
 	}
 	b.end(now, e, End{Run: e.Run, How: Never, Why: Fenced})
@@ -125,37 +126,36 @@
 	}
 }
 
-// surprised takes note that the worker runs something that isn't known here. Until the
-// next list nothing is started: the planner would give the room that seems to be free
-// to one task after the other.
-func (b *Book) surprised(now time.Time) {
-	b.full, b.lookDue = true, true
-	b.misjudged()
-	b.nextHold = now
+// resourcesMissing records that the worker runs something unknown here. Until the next
+// list nothing is started: the planner would give the resources that seem free to one
+// task after the other.
+func (b *Book) resourcesMissing(now time.Time) {
+	b.resourcesRefused, b.checkDue = true, true
+	b.reportFullState()
+	b.nextHoldAt = now
 	b.Tick(now)
 }
 
-// misjudged has the planner told all again: it has given the worker a task that could not
-// be started there. Told only of the refused run, a new planner that does not know the
-// others gave the same room away every two milliseconds.
-func (b *Book) misjudged() { b.dirty, b.stated = true, false }
+// reportFullState has the full state reported to the planner: it has granted a task that
+// could not be started. Told only of the refused run, a new planner that does not know
+// the others granted the same resources every two milliseconds.
+func (b *Book) reportFullState() { b.unreported, b.fullStateSent = true, false }
 
-// doubt begins to find out what became of a start without an answer. The order
-// may still be on the way. A hold call with a higher fence settles it: the
-// worker refuses the order from then on, so the list that comes with the answer
-// is final.
-func (b *Book) doubt(now time.Time, e *run) {
+// resolveStart begins to find out what became of an unanswered start. The order may still
+// be in flight. A hold call with a higher fence resolves this: the worker refuses the
+// order from then on, so the list in the answer is final.
+func (b *Book) resolveStart(now time.Time, e *run) {
 	if e.state == starting {
-		e.state = doubtful
+		e.state = unconfirmed
 	}
-	next, ok := b.fence.Next()
+	next, ok := b.fence.NextRound()
 	if !ok {
-		// All rounds are used. Letting go is safe, and the planner gives the
-		// worker to a holder with a new term.
+		// All rounds are used. It is safe to give the worker up; the planner assigns it
+		// to a holder with a new term.
 		b.close("rounds_used")
 		return
 	}
 	b.fence = next
-	b.missed(now)
+	b.callMissed(now)
 	b.Tick(now)
 }
--- a/lease/task_test.go
+++ b/lease/task_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Names of tasks travel in a packed form where they can. Whatever the name, the other
+// Names of tasks are sent in a compact form where possible. Whatever the name, the other
 // process must read what was written: a task under another name would be placed twice.
 func TestTaskIsReadAsWritten(t *testing.T) {
 	for _, c := range []struct {
--- a/lease/text.go
+++ b/lease/text.go
@@ -2,26 +2,26 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Text is what a task is to run, as its caller has sent it for the whole job.
+// Text is what a task is to run, as its caller sent it for the whole job.
 type Text struct {
 	Spec string
-	// Sum is made where the caller's request is read, and compared where the worker is
-	// told to start. Between the two the text passes messages and books, and an order
-	// may wait and be sent again.
+	// Sum is computed where the caller's request is read, and checked where the worker is
+	// told to start. In between the text passes through messages and stored state, and an
+	// order may wait and be sent again.
 	Sum Sum
 }
 
-// Sum is a checksum of a job's name and its text. That of no text is not 0, so an order
-// that has lost both its text and its sum is noticed too.
+// Sum is a checksum of a job's name and its text. That of an empty text is not 0, so an
+// order that has lost both its text and its sum is detected too.
 type Sum uint64
 
-// NewText makes the text of a job.
-func NewText(job, spec string) Text { return Text{Spec: spec, Sum: sumOf(job, spec)} }
+// NewText returns a job's text with its checksum.
+func NewText(job, spec string) Text { return Text{Spec: spec, Sum: checksum(job, spec)} }
 
-// of tells whether the text is the one that the job's caller has sent.
-func (t Text) of(job string) bool { return sumOf(job, t.Spec) == t.Sum }
+// matches reports whether the text is the one that the job's caller sent.
+func (t Text) matches(job string) bool { return checksum(job, t.Spec) == t.Sum }
 
-func sumOf(job, spec string) Sum {
+func checksum(job, spec string) Sum {
 	var d xxhash.Digest
 	d.Reset()
 	// Writing to a digest does not fail.
