--- a/lease/book.go
+++ b/lease/book.go
@@ -147,10 +147,10 @@
 	openPoll, openCheck int
 	// checkedAt is when the last call that returns at once was made.
 	checkedAt time.Time
-	// reachable is set while the worker answers. checkDue is set when a call that returns
-	// at once is needed.
-	reachable bool
-	checkDue  bool
+	// usable is set while the worker answers and accepts hold calls. checkDue is set when
+	// a call that returns at once is needed.
+	usable   bool
+	checkDue bool
 	// resourcesRefused is set if the worker has refused a start for lack of resources
 	// since its last list.
 	resourcesRefused bool
@@ -232,8 +232,8 @@
 	b.checkDue = true
 	b.nextHoldAt = now
 	if b.failures >= unreachableThreshold {
-		b.unreported = b.unreported || b.reachable
-		b.reachable = false
+		b.unreported = b.unreported || b.usable
+		b.usable = false
 	}
 	if b.failures > unreachableThreshold {
 		b.nextHoldAt = now.Add(holdRetryInterval)
@@ -314,7 +314,7 @@
 	if len(b.runs) > 0 && now.Before(b.lossyUntil) && b.openCheck == 0 && now.Sub(b.checkedAt) >= b.pool.timeout(0) {
 		b.checkDue = true
 	}
-	if !b.reachable && len(b.runs) > 0 && b.clock != 0 && now.After(b.LeaseEnd()) {
+	if !b.usable && len(b.runs) > 0 && b.clock != 0 && now.After(b.LeaseEnd()) {
 		b.expireRuns(now)
 	}
 	b.callHold(now)
@@ -331,7 +331,7 @@
 	return n
 }
 
-// expireRuns reports the runs of an unreachable worker as lost: their leases have
+// expireRuns reports the runs of an unusable worker as lost: their leases have
 // expired.
 func (b *Book) expireRuns(now time.Time) {
 	for _, e := range b.sortedRuns() {
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -346,7 +346,7 @@
 		}
 	}
 	b.Start(ms(420), alice, order("c", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, Unreachable)
+	wantEnd(t, takeActions(b).tells, alice, Never, Unusable)
 }
 
 // A holder that releases its worker starts nothing more and closes when no start is
@@ -438,7 +438,7 @@
 		t.Errorf("%+v from an answer older than the suspension", got)
 	}
 	b.Start(ms(5002), alice, order("b", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, Unreachable)
+	wantEnd(t, takeActions(b).tells, alice, Never, Unusable)
 	b.Answered(ms(5003), check[0], listResult(ms(5003), []Run{s.Run}))
 	if got := takeActions(b).tells; len(got) != 0 {
 		t.Errorf("reported %+v of a run that continues", got)
--- a/lease/hold.go
+++ b/lease/hold.go
@@ -13,9 +13,9 @@
 		return
 	}
 	switch {
-	case b.openPoll == 0 && b.reachable && b.failures == 0 && b.phase != connecting && b.phase != claiming:
+	case b.openPoll == 0 && b.usable && b.failures == 0 && b.phase != connecting && b.phase != claiming:
 		b.openPoll = b.emitHoldCall(now, b.nextPollWait(now))
-	case (!b.reachable || b.checkDue) && b.openCheck == 0:
+	case (!b.usable || b.checkDue) && b.openCheck == 0:
 		b.checkDue, b.checkedAt = false, now
 		b.openCheck = b.emitHoldCall(now, 0)
 	}
@@ -37,7 +37,7 @@
 	// A call to an unreachable worker renews nothing: its order may be carried out
 	// although the answer is lost, and the runs there would be in doubt for as long as
 	// calls are tried. Nor does the first call after a suspension.
-	if b.clock != 0 && b.reachable && b.failures == 0 && (b.phase == open || b.phase == releasing) {
+	if b.clock != 0 && b.usable && b.failures == 0 && (b.phase == open || b.phase == releasing) {
 		c.Until = b.renewalEnd(now)
 		b.leaseEnd = max(b.leaseEnd, c.Until)
 	}
@@ -104,7 +104,7 @@
 func (b *Book) holdRefused(now time.Time, c HoldCall, r Result) {
 	switch {
 	case r.Reason != Fenced:
-		b.reachable = false
+		b.usable = false
 		b.failures++
 		b.nextHoldAt = now.Add(holdRetryInterval)
 	case c.Fence < b.fence:
@@ -126,8 +126,8 @@
 	b.incarnation = r.Born
 	b.unreported = b.unreported || b.failures > 0
 	b.failures = 0
-	if c.Fence == b.fence && !b.reachable {
-		b.reachable, b.unreported = true, true
+	if c.Fence == b.fence && !b.usable {
+		b.usable, b.unreported = true, true
 	}
 	b.nextHoldAt = now
 	b.updateClock(now, r)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -159,16 +159,21 @@
 
 // The reasons.
 const (
-	NoRoom      Reason = "room"
-	NotHeld     Reason = "not_held"
-	Unreachable Reason = "unsound"
-	Draining    Reason = "draining"
-	Unhealthy   Reason = "unhealthy"
-	Late        Reason = "late"
-	Old         Reason = "old"
-	Fenced      Reason = "fenced"
-	Unanswered  Reason = "unanswered"
-	Invalid     Reason = "invalid"
+	NoRoom  Reason = "room"
+	NotHeld Reason = "not_held"
+	// Unusable: the worker does not answer, or does not accept hold calls.
+	Unusable  Reason = "unsound"
+	Draining  Reason = "draining"
+	Unhealthy Reason = "unhealthy"
+	// Late: the order reached the worker after it had expired.
+	Late Reason = "late"
+	// Old: the worker was told before to stop this run of the task, or a later one.
+	Old    Reason = "old"
+	Fenced Reason = "fenced"
+	// Unanswered: the start got no answer, and the worker does not run it.
+	Unanswered Reason = "unanswered"
+	// Invalid: the worker can't read the order.
+	Invalid Reason = "invalid"
 	// TextDiffers: the order's text is not the one that its caller sent.
 	TextDiffers Reason = "text_differs"
 )
--- a/lease/start.go
+++ b/lease/start.go
@@ -36,8 +36,8 @@
 		return NotHeld
 	case b.draining:
 		return Draining
-	case !b.reachable:
-		return Unreachable
+	case !b.usable:
+		return Unusable
 	case b.resourcesRefused || !b.usedResources().Plus(o.Room).Fits(b.worker.Room):
 		return NoRoom
 	}
--- a/lease/state.go
+++ b/lease/state.go
@@ -113,7 +113,7 @@
 	return State{
 		ID:       b.worker.ID,
 		Fence:    b.fence,
-		Open:     b.phase == open && b.reachable && !b.resourcesRefused,
+		Open:     b.phase == open && b.usable && !b.resourcesRefused,
 		Gone:     b.phase == closed,
 		Draining: b.draining,
 		Failures: b.failures,
@@ -154,7 +154,7 @@
 	if b.clock != 0 {
 		b.leaseEnd = max(b.leaseEnd, b.maxWorkerClock(now)+leaseDuration.Milliseconds())
 	}
-	b.reachable, b.openPoll, b.openCheck = false, 0, 0
+	b.usable, b.openPoll, b.openCheck = false, 0, 0
 	b.unreported = true
 	b.nextHoldAt = now
 	b.Tick(now)
