--- a/entry/book.go
+++ b/entry/book.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// forgetAfter is when runs at a holder that was lost are surely over: it
-	// stops them within a second of losing sight of this process, and if it
-	// can't, their lease of a second runs out.
-	forgetAfter = 2100 * time.Millisecond
-	// keepDone is how long the answer of a job is kept for a late copy of its
+	// lostHolderTimeout is when runs at a lost holder are certainly over: the holder
+	// stops them within a second after this process has become unreachable to it, and if
+	// it can't, their lease of a second expires.
+	lostHolderTimeout = 2100 * time.Millisecond
+	// answerRetention is how long the answer of a job is kept for a late copy of its
 	// request.
-	keepDone = 4 * time.Second
+	answerRetention = 4 * time.Second
 )
 
 type state int
@@ -26,8 +26,8 @@
 const (
 	// blocked: an earlier step isn't done.
 	blocked state = iota
-	// waiting: the planner was asked.
-	waiting
+	// pending: the planner was asked for a worker.
+	pending
 	// placed: the holder was told to start it.
 	placed
 	done
@@ -36,56 +36,57 @@
 type task struct {
 	step, index int
 	state       state
-	// run is the number of the last run, failures how many ended as failed, unfit how many
-	// were not started because the order itself was wrong.
-	run, failures, unfit int
+	// runNumber is the number of the last run, failures how many runs failed, wrongOrders
+	// how many were not started because the order itself was wrong.
+	runNumber, failures, wrongOrders int
 	// worker and holder are where it is placed.
 	worker string
 	holder mesh.ID
-	// fence is the holder's.
+	// fence is the holder's fence.
 	fence lease.Fence
-	// estimate is the expected time there at ordinary speed.
+	// estimate is the expected duration on that worker at ordinary speed.
 	estimate time.Duration
-	// avoid is the worker that did not start the last run.
-	avoid string
-	// placedAt is when it was placed.
-	placedAt time.Time
-	// adrift is since when the holder is out of sight, zero while it isn't.
-	adrift time.Time
+	// avoidWorker is the worker where the last run ended without being done.
+	avoidWorker string
+	placedAt    time.Time
+	// unreachableSince is when the holder was found to be unreachable, or not to hold the
+	// worker any more; zero otherwise.
+	unreachableSince time.Time
 }
 
 type job struct {
 	Request
-	text                lease.Text
-	arrived, aim, limit time.Time
-	tasks               []*task
-	waiters             []Waiter
-	// asked is when the planner was asked for tasks of which none was granted yet.
+	text                           lease.Text
+	arrived, objectiveAt, deadline time.Time
+	tasks                          []*task
+	waiters                        []Waiter
+	// asked is when a planner was last asked for tasks; zero once this cell's has
+	// answered.
 	asked time.Time
-	// elsewhere is the planner of another cell that was asked after this cell's has refused
-	// the job; zero before.
-	elsewhere mesh.ID
-	// ran tells that a run has ended that had begun.
+	// otherPlanner is the planner of another cell that was asked after this cell's
+	// refused the job; zero before.
+	otherPlanner mesh.ID
+	// ran is set once a run has ended that may have begun.
 	ran bool
-	// answer is set when the job is over; until then it is nil.
-	answer *Answer
-	over   time.Time
+	// answer is nil until the job is over.
+	answer     *Answer
+	answeredAt time.Time
 }
 
-// Book is the jobs of one process. It is a pure value: events and times go in,
-// actions come out.
+// Book is the jobs of one process. It is a deterministic state machine without I/O:
+// events and times go in, actions come out.
 type Book struct {
 	log     *slog.Logger
 	jobs    map[string]*job
 	waiters map[Waiter]*job
-	// runs finds the task of a run that is placed.
+	// runs finds the task of a placed run.
 	runs    map[lease.Run]placedTask
 	planner mesh.ID
-	// others are the planners of other cells.
-	others []mesh.ID
-	delay  delay
-	acts   []Action
-	counts Counts
+	// otherPlanners are the planners of other cells.
+	otherPlanners []mesh.ID
+	delay         delay
+	actions       []Action
+	counts        Counts
 }
 
 type placedTask struct {
@@ -93,7 +94,7 @@
 	t *task
 }
 
-// New makes an empty book.
+// New returns an empty book.
 func New(log *slog.Logger) *Book {
 	return &Book{
 		log:     log,
@@ -104,22 +105,23 @@
 	}
 }
 
-// Counts is what has happened to runs since the process started.
+// Counts counts the ends of runs since the process started.
 type Counts struct {
 	Ended      map[lease.How]int64
 	NotStarted map[lease.Reason]int64
 }
 
-// PlannerDelay is how long the planner has taken to answer, beside its wait for room.
-func (b *Book) PlannerDelay() time.Duration { return b.delay.ask.Value(asks) }
+// PlannerDelay returns how long the planner takes to answer, without the time for which
+// it waits for free resources.
+func (b *Book) PlannerDelay() time.Duration { return b.delay.plannerTime.Value(plannerTimeRange) }
 
-// Counts returns the counts, which the book goes on to change.
+// Counts returns the counts. They share the book's maps, which change later.
 func (b *Book) Counts() Counts { return b.counts }
 
 // Take returns the actions that have come up since the last call.
 func (b *Book) Take() []Action {
-	a := b.acts
-	b.acts = nil
+	a := b.actions
+	b.actions = nil
 	return a
 }
 
@@ -134,7 +136,7 @@
 	return n
 }
 
-func (b *Book) sorted() []*job {
+func (b *Book) sortedJobs() []*job {
 	out := make([]*job, 0, len(b.jobs))
 	for _, j := range b.jobs {
 		out = append(out, j)
@@ -143,7 +145,7 @@
 	return out
 }
 
-// Leave takes note that a caller has gone. Work that nobody waits for is stopped.
+// Leave records that a caller has gone. Work that no caller waits for is stopped.
 func (b *Book) Leave(now time.Time, w Waiter) {
 	j, ok := b.waiters[w]
 	if !ok {
@@ -156,7 +158,7 @@
 	}
 }
 
-// Cancel stops a job by its caller's wish, and tells whether it is known here.
+// Cancel stops a job at its caller's request, and reports whether it is known here.
 func (b *Book) Cancel(now time.Time, id string) bool {
 	j, ok := b.jobs[id]
 	if !ok {
@@ -168,40 +170,41 @@
 	return true
 }
 
-// State tells what a caller who asks is shown; false if the job isn't known.
+// State returns what a caller that asks for a job's state is shown; ok is false if the
+// job is unknown.
 func (b *Book) State(id string) (started bool, answer *Answer, ok bool) {
 	j, ok := b.jobs[id]
 	if !ok {
 		return false, nil, false
 	}
-	return j.begun(), j.answer, true
+	return j.hasBegun(), j.answer, true
 }
 
 // Pending counts the jobs of a queue of which no task has begun.
 func (b *Book) Pending(queue string) int {
 	n := 0
 	for _, j := range b.jobs {
-		if j.Queue.Name == queue && j.answer == nil && !j.begun() {
+		if j.Queue.Name == queue && j.answer == nil && !j.hasBegun() {
 			n++
 		}
 	}
 	return n
 }
 
-// Tick gives up jobs whose time is over, and runs whose holder was lost for so
-// long that they have ended.
+// Tick gives up jobs past their deadline, and runs whose holder was lost for so long that
+// they have ended.
 func (b *Book) Tick(now time.Time) {
-	b.delay.tick(now)
-	for _, p := range b.adrift(now) {
-		b.over(now, p.j, p.t, lease.End{Run: p.j.name(p.t), How: lease.Lost})
+	b.delay.fade(now)
+	for _, p := range b.expiredRuns(now) {
+		b.handleRunEnd(now, p.j, p.t, lease.End{Run: p.j.lastRun(p.t), How: lease.Lost})
 	}
-	for _, j := range b.sorted() {
+	for _, j := range b.sortedJobs() {
 		switch {
 		case j.answer != nil:
-			b.settle(now, j)
-		case now.Before(j.limit):
-			b.silence(now, j)
-		case j.begun():
+			b.forgetIfOver(now, j)
+		case now.Before(j.deadline):
+			b.refuseIfTooLate(now, j)
+		case j.hasBegun():
 			b.finish(now, j, Answer{Status: Unknown, Why: "time_over"})
 		default:
 			b.finish(now, j, Answer{Status: Refused, Why: "time_over"})
@@ -209,17 +212,17 @@
 	}
 }
 
-// Thawed gives up all jobs: this process did not run for so long that its callers
-// may be served by others.
+// Thawed gives up all jobs: this process was suspended for so long that its callers may
+// be served by others.
 func (b *Book) Thawed(now time.Time) {
-	for _, j := range b.sorted() {
+	for _, j := range b.sortedJobs() {
 		if j.answer == nil {
 			b.finish(now, j, Answer{Status: Unknown, Why: "process_was_frozen"})
 		}
 	}
 }
 
-func (b *Book) act(a Action) { b.acts = append(b.acts, a) }
+func (b *Book) emit(a Action) { b.actions = append(b.actions, a) }
 
 func compareRuns(x, y lease.Run) int {
 	return cmp.Or(cmp.Compare(x.Task, y.Task), cmp.Compare(x.Number, y.Number))
--- a/entry/book_test.go
+++ b/entry/book_test.go
@@ -13,14 +13,14 @@
 )
 
 var (
-	epoch   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	planner = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.1:1"), Boot: 1}
-	next    = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.2:1"), Boot: 1}
-	holder  = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.3:1"), Boot: 1}
-	other   = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.4:1"), Boot: 1}
+	epoch       = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	planner     = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.1:1"), Boot: 1}
+	nextPlanner = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.2:1"), Boot: 1}
+	holder      = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.3:1"), Boot: 1}
+	other       = mesh.ID{Address: netip.MustParseAddrPort("10.0.0.4:1"), Boot: 1}
 )
 
-const id = "00000000000000aa"
+const jobID = "00000000000000aa"
 
 func ms(n int) time.Time { return epoch.Add(time.Duration(n) * time.Millisecond) }
 
@@ -29,7 +29,7 @@
 }
 
 func request(counts ...int) Request {
-	r := Request{ID: id, Queue: queue(), Spec: "spec", Patience: 10 * time.Second}
+	r := Request{ID: jobID, Queue: queue(), Spec: "spec", Patience: 10 * time.Second}
 	for i, n := range counts {
 		s := Step{Count: n, Room: lease.Room{CPU: 10}, Estimate: 100 * time.Millisecond}
 		if i > 0 {
@@ -40,8 +40,8 @@
 	return r
 }
 
-// took is the actions of a book, by kind.
-type took struct {
+// actions are the actions of a book, by kind.
+type actions struct {
 	asks      []cell.Ask
 	withdraws []cell.Withdrawal
 	starts    []Start
@@ -50,8 +50,8 @@
 	answers   []Answered
 }
 
-func take(b *Book) took {
-	var out took
+func takeActions(b *Book) actions {
+	var out actions
 	for _, a := range b.Take() {
 		switch {
 		case a.Ask != nil:
@@ -71,21 +71,22 @@
 	return out
 }
 
-// submitted is a book with one job at 0 ms, and what was asked for it.
-func submitted(t *testing.T, r Request) (*Book, cell.Ask) {
+// newSubmittedBook returns a book with one job, submitted at 0 ms, and the request to the
+// planner.
+func newSubmittedBook(t *testing.T, r Request) (*Book, cell.Ask) {
 	t.Helper()
 	b := New(slog.New(slog.DiscardHandler))
 	b.Planner(ms(0), planner)
 	b.Submit(ms(0), 1, r)
-	got := take(b)
+	got := takeActions(b)
 	if len(got.asks) != 1 {
-		t.Fatalf("%d asks", len(got.asks))
+		t.Fatalf("%d requests", len(got.asks))
 	}
 	return b, got.asks[0]
 }
 
-// grant gives every asked task the worker.
-func grant(a cell.Ask, worker string) cell.Grant {
+// grantAll grants the worker for every requested task.
+func grantAll(a cell.Ask, worker string) cell.Grant {
 	g := cell.Grant{Job: a.Job}
 	for _, r := range a.Tasks {
 		g.Items = append(g.Items, cell.Granted{Run: r, Worker: worker, Holder: holder, Fence: lease.NewFence(3)})
@@ -93,23 +94,23 @@
 	return g
 }
 
-// running is a book whose only job has all its tasks on worker "w".
-func running(t *testing.T, r Request) (*Book, cell.Ask) {
+// newRunningBook returns a book whose only job has all its tasks on worker "w".
+func newRunningBook(t *testing.T, r Request) (*Book, cell.Ask) {
 	t.Helper()
-	b, a := submitted(t, r)
-	b.Grant(ms(1), planner, grant(a, "w"))
-	if got := take(b); len(got.starts) != 1 || len(got.starts[0].Runs) != len(a.Tasks) {
+	b, a := newSubmittedBook(t, r)
+	b.Grant(ms(1), planner, grantAll(a, "w"))
+	if got := takeActions(b); len(got.starts) != 1 || len(got.starts[0].Runs) != len(a.Tasks) {
 		t.Fatalf("starts %+v", got.starts)
 	}
 	return b, a
 }
 
-func end(b *Book, at int, r lease.Run, how lease.How) took {
+func endRun(b *Book, at int, r lease.Run, how lease.How) actions {
 	b.Ended(ms(at), holder, Ended{Worker: "w", End: lease.End{Run: r, How: how}})
-	return take(b)
+	return takeActions(b)
 }
 
-func wantAnswer(t *testing.T, got took, s Status) {
+func wantAnswer(t *testing.T, got actions, s Status) {
 	t.Helper()
 	if len(got.answers) != 1 || got.answers[0].Answer.Status != s {
 		t.Errorf("answers %+v, want %v", got.answers, s)
@@ -117,31 +118,31 @@
 }
 
 func TestJobIsAnsweredWhenAllIsDone(t *testing.T) {
-	b, a := running(t, request(2))
-	if got := end(b, 100, a.Tasks[0], lease.Done); len(got.answers) != 0 {
+	b, a := newRunningBook(t, request(2))
+	if got := endRun(b, 100, a.Tasks[0], lease.Done); len(got.answers) != 0 {
 		t.Errorf("answers %+v after half of the job", got.answers)
 	}
-	wantAnswer(t, end(b, 110, a.Tasks[1], lease.Done), Completed)
+	wantAnswer(t, endRun(b, 110, a.Tasks[1], lease.Done), Completed)
 	if b.Len() != 0 {
 		t.Errorf("%d jobs open", b.Len())
 	}
 }
 
 func TestStepsFollowEachOther(t *testing.T) {
-	b, a := running(t, request(2, 1))
-	end(b, 100, a.Tasks[0], lease.Done)
-	got := end(b, 110, a.Tasks[1], lease.Done)
+	b, a := newRunningBook(t, request(2, 1))
+	endRun(b, 100, a.Tasks[0], lease.Done)
+	got := endRun(b, 110, a.Tasks[1], lease.Done)
 	if len(got.asks) != 1 || got.asks[0].Step != 1 || len(got.asks[0].Tasks) != 1 {
-		t.Fatalf("asks %+v, want the second step", got.asks)
+		t.Fatalf("requests %+v, want the second step", got.asks)
 	}
-	b.Grant(ms(111), planner, grant(got.asks[0], "w"))
-	take(b)
-	wantAnswer(t, end(b, 200, got.asks[0].Tasks[0], lease.Done), Completed)
+	b.Grant(ms(111), planner, grantAll(got.asks[0], "w"))
+	takeActions(b)
+	wantAnswer(t, endRun(b, 200, got.asks[0].Tasks[0], lease.Done), Completed)
 }
 
-// Tasks end in other ways than done. Only ends by a fault of the task or the worker
-// count towards the attempts that the queue allows: a caller whose worker was taken
-// away or stopped must not be told that its order has failed.
+// Runs end in other ways than done. Only ends by a fault of the task or the worker count
+// towards the attempts that the queue allows: a caller whose worker was taken away or
+// stopped must not be told that its job has failed.
 func TestEndsOfRuns(t *testing.T) {
 	tests := []struct {
 		name string
@@ -155,10 +156,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, a := running(t, request(1))
+			b, a := newRunningBook(t, request(1))
 			run := a.Tasks[0]
 			for i, how := range tt.ends {
-				got := end(b, 10*i+10, run, how)
+				got := endRun(b, 10*i+10, run, how)
 				if i == len(tt.ends)-1 && tt.want != 0 {
 					wantAnswer(t, got, tt.want)
 					return
@@ -167,69 +168,69 @@
 					t.Fatalf("after %v: %+v, want the task to be placed again", how, got)
 				}
 				run = got.asks[0].Tasks[0]
-				b.Grant(ms(10*i+15), planner, grant(got.asks[0], "w"))
-				take(b)
+				b.Grant(ms(10*i+15), planner, grantAll(got.asks[0], "w"))
+				takeActions(b)
 			}
 		})
 	}
 }
 
-// The planner refuses a job just when a part of it was granted, over a message that
-// overtook the other. Told "not run", the caller would order elsewhere while the
-// first order is under way.
+// The planner refuses a job just when a part of it was granted, and one message overtook
+// the other. Told that nothing has run, the caller would submit the job to another
+// process while the first copy is in progress.
 func TestRefusalOfABegunJob(t *testing.T) {
-	b, a := submitted(t, request(2))
-	g := grant(a, "w")
+	b, a := newSubmittedBook(t, request(2))
+	g := grantAll(a, "w")
 	g.Items = g.Items[:1]
 	b.Grant(ms(1), planner, g)
-	take(b)
-	b.Refused(ms(2), planner, cell.Refusal{Job: id, Why: "late"})
-	if got := take(b); len(got.answers) != 0 {
+	takeActions(b)
+	b.Refused(ms(2), planner, cell.Refusal{Job: jobID, Why: "late"})
+	if got := takeActions(b); len(got.answers) != 0 {
 		t.Errorf("answers %+v", got.answers)
 	}
-	end(b, 3, a.Tasks[0], lease.Never)
-	b.Refused(ms(4), planner, cell.Refusal{Job: id, Why: "late", After: time.Second})
-	wantAnswer(t, take(b), Refused)
+	endRun(b, 3, a.Tasks[0], lease.Never)
+	b.Refused(ms(4), planner, cell.Refusal{Job: jobID, Why: "late", After: time.Second})
+	wantAnswer(t, takeActions(b), Refused)
 }
 
-// A caller's time is over while its job runs. What runs is stopped; the same job,
-// sent again, must not start beside it.
+// A job's deadline passes while it runs. What runs is stopped; the same job, sent again,
+// must not start beside it.
 func TestSecondCopyWaitsForTheFirst(t *testing.T) {
 	r := request(1)
 	r.Patience = time.Second
-	b, a := running(t, r)
+	b, a := newRunningBook(t, r)
 	b.Tick(ms(1000))
-	got := take(b)
+	got := takeActions(b)
 	wantAnswer(t, got, Unknown)
 	if len(got.stops) != 1 {
 		t.Fatalf("stops %+v", got.stops)
 	}
 	b.Submit(ms(1010), 2, r)
-	got = take(b)
+	got = takeActions(b)
 	if len(got.asks) != 0 {
-		t.Errorf("asked for workers while the first copy may run: %+v", got.asks)
+		t.Errorf("requested workers while the first copy may run: %+v", got.asks)
 	}
 	wantAnswer(t, got, Unknown)
-	end(b, 1050, a.Tasks[0], lease.Stopped)
+	endRun(b, 1050, a.Tasks[0], lease.Stopped)
 	b.Submit(ms(1060), 3, r)
-	if got = take(b); len(got.asks) != 1 {
-		t.Errorf("%+v, want the job to begin anew", got)
+	if got = takeActions(b); len(got.asks) != 1 {
+		t.Errorf("%+v, want the job to start again", got)
 	}
 }
 
 func TestSameIDJoins(t *testing.T) {
-	b, a := running(t, request(1))
+	b, a := newRunningBook(t, request(1))
 	b.Submit(ms(50), 2, request(1))
-	if got := take(b); len(got.asks) != 0 || len(got.answers) != 0 {
-		t.Errorf("%+v for a copy of a job under way", got)
+	if got := takeActions(b); len(got.asks) != 0 || len(got.answers) != 0 {
+		t.Errorf("%+v for a copy of a job in progress", got)
 	}
 	b.Leave(ms(60), 1)
-	if got := take(b); len(got.stops) != 0 {
-		t.Errorf("stopped %+v although a caller waits", got.stops)
+	if got := takeActions(b); len(got.stops) != 0 {
+		t.Errorf("stopped %+v although a caller still waits", got.stops)
 	}
-	wantAnswer(t, end(b, 100, a.Tasks[0], lease.Done), Completed)
+	wantAnswer(t, endRun(b, 100, a.Tasks[0], lease.Done), Completed)
 	b.Submit(ms(200), 3, request(1))
-	wantAnswer(t, take(b), Completed)
+	wantAnswer(t, takeActions(b), Completed)
 }
 
 // Two callers choose the same id for different jobs. The second one was joined to the job
@@ -237,16 +238,16 @@
 func TestSameIDForAnotherJob(t *testing.T) {
 	r := request(1)
 	r.Spec = "another"
-	b, a := running(t, request(1))
+	b, a := newRunningBook(t, request(1))
 	b.Submit(ms(50), 2, r)
-	wantAnswer(t, take(b), Refused)
-	wantAnswer(t, end(b, 100, a.Tasks[0], lease.Done), Completed)
+	wantAnswer(t, takeActions(b), Refused)
+	wantAnswer(t, endRun(b, 100, a.Tasks[0], lease.Done), Completed)
 	b.Submit(ms(200), 3, r)
-	wantAnswer(t, take(b), Refused)
-	b.Tick(ms(200).Add(keepDone))
-	b.Submit(ms(300).Add(keepDone), 4, r)
-	if got := take(b); len(got.asks) != 1 {
-		t.Errorf("%+v, want the job to begin", got)
+	wantAnswer(t, takeActions(b), Refused)
+	b.Tick(ms(200).Add(answerRetention))
+	b.Submit(ms(300).Add(answerRetention), 4, r)
+	if got := takeActions(b); len(got.asks) != 1 {
+		t.Errorf("%+v, want the job to start", got)
 	}
 }
 
@@ -255,18 +256,18 @@
 func TestSameJobInARenamedQueue(t *testing.T) {
 	r := request(1)
 	r.Queue.Name = "renamed"
-	b, a := running(t, request(1))
+	b, a := newRunningBook(t, request(1))
 	b.Submit(ms(50), 2, r)
-	if got := take(b); len(got.answers) != 0 {
+	if got := takeActions(b); len(got.answers) != 0 {
 		t.Errorf("answers %+v while the job runs", got.answers)
 	}
-	end(b, 100, a.Tasks[0], lease.Done)
+	endRun(b, 100, a.Tasks[0], lease.Done)
 	b.Submit(ms(200), 3, r)
-	wantAnswer(t, take(b), Completed)
+	wantAnswer(t, takeActions(b), Completed)
 }
 
-// Each order for a task is wrong: its text has changed on the way, or the worker can't read
-// it. Asked for again at once each time, the job went through 2,476 rounds in ten seconds,
+// Each order for a task is wrong: its text was corrupted, or the worker can't read it.
+// Requested again at once each time, the job went through 2,476 rounds in ten seconds,
 // each with an error in the log, until its caller gave up.
 func TestOrdersThatAreWrong(t *testing.T) {
 	for _, tt := range []struct {
@@ -280,15 +281,15 @@
 		{"a worker can't read it", 2, lease.Invalid, Unknown},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b, a := running(t, request(tt.tasks))
+			b, a := newRunningBook(t, request(tt.tasks))
 			if tt.tasks > 1 {
-				end(b, 5, a.Tasks[1], lease.Done)
+				endRun(b, 5, a.Tasks[1], lease.Done)
 			}
 			r := a.Tasks[0]
 			for i := range 3 {
 				at := ms(10 + 5*i)
 				b.Ended(at, holder, Ended{Worker: "w", End: lease.End{Run: r, How: lease.Never, Why: tt.why}})
-				got := take(b)
+				got := takeActions(b)
 				if i == 2 {
 					wantAnswer(t, got, tt.want)
 					return
@@ -297,122 +298,123 @@
 					t.Fatalf("after %d wrong orders: %+v", i+1, got)
 				}
 				r = got.asks[0].Tasks[0]
-				b.Grant(at, planner, grant(got.asks[0], "w"))
-				take(b)
+				b.Grant(at, planner, grantAll(got.asks[0], "w"))
+				takeActions(b)
 			}
 		})
 	}
 }
 
-// The last caller of a job leaves. Its runs would take room from those who wait.
+// The last caller of a job leaves. Its runs would take resources from the jobs of waiting
+// callers.
 func TestNobodyWaits(t *testing.T) {
-	b, _ := running(t, request(2))
+	b, _ := newRunningBook(t, request(2))
 	b.Leave(ms(20), 1)
-	if got := take(b); len(got.stops) != 1 || len(got.stops[0].Runs) != 2 {
+	if got := takeActions(b); len(got.stops) != 1 || len(got.stops[0].Runs) != 2 {
 		t.Errorf("stops %+v, want both runs", got.stops)
 	}
-	b, _ = submitted(t, request(2))
+	b, _ = newSubmittedBook(t, request(2))
 	b.Leave(ms(20), 1)
-	if got := take(b); len(got.withdraws) != 1 {
+	if got := takeActions(b); len(got.withdraws) != 1 {
 		t.Errorf("%+v, want the tasks withdrawn", got)
 	}
 }
 
-// The planner dies with everything that waits. The next one is asked again, and a
-// grant of the first one that arrives after that of the second is given back.
+// The planner dies with all its pending requests. The next one is asked again, and a
+// grant of the first one that arrives after that of the second is returned.
 func TestPlannerReplaced(t *testing.T) {
-	b, a := submitted(t, request(2))
-	b.Planner(ms(10), next)
-	again := take(b).asks
+	b, a := newSubmittedBook(t, request(2))
+	b.Planner(ms(10), nextPlanner)
+	again := takeActions(b).asks
 	if len(again) != 1 || len(again[0].Tasks) != 2 {
-		t.Fatalf("asks %+v", again)
+		t.Fatalf("requests %+v", again)
 	}
-	b.Grant(ms(11), planner, grant(again[0], "w"))
-	take(b)
-	b.Grant(ms(12), planner, grant(a, "v"))
-	got := take(b)
+	b.Grant(ms(11), planner, grantAll(again[0], "w"))
+	takeActions(b)
+	b.Grant(ms(12), planner, grantAll(a, "v"))
+	got := takeActions(b)
 	if len(got.starts) != 0 || len(got.withdraws) != 1 || len(got.withdraws[0].Runs) != 2 {
-		t.Errorf("%+v, want the second grant back", got)
+		t.Errorf("%+v, want the second grant returned", got)
 	}
 }
 
-// A holder is lost; another one takes the worker over and announces it. The owner
-// claims its runs there, and an older announcement that arrives late changes nothing:
-// its sender knows nothing of what was started under its successor.
+// A holder is lost; another one takes the worker over and announces it. The owner claims
+// its runs there, and an older announcement that arrives late changes nothing: its sender
+// does not know what was started under its successor.
 func TestHolderReplaced(t *testing.T) {
-	b, a := running(t, request(1))
+	b, a := newRunningBook(t, request(1))
 	b.HolderDown(ms(100), holder)
 	b.Held(other, "w", lease.NewFence(5))
-	got := take(b)
+	got := takeActions(b)
 	if len(got.claims) != 1 || got.claims[0].Runs[0].Run != a.Tasks[0] {
 		t.Fatalf("claims %+v", got.claims)
 	}
 	b.Held(holder, "w", lease.NewFence(2))
-	if got := take(b); len(got.claims) != 0 {
-		t.Errorf("claims %+v at a holder of before", got.claims)
+	if got := takeActions(b); len(got.claims) != 0 {
+		t.Errorf("claims %+v at a former holder", got.claims)
 	}
 	b.Tick(ms(5000))
-	if got := take(b); len(got.asks) != 0 {
-		t.Error("the run was given up although its holder is in sight")
+	if got := takeActions(b); len(got.asks) != 0 {
+		t.Error("the run was given up although its holder is reachable")
 	}
 }
 
-// A holder froze and was replaced; the run goes on under its successor. When it wakes up
-// it takes the run for lost, by its own clock. Believing it would start the task a second
-// time beside the first. What it has seen itself is believed: that is so whoever holds the
-// worker now.
+// A holder was suspended and replaced; the run continues under its successor. When it
+// resumes, it concludes from its own clock that the run is lost. If that were believed,
+// the task would start a second time beside the first. An end that it has seen itself is
+// believed: that is true whoever holds the worker now.
 func TestFormerHolderTellsOfARun(t *testing.T) {
 	for _, c := range []struct {
 		how  lease.How
 		asks int
 	}{{lease.Lost, 0}, {lease.Stopped, 1}} {
-		b, a := running(t, request(1))
+		b, a := newRunningBook(t, request(1))
 		b.HolderDown(ms(100), holder)
 		b.Held(other, "w", lease.NewFence(5))
-		take(b)
-		if got := end(b, 200, a.Tasks[0], c.how); len(got.asks) != c.asks {
-			t.Errorf("%v: asks %+v, want %d", c.how, got.asks, c.asks)
+		takeActions(b)
+		if got := endRun(b, 200, a.Tasks[0], c.how); len(got.asks) != c.asks {
+			t.Errorf("%v: requests %+v, want %d", c.how, got.asks, c.asks)
 		}
 	}
 }
 
-// A busy process notes late that it has lost a holder, and what it has placed there in
+// A busy process notices late that it has lost a holder, and what it has placed there in
 // between arrived over a new session. Counted from when the holder was last heard, the
 // run would be given up at once and placed again while it runs.
 func TestHolderLostLate(t *testing.T) {
-	b, _ := running(t, request(1))
+	b, _ := newRunningBook(t, request(1))
 	b.HolderDown(ms(3000), holder)
 	b.Tick(ms(3050))
-	if got := take(b); len(got.asks) != 0 {
+	if got := takeActions(b); len(got.asks) != 0 {
 		t.Error("the run was placed again at once")
 	}
-	b.Tick(ms(3000).Add(forgetAfter + time.Millisecond))
-	if got := take(b); len(got.asks) != 1 {
-		t.Errorf("%+v, want the task to be placed again in the end", got)
+	b.Tick(ms(3000).Add(lostHolderTimeout + time.Millisecond))
+	if got := takeActions(b); len(got.asks) != 1 {
+		t.Errorf("%+v, want the task to be placed again", got)
 	}
 }
 
-// A holder comes back in a new session; the start, or the news of its end, may have
-// been lost with the old one.
+// A holder is connected again in a new session; the start, or the report of its end, may
+// have been lost with the old one.
 func TestHolderInANewSession(t *testing.T) {
-	b, a := running(t, request(2))
+	b, a := newRunningBook(t, request(2))
 	b.HolderDown(ms(10), holder)
 	b.HolderUp(holder)
-	got := take(b)
+	got := takeActions(b)
 	if len(got.claims) != 1 || len(got.claims[0].Runs) != 2 {
 		t.Fatalf("claims %+v", got.claims)
 	}
-	if got := end(b, 20, a.Tasks[1], lease.Lost); len(got.asks) != 1 {
+	if got := endRun(b, 20, a.Tasks[1], lease.Lost); len(got.asks) != 1 {
 		t.Errorf("%+v, want the lost start to be placed again", got)
 	}
 }
 
-// The process stood still. Its callers may be with others by now, and what it goes on
-// with would run beside their copies.
-func TestThawed(t *testing.T) {
-	b, _ := running(t, request(2))
+// The process was suspended. Its callers may be served by others by now, and its runs
+// would continue beside their copies.
+func TestSuspendedProcessGivesUpJobs(t *testing.T) {
+	b, _ := newRunningBook(t, request(2))
 	b.Thawed(ms(4000))
-	got := take(b)
+	got := takeActions(b)
 	wantAnswer(t, got, Unknown)
 	if len(got.stops) != 1 {
 		t.Errorf("stops %+v", got.stops)
@@ -427,18 +429,18 @@
 	}
 }
 
-// A process takes another one for the planner that does not plan, because the two see
-// different members. Its callers heard nothing until their time was over, ten seconds
-// here, although the job could have been in time elsewhere.
+// A process regards another one as the planner that does not plan, because the two see
+// different members. Its callers got no answer until their timeout, ten seconds here,
+// although the job could have been in time at another process.
 func TestPlannerIsSilent(t *testing.T) {
-	b, _ := submitted(t, request(2))
+	b, _ := newSubmittedBook(t, request(2))
 	// The objective is 220 ms, and 40 ms of work at the least.
 	b.Tick(ms(270))
-	if got := take(b); len(got.answers) != 0 {
+	if got := takeActions(b); len(got.answers) != 0 {
 		t.Fatalf("answered at once: %+v", got.answers)
 	}
 	b.Tick(ms(300))
-	got := take(b)
+	got := takeActions(b)
 	if len(got.answers) != 1 || got.answers[0].Answer.Status != Refused {
 		t.Fatalf("answers %+v, want a refusal", got.answers)
 	}
@@ -447,13 +449,13 @@
 	}
 }
 
-// The same with a job that has begun: a refusal would not be true.
+// As TestPlannerIsSilent, with a job that has begun: a refusal would not be true.
 func TestPlannerIsSilentAfterABeginning(t *testing.T) {
-	b, ask := submitted(t, request(2))
-	b.Grant(ms(10), planner, cell.Grant{Job: id, Items: []cell.Granted{{Run: ask.Tasks[0], Worker: "w", Holder: holder, Fence: 1}}})
-	take(b)
+	b, ask := newSubmittedBook(t, request(2))
+	b.Grant(ms(10), planner, cell.Grant{Job: jobID, Items: []cell.Granted{{Run: ask.Tasks[0], Worker: "w", Holder: holder, Fence: 1}}})
+	takeActions(b)
 	b.Tick(ms(300))
-	if got := take(b); len(got.answers) != 0 {
+	if got := takeActions(b); len(got.answers) != 0 {
 		t.Errorf("answered %+v", got.answers)
 	}
 }
--- a/entry/delay.go
+++ b/entry/delay.go
@@ -6,70 +6,74 @@
 	"snipehub.example/internal/quantile"
 )
 
-// delay is what this process has seen messages take for a task, beside its time on the
-// worker and the planner's wait for room: from asking the planner to its grant, and from
-// the grant to the worker and back.
+// delay tracks the time that messages take for a task, without its time on the worker and
+// the planner's wait for free resources: from the request to the planner until its grant,
+// and from the grant to the worker and back.
 //
-// The planner reckons with the time that is left at this process, and with nothing for
+// The planner reckons with the time that is left at this process, and with no time for
 // messages. Where links are thin that is wrong by a hundred milliseconds and more: jobs
-// were placed that could not be in time any more, their texts filled the links, and at
-// 1.7 times the load that the links bore a tenth of the jobs was in time. With the delay
-// taken off, the planner refuses at once whoever would be late because of it, first those
-// with the shortest objectives, and the links empty.
+// were placed that could not meet their objective any more, their texts filled the links,
+// and at 1.7 times the load that the links bore a tenth of the jobs was in time. With the
+// delay subtracted from the objective, the planner refuses at once the jobs that would be
+// late because of it, first those with the shortest objectives, and the links drain.
 type delay struct {
-	ask, run, slow quantile.Tracker
-	// seen is when the last sample came in.
-	seen time.Time
+	plannerTime, runOverhead, slowRunOverhead quantile.Tracker
+	// sampledAt is when the last sample came in.
+	sampledAt time.Time
 }
 
 var (
-	// asks and runs are how the parts are followed: half of them are shorter. A process
-	// of a small cell asks some twenty times a second and follows a change in two
+	// plannerTimeRange and runOverheadRange set how the medians are tracked. A process of
+	// a small cell makes some twenty requests a second and follows a change in two
 	// seconds.
-	asks = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 300 * time.Millisecond}
-	runs = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
-	// slowRuns is what one run in ten takes at least: the last of a wide job's.
-	slowRuns = quantile.Range{Share: 0.9, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
+	plannerTimeRange = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 300 * time.Millisecond}
+	runOverheadRange = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
+	// slowRunOverheadRange sets how the 90th percentile of the run overhead is tracked,
+	// which the last task of a wide job meets.
+	slowRunOverheadRange = quantile.Range{Share: 0.9, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
 )
 
-// wide is the number of tasks of which the last takes as long as one run in ten.
-const wide = 8
+// wideJobTasks is the number of tasks from which the last one is assumed to take as long
+// as the slowest tenth of the runs.
+const wideJobTasks = 8
 
-// delayFades is when what was seen begins to count less because nothing new is seen:
-// nothing is, when all jobs are refused for it.
-const delayFades = 500 * time.Millisecond
+// delayFadeAfter is how long after the last sample the delay begins to fade. No samples
+// come in when all jobs are refused because of the delay.
+const delayFadeAfter = 500 * time.Millisecond
 
-// asked takes the time from an ask to the grant, less the planner's wait.
+// asked adds a sample of the time from a request to its answer, less the planner's wait.
 func (d *delay) asked(now time.Time, took time.Duration) {
-	d.ask.Add(asks, took)
-	d.seen = now
+	d.plannerTime.Add(plannerTimeRange, took)
+	d.sampledAt = now
 }
 
-// unheard takes note that the planner has not answered for a while.
-func (d *delay) unheard(now time.Time, waited time.Duration) {
-	d.ask.Add(asks, waited)
-	d.seen = now
+// plannerSilent adds the time for which the planner has not answered a request.
+func (d *delay) plannerSilent(now time.Time, waited time.Duration) {
+	d.plannerTime.Add(plannerTimeRange, waited)
+	d.sampledAt = now
 }
 
-// ran takes the time from a grant to the end of the run, less its time on the worker.
+// ran adds a sample of the time from a grant to the end of the run, less its time on the
+// worker.
 func (d *delay) ran(now time.Time, took time.Duration) {
-	d.run.Add(runs, took)
-	d.slow.Add(slowRuns, took)
-	d.seen = now
+	d.runOverhead.Add(runOverheadRange, took)
+	d.slowRunOverhead.Add(slowRunOverheadRange, took)
+	d.sampledAt = now
 }
 
-// tick lets what was seen fade.
-func (d *delay) tick(now time.Time) {
-	if now.Sub(d.seen) > delayFades {
-		d.ask.Add(asks, 0)
-		d.run.Add(runs, 0)
-		d.slow.Add(slowRuns, 0)
+// fade lets the delay decrease while there are no samples.
+func (d *delay) fade(now time.Time) {
+	if now.Sub(d.sampledAt) > delayFadeAfter {
+		d.plannerTime.Add(plannerTimeRange, 0)
+		d.runOverhead.Add(runOverheadRange, 0)
+		d.slowRunOverhead.Add(slowRunOverheadRange, 0)
 	}
 }
 
-// total is what messages will take for the last of some tasks that are asked for now.
+// total returns the expected message time until the end of the last of some tasks that
+// are requested now.
 func (d *delay) total(tasks int) time.Duration {
-	one, slow := d.run.Value(runs), d.slow.Value(slowRuns)
-	last := one + max(slow-one, 0)*time.Duration(min(tasks-1, wide-1))/(wide-1)
-	return d.ask.Value(asks) + last
+	typical, slow := d.runOverhead.Value(runOverheadRange), d.slowRunOverhead.Value(slowRunOverheadRange)
+	last := typical + max(slow-typical, 0)*time.Duration(min(tasks-1, wideJobTasks-1))/(wideJobTasks-1)
+	return d.plannerTime.Value(plannerTimeRange) + last
 }
--- a/entry/elsewhere.go
+++ b/entry/elsewhere.go
@@ -12,32 +12,33 @@
 
 // Elsewhere sets the planners of the other cells.
 func (b *Book) Elsewhere(planners []mesh.ID) {
-	if !slices.Equal(planners, b.others) {
-		b.others = planners
+	if !slices.Equal(planners, b.otherPlanners) {
+		b.otherPlanners = planners
 	}
 }
 
-// tryElsewhere asks the planner of another cell for a job that this cell's has refused, and
-// tells whether it did. A cell is full before the others are, by a burst of its own
-// callers or the loss of its workers; who asks is told at once if the other is full too.
-// The job's name decides which cell is asked, so that those refused together spread.
-func (b *Book) tryElsewhere(now time.Time, j *job) bool {
-	if len(b.others) == 0 || j.elsewhere != (mesh.ID{}) || now.Add(j.least()).After(j.aim) {
+// requestFromOtherCell requests workers from another cell's planner for a job that this
+// cell's has refused, and reports whether it did. A cell can be full before the others
+// are, by a burst of its own callers or the loss of its workers; if the other one is full
+// too, it answers at once. A hash of the job's id selects the cell, so that jobs refused
+// together spread.
+func (b *Book) requestFromOtherCell(now time.Time, j *job) bool {
+	if len(b.otherPlanners) == 0 || j.otherPlanner != (mesh.ID{}) || now.Add(j.minDuration()).After(j.objectiveAt) {
 		return false
 	}
-	j.elsewhere = b.others[xxhash.Sum64String(j.ID)%uint64(len(b.others))]
-	event.JobElsewhere.Log(b.log, "job", j.ID, "queue", j.Queue.Name, "planner", j.elsewhere, "age_ms", now.Sub(j.arrived).Milliseconds())
-	b.askAgain(now, j)
+	j.otherPlanner = b.otherPlanners[xxhash.Sum64String(j.ID)%uint64(len(b.otherPlanners))]
+	event.JobElsewhere.Log(b.log, "job", j.ID, "queue", j.Queue.Name, "planner", j.otherPlanner, "age_ms", now.Sub(j.arrived).Milliseconds())
+	b.repeatRequests(now, j)
 	return true
 }
 
-// plannerDown asks this cell's planner again for jobs whose planner elsewhere is out of
-// sight.
-func (b *Book) plannerDown(now time.Time, p mesh.ID) {
-	for _, j := range b.sorted() {
-		if j.answer == nil && j.elsewhere == p && p != (mesh.ID{}) {
-			j.elsewhere = mesh.ID{}
-			b.askAgain(now, j)
+// otherPlannerDown asks this cell's planner again for jobs that were sent to a planner of
+// another cell which is unreachable now.
+func (b *Book) otherPlannerDown(now time.Time, p mesh.ID) {
+	for _, j := range b.sortedJobs() {
+		if j.answer == nil && j.otherPlanner == p && p != (mesh.ID{}) {
+			j.otherPlanner = mesh.ID{}
+			b.repeatRequests(now, j)
 		}
 	}
 }
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -8,8 +8,9 @@
 	"snipehub.example/mesh"
 )
 
-// A cell is full, for instance because its own callers come all at once, while others have
-// room. The caller is refused only when another cell has refused as well, and at once then.
+// A cell is full, for instance because its own callers come all at once, while others
+// have free resources. The caller is refused only when another cell has refused as well,
+// and at once then.
 func TestRefusedJobsAreOfferedElsewhere(t *testing.T) {
 	other := mesh.ID{Address: netip.MustParseAddrPort("10.0.0.9:1"), Boot: 1}
 	tests := []struct {
@@ -20,16 +21,16 @@
 		asks    int
 		answers int
 	}{
-		{"asked", func(*Book) {}, other, 1, 0},
-		{"refused there too", func(b *Book) { b.Refused(ms(20), other, cell.Refusal{Job: id, Why: "others_first"}) }, other, 1, 1},
-		{"the own planner repeats itself", func(b *Book) { b.Refused(ms(20), planner, cell.Refusal{Job: id, Why: "others_first"}) }, other, 1, 0},
+		{"requested there", func(*Book) {}, other, 1, 0},
+		{"refused there too", func(b *Book) { b.Refused(ms(20), other, cell.Refusal{Job: jobID, Why: "others_first"}) }, other, 1, 1},
+		{"the own planner repeats itself", func(b *Book) { b.Refused(ms(20), planner, cell.Refusal{Job: jobID, Why: "others_first"}) }, other, 1, 0},
 		{"its planner is lost", func(b *Book) { b.HolderDown(ms(20), other) }, mesh.ID{}, 2, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := submitted(t, request(1))
+			b, _ := newSubmittedBook(t, request(1))
 			b.Elsewhere([]mesh.ID{other})
-			b.Refused(ms(10), planner, cell.Refusal{Job: id, Why: "others_first"})
+			b.Refused(ms(10), planner, cell.Refusal{Job: jobID, Why: "others_first"})
 			tt.do(b)
 			asks, answers, to := 0, 0, mesh.ID{}
 			for _, a := range b.Take() {
@@ -42,7 +43,7 @@
 				}
 			}
 			if asks != tt.asks || answers != tt.answers || to != tt.to {
-				t.Errorf("%d asks, the last to %q, %d answers; want %d to %q and %d", asks, to, answers, tt.asks, tt.to, tt.answers)
+				t.Errorf("%d requests, the last to %q, %d answers; want %d to %q and %d", asks, to, answers, tt.asks, tt.to, tt.answers)
 			}
 		})
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,20 +1,20 @@
-// Package entry keeps the jobs of callers at the process that took them in.
+// Package entry keeps the jobs of callers at the process that accepted them.
 //
-// A job lives here and nowhere else: its tasks are placed by the planner, started
-// and watched by the workers' holders, and counted here. The caller gets the
-// final answer when every task is done, when one has failed as often as its queue
-// allows, or when the job is refused.
+// A job lives here and nowhere else: its tasks are placed by the planner, started and
+// watched by the workers' holders, and counted here. The caller gets the final answer
+// when every task is done, when one has failed as often as its queue allows, or when the
+// job is refused.
 //
 // The rules that the Book keeps:
 //
 //   - a task is placed again only after its run is known to be over;
-//   - a refusal ("not run, will not run") is given only while no run of the job
-//     can have begun; after that the caller is told that the outcome is unknown;
-//   - when the caller leaves, its time is over or the job has failed, what still
+//   - a refusal ("not run, will not run") is given only while no run of the job can have
+//     begun; after that the caller is told that the outcome is unknown;
+//   - when the caller leaves, the job's deadline passes or the job has failed, what still
 //     runs is stopped, and the job is remembered until that has ended.
 //
-// Limits: a job is lost with its process. Its runs are stopped by the holders
-// when they lose sight of this process, before the caller comes back.
+// Limits: a job is lost with its process. Its runs are stopped by the holders when this
+// process becomes unreachable to them, before the caller retries.
 package entry
 
 import (
@@ -26,26 +26,26 @@
 	"snipehub.example/lease"
 )
 
-// Request is a job as a caller hands it in.
+// Request is a job as a caller submits it.
 type Request struct {
 	ID    string
 	Queue catalog.Queue
-	// Spec is passed to the workers as it is.
+	// Spec is passed to the workers unchanged.
 	Spec  string
 	Steps []Step
-	// Patience is how long the caller waits for the answer.
+	// Patience is the job's timeout: how long the caller waits for the answer.
 	Patience time.Duration
 }
 
-// Step is a number of tasks of one shape.
+// Step is a number of tasks with the same requirements.
 type Step struct {
 	Count    int
 	Room     lease.Room
 	Estimate time.Duration
-	// After are the numbers of the steps whose tasks must be done first.
+	// After are the indexes of the steps whose tasks must be done first.
 	After []int
-	// Label is a label that the worker must have; Rack is where the data is;
-	// Apart is the most tasks of the step on one worker.
+	// Label is a label that the worker must have; Rack is where the data is; Apart is the
+	// maximum number of tasks of the step on one worker.
 	Label string
 	Rack  string
 	Apart int
@@ -62,29 +62,29 @@
 	Failed
 	// Refused: nothing has run and nothing will.
 	Refused
-	// Unknown: tasks have run, but the job was given up.
+	// Unknown: the job was given up, and tasks may have run.
 	Unknown
 )
 
 var statusNames = map[Status]string{Completed: "completed", Failed: "failed", Refused: "refused", Unknown: "unknown"}
 
-// String names the status.
+// String returns the status's name.
 func (s Status) String() string { return statusNames[s] }
 
-// LogValue shows the name in logs.
+// LogValue logs the status by its name.
 func (s Status) LogValue() slog.Value { return slog.StringValue(s.String()) }
 
 // Answer is what the caller is told.
 type Answer struct {
 	Status Status
-	// Why explains it in a word, for the logs.
+	// Why is the reason in a word, for the logs.
 	Why string
-	// After is, for a refusal, when it may be worth coming back.
+	// After is, for a refusal, how long the caller should wait before it retries.
 	After time.Duration
 }
 
-// taskName returns the name under which workers know a task: the job, the
-// occurrence (always the first), the step and the place in it.
+// taskName returns the name under which workers know a task: the job, the occurrence
+// (always the first), the step and the index in the step.
 func taskName(job string, step, index int) lease.Task {
 	return lease.Task(fmt.Sprintf("%s.0.%d.%d", job, step, index))
 }
--- a/entry/grant.go
+++ b/entry/grant.go
@@ -10,25 +10,26 @@
 	"snipehub.example/mesh"
 )
 
-// Grant takes workers for tasks. What isn't wanted any more is given back.
+// Grant handles workers granted for tasks. Grants that are not needed any more are
+// returned.
 func (b *Book) Grant(now time.Time, from mesh.ID, g cell.Grant) {
 	j := b.jobs[g.Job]
 	if j != nil {
-		b.heard(now, j, g.Waited)
+		b.plannerAnswered(now, j, g.Waited)
 	}
 	var unused []lease.Run
 	starts := make(map[mesh.ID]map[int]*Start)
-	for _, it := range g.Items {
-		t := b.wanted(j, it.Run)
+	for _, item := range g.Items {
+		t := b.pendingTask(j, item.Run)
 		if t == nil {
-			unused = append(unused, it.Run)
+			unused = append(unused, item.Run)
 			continue
 		}
-		b.place(now, j, t, it)
-		byStep := starts[it.Holder]
+		b.place(now, j, t, item)
+		byStep := starts[item.Holder]
 		if byStep == nil {
 			byStep = make(map[int]*Start)
-			starts[it.Holder] = byStep
+			starts[item.Holder] = byStep
 		}
 		s := byStep[t.step]
 		if s == nil {
@@ -36,15 +37,15 @@
 			s = &Start{Spec: Text(j.text.Spec), Sum: j.text.Sum, Room: step.Room, Estimate: step.Estimate}
 			byStep[t.step] = s
 		}
-		s.Runs = append(s.Runs, Placed{Run: it.Run, Worker: it.Worker, Estimate: it.Estimate, Fence: it.Fence})
+		s.Runs = append(s.Runs, Placed{Run: item.Run, Worker: item.Worker, Estimate: item.Estimate, Fence: item.Fence})
 	}
 	if len(unused) > 0 {
-		b.act(Action{To: from, Withdraw: &cell.Withdrawal{Job: g.Job, Runs: unused}})
+		b.emit(Action{To: from, Withdraw: &cell.Withdrawal{Job: g.Job, Runs: unused}})
 	}
 	b.sendStarts(starts)
 }
 
-// sendStarts sends in a fixed order, so that a run of the book can be repeated.
+// sendStarts sends in a fixed order, so that the same events have the same outcome.
 func (b *Book) sendStarts(starts map[mesh.ID]map[int]*Start) {
 	var holders []mesh.ID
 	for h := range starts {
@@ -54,28 +55,28 @@
 	for _, h := range holders {
 		for s := 0; len(starts[h]) > 0; s++ {
 			if start, ok := starts[h][s]; ok {
-				b.act(Action{To: h, Start: start})
+				b.emit(Action{To: h, Start: start})
 				delete(starts[h], s)
 			}
 		}
 	}
 }
 
-func (b *Book) wanted(j *job, r lease.Run) *task {
+func (b *Book) pendingTask(j *job, r lease.Run) *task {
 	if j == nil || j.answer != nil {
 		return nil
 	}
 	for _, t := range j.tasks {
-		if t.state == waiting && j.name(t) == r {
+		if t.state == pending && j.lastRun(t) == r {
 			return t
 		}
 	}
 	return nil
 }
 
-func (b *Book) place(now time.Time, j *job, t *task, it cell.Granted) {
+func (b *Book) place(now time.Time, j *job, t *task, item cell.Granted) {
 	t.placedAt = now
-	t.state, t.worker, t.holder, t.fence, t.adrift = placed, it.Worker, it.Holder, it.Fence, time.Time{}
-	t.estimate = cmp.Or(it.Estimate, j.Steps[t.step].Estimate)
-	b.runs[it.Run] = placedTask{j, t}
+	t.state, t.worker, t.holder, t.fence, t.unreachableSince = placed, item.Worker, item.Holder, item.Fence, time.Time{}
+	t.estimate = cmp.Or(item.Estimate, j.Steps[t.step].Estimate)
+	b.runs[item.Run] = placedTask{j, t}
 }
--- a/entry/late.go
+++ b/entry/late.go
@@ -8,51 +8,54 @@
 )
 
 const (
-	// leastFactor is the smallest part of its estimate that a task is assumed to
+	// minDurationShare is the smallest share of its estimate that a task is assumed to
 	// take on the fastest worker.
-	leastFactor = 0.4
-	// plannerSlack is how much later than the planner this process refuses jobs that
-	// can't be in time: messages both ways, and a tick.
-	plannerSlack = 100 * time.Millisecond
-	// silentRetry is what callers are told to wait at least where the planner is out of
-	// reach or its link is full: another one is found within a second.
-	silentRetry = time.Second
+	minDurationShare = 0.4
+	// plannerGrace is how much later than the planner this process refuses jobs that
+	// can't meet their objective: messages both ways, and a tick.
+	plannerGrace = 100 * time.Millisecond
+	// minRetryAfter is the minimum time that callers are told to wait where the planner
+	// is unreachable or its link is full: another one is found within a second.
+	minRetryAfter = time.Second
 )
 
-// least is the time that the job takes at the least, on the fastest worker.
-func (j *job) least() time.Duration {
-	return time.Duration(leastFactor * float64(j.Steps[0].Estimate))
+// minDuration returns the minimum duration of the job's first step, on the fastest
+// worker.
+func (j *job) minDuration() time.Duration {
+	return time.Duration(minDurationShare * float64(j.Steps[0].Estimate))
 }
 
-// silence refuses a job of which nothing has begun and that can't be in time any more.
-// The planner does that, and earlier. But a process may take one for the planner that
-// does not plan, for instance when the two see different members: all its callers would
-// then wait until their time is over, for nothing.
-func (b *Book) silence(now time.Time, j *job) {
-	if !j.begun() && now.After(j.aim.Add(plannerSlack-j.least())) {
-		if !j.asked.IsZero() && j.elsewhere == (mesh.ID{}) {
-			b.delay.unheard(now, now.Sub(j.asked))
+// refuseIfTooLate refuses a job of which nothing has begun and which can't meet its
+// objective any more. The planner does that too, and earlier. But a process may regard
+// another one as the planner that does not plan, for instance when the two see different
+// members: all its callers would then wait for nothing until their deadlines.
+func (b *Book) refuseIfTooLate(now time.Time, j *job) {
+	if !j.hasBegun() && now.After(j.objectiveAt.Add(plannerGrace-j.minDuration())) {
+		if !j.asked.IsZero() && j.otherPlanner == (mesh.ID{}) {
+			b.delay.plannerSilent(now, now.Sub(j.asked))
 		}
-		b.finish(now, j, Answer{Status: Refused, Why: "planner_silent", After: silentRetry + cell.Spread(j.ID)})
+		b.finish(now, j, Answer{Status: Refused, Why: "planner_silent", After: minRetryAfter + cell.Spread(j.ID)})
 	}
 }
 
-// heard takes note that the planner has answered for a job.
-func (b *Book) heard(now time.Time, j *job, waited time.Duration) {
-	if !j.asked.IsZero() && j.elsewhere == (mesh.ID{}) {
+// plannerAnswered records that the planner has answered for a job, after waiting for free
+// resources for a time.
+func (b *Book) plannerAnswered(now time.Time, j *job, waited time.Duration) {
+	if !j.asked.IsZero() && j.otherPlanner == (mesh.ID{}) {
 		b.delay.asked(now, now.Sub(j.asked)-waited)
 		j.asked = time.Time{}
 	}
 }
 
-// tooSlow refuses a job at once that can't be in time because of what messages take. Asking
-// the planner would only make its link fuller: at twice what the links bore, asks for jobs
-// that were late when they arrived kept it half a second behind for good.
-func (b *Book) tooSlow(now time.Time, j *job) bool {
-	objective := j.aim.Sub(now)
-	if objective == 0 || b.delay.total(j.Steps[0].Count)+j.least() <= objective {
+// refuseIfMessagesSlow refuses a job at once that can't meet its objective because of the
+// time that messages take, and reports whether it did. A request to the planner would
+// only add to the load of its link: at twice what the links bore, requests for jobs that
+// were late when they arrived kept it half a second behind for good.
+func (b *Book) refuseIfMessagesSlow(now time.Time, j *job) bool {
+	objective := j.objectiveAt.Sub(now)
+	if objective == 0 || b.delay.total(j.Steps[0].Count)+j.minDuration() <= objective {
 		return false
 	}
-	b.finish(now, j, Answer{Status: Refused, Why: "messages_slow", After: silentRetry + cell.Spread(j.ID)})
+	b.finish(now, j, Answer{Status: Refused, Why: "messages_slow", After: minRetryAfter + cell.Spread(j.ID)})
 	return true
 }
--- a/entry/message.go
+++ b/entry/message.go
@@ -14,7 +14,7 @@
 	Room     lease.Room    `cbor:"2,keyasint,omitzero"`
 	Estimate time.Duration `cbor:"3,keyasint,omitzero"`
 	Runs     []Placed      `cbor:"4,keyasint,omitzero"`
-	// Sum is that of the job's text.
+	// Sum is the checksum of the job's text.
 	Sum lease.Sum `cbor:"5,keyasint,omitzero"`
 }
 
@@ -22,9 +22,9 @@
 type Placed struct {
 	lease.Run
 	Worker string `cbor:"3,keyasint,omitzero"`
-	// Estimate is set if it is not that of the step.
+	// Estimate is set if it differs from the step's.
 	Estimate time.Duration `cbor:"4,keyasint,omitzero"`
-	// Fence is, in a start, that of the holding for which the run was granted.
+	// Fence is, in a Start, the fence of the holding for which the run was granted.
 	Fence lease.Fence `cbor:"5,keyasint,omitzero"`
 }
 
@@ -48,27 +48,27 @@
 	Fence lease.Fence `cbor:"5,keyasint,omitzero"`
 }
 
-// Ended tells the owner of runs how they ended.
+// Ended reports the end of a run to its owner.
 type Ended struct {
 	Worker string    `cbor:"1,keyasint,omitzero"`
 	End    lease.End `cbor:"2,keyasint,omitzero"`
 }
 
-// Held tells that a process holds a worker from now on.
+// Held announces that a process holds a worker from now on.
 type Held struct {
 	Worker string      `cbor:"1,keyasint,omitzero"`
 	Fence  lease.Fence `cbor:"2,keyasint,omitzero"`
 }
 
-// Unheld tells that a process does not hold a worker at which the receiver has
-// runs.
+// Unheld reports that a process does not hold a worker on which the receiver has runs.
 type Unheld struct {
 	Worker string `cbor:"1,keyasint,omitzero"`
 }
 
-// Action is what a book asks its shell to do. One of the pointers is set.
+// Action is what a book asks its driver to do. One of the pointers is set.
 type Action struct {
-	// To is who a message goes to; zero means this cell's planner, for Ask and Withdraw.
+	// To is the destination of a message; zero means this cell's planner, for Ask and
+	// Withdraw.
 	To       mesh.ID
 	Ask      *cell.Ask
 	Withdraw *cell.Withdrawal
@@ -78,11 +78,11 @@
 	Answer   *Answered
 }
 
-// Answered is the final answer for one caller that waits.
+// Answered is the final answer to one waiting caller.
 type Answered struct {
 	Waiter Waiter
 	Answer Answer
 }
 
-// Waiter numbers the callers that wait.
+// Waiter identifies a waiting caller.
 type Waiter uint64
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -10,33 +10,34 @@
 	"snipehub.example/mesh"
 )
 
-// Submit takes in a job for a caller, or joins the caller to the job of the same
-// id that is under way here.
+// Submit accepts a job for a caller, or joins the caller to the job of the same id that
+// is in progress here.
 func (b *Book) Submit(now time.Time, w Waiter, r Request) {
 	j, ok := b.jobs[r.ID]
 	switch {
 	case !ok:
 		b.admit(now, w, r)
-	case !j.is(r):
-		// Its caller would be given the answer of another one's job. Nor can it begin
-		// under this id: its tasks would have the names of those that may still run.
-		event.JobAnswered.Log(b.log, "job", r.ID, "queue", r.Queue.Name, "status", Refused, "why", idInUse, "after_ms", keepDone.Milliseconds(), "age_ms", 0)
-		b.reply(w, Answer{Status: Refused, Why: idInUse, After: keepDone})
+	case !j.matches(r):
+		// The caller would be given the answer of another caller's job. Nor can its job
+		// start under this id: its tasks would have the names of tasks that may still
+		// run.
+		event.JobAnswered.Log(b.log, "job", r.ID, "queue", r.Queue.Name, "status", Refused, "why", idInUse, "after_ms", answerRetention.Milliseconds(), "age_ms", 0)
+		b.reply(w, Answer{Status: Refused, Why: idInUse, After: answerRetention})
 	default:
 		b.join(now, w, j, r)
 	}
 }
 
-// idInUse is the reason of a refusal because the id is that of another job.
+// idInUse is the reason of a refusal because another job has the id.
 const idInUse = "id_in_use"
 
-// is tells whether a request is for this job. Its queue may have another name by now: the
+// matches reports whether a request is for this job. Its queue may have another name: the
 // operator can rename a route between a request and its repetition.
-func (j *job) is(r Request) bool { return j.text == lease.NewText(r.ID, r.Spec) }
+func (j *job) matches(r Request) bool { return j.text == lease.NewText(r.ID, r.Spec) }
 
-// join handles a request whose id is known. A finished job gives its answer
-// again. One that was given up and still runs somewhere can't be started anew,
-// since two runs of a task could overlap.
+// join handles a request whose id is known. A finished job gives its answer again. One
+// that was given up and still runs somewhere can't be started again, since two runs of a
+// task could overlap.
 func (b *Book) join(now time.Time, w Waiter, j *job, r Request) {
 	switch {
 	case j.answer == nil:
@@ -45,7 +46,7 @@
 		b.waiters[w] = j
 	case j.answer.Status == Completed || j.answer.Status == Failed:
 		b.reply(w, *j.answer)
-	case j.running() > 0:
+	case j.activeRuns() > 0:
 		b.reply(w, Answer{Status: Unknown, Why: "earlier_copy_ends"})
 	default:
 		delete(b.jobs, j.ID)
@@ -55,8 +56,8 @@
 
 func (b *Book) admit(now time.Time, w Waiter, r Request) {
 	j := &job{Request: r, text: lease.NewText(r.ID, r.Spec), arrived: now, waiters: []Waiter{w}}
-	j.limit = now.Add(r.Patience)
-	j.aim = now.Add(objective(r))
+	j.deadline = now.Add(r.Patience)
+	j.objectiveAt = now.Add(objective(r))
 	for s, step := range r.Steps {
 		for i := range step.Count {
 			j.tasks = append(j.tasks, &task{step: s, index: i})
@@ -66,14 +67,14 @@
 	b.waiters[w] = j
 	event.JobAdmitted.Log(b.log, "job", r.ID, "queue", r.Queue.Name, "tasks", len(j.tasks), "steps", len(r.Steps), "text_bytes", len(r.Spec),
 		"estimate_ms", r.Steps[0].Estimate.Milliseconds(), "cpu", r.Steps[0].Room.CPU, "patience_ms", r.Patience.Milliseconds(),
-		"aim_ms", j.aim.Sub(now).Milliseconds(), "delay_ms", b.delay.total(len(j.tasks)).Milliseconds(), "planner", b.planner)
-	if !b.tooSlow(now, j) {
-		b.release(now, j)
+		"aim_ms", j.objectiveAt.Sub(now).Milliseconds(), "delay_ms", b.delay.total(len(j.tasks)).Milliseconds(), "planner", b.planner)
+	if !b.refuseIfMessagesSlow(now, j) {
+		b.requestReadySteps(now, j)
 	}
 }
 
-// objective is the time in which the job should be answered: the longest chain of
-// estimated work, stretched, and the queue's aim more.
+// objective returns the time in which the job should be answered: the longest chain of
+// estimated work, times the queue's stretch, plus the queue's aim.
 func objective(r Request) time.Duration {
 	chain := make([]time.Duration, len(r.Steps))
 	var longest time.Duration
@@ -87,23 +88,23 @@
 	return time.Duration(r.Queue.Stretch*float64(longest)) + r.Queue.Aim
 }
 
-// release asks for workers for all tasks whose earlier steps are done.
-func (b *Book) release(now time.Time, j *job) {
+// requestReadySteps requests workers for all blocked tasks whose earlier steps are done.
+func (b *Book) requestReadySteps(now time.Time, j *job) {
 	for s := range j.Steps {
-		if !j.ready(s) {
+		if !j.stepReady(s) {
 			continue
 		}
-		var fresh []*task
+		var unrequested []*task
 		for _, t := range j.tasks {
 			if t.step == s && t.state == blocked {
-				fresh = append(fresh, t)
+				unrequested = append(unrequested, t)
 			}
 		}
-		b.ask(now, j, fresh)
+		b.requestWorkers(now, j, unrequested)
 	}
 }
 
-func (j *job) ready(s int) bool {
+func (j *job) stepReady(s int) bool {
 	for _, t := range j.tasks {
 		if t.state != done && slices.Contains(j.Steps[s].After, t.step) {
 			return false
@@ -112,8 +113,8 @@
 	return true
 }
 
-// ask asks the planner for workers for tasks of one step.
-func (b *Book) ask(now time.Time, j *job, tasks []*task) {
+// requestWorkers requests workers from the planner for tasks of one step.
+func (b *Book) requestWorkers(now time.Time, j *job, tasks []*task) {
 	if len(tasks) == 0 {
 		return
 	}
@@ -127,33 +128,33 @@
 		Room:     s.Room,
 		Estimate: s.Estimate,
 		Age:      now.Sub(j.arrived),
-		Aim:      j.aim.Sub(now) - b.delay.total(len(tasks)),
-		Limit:    j.limit.Sub(now),
-		Begun:    j.begun(),
+		Aim:      j.objectiveAt.Sub(now) - b.delay.total(len(tasks)),
+		Limit:    j.deadline.Sub(now),
+		Begun:    j.hasBegun(),
 		Label:    s.Label,
 		Rack:     s.Rack,
 		Apart:    s.Apart,
 	}
 	for _, t := range tasks {
-		if t.state != waiting {
-			t.state = waiting
-			t.run++
+		if t.state != pending {
+			t.state = pending
+			t.runNumber++
 		}
-		a.Tasks = append(a.Tasks, j.name(t))
-		if t.avoid != "" {
-			a.Avoid = append(a.Avoid, t.avoid)
+		a.Tasks = append(a.Tasks, j.lastRun(t))
+		if t.avoidWorker != "" {
+			a.Avoid = append(a.Avoid, t.avoidWorker)
 		}
 	}
 	j.asked = now
-	b.act(Action{To: j.elsewhere, Ask: a})
+	b.emit(Action{To: j.otherPlanner, Ask: a})
 }
 
-func (j *job) name(t *task) lease.Run {
-	return lease.Run{Task: taskName(j.ID, t.step, t.index), Number: t.run}
+func (j *job) lastRun(t *task) lease.Run {
+	return lease.Run{Task: taskName(j.ID, t.step, t.index), Number: t.runNumber}
 }
 
-// Planner sets the planner. A new one is asked again for everything that waits:
-// what the old one had granted and did not reach this process is not used.
+// Planner sets the planner. A new planner is asked again for all pending tasks: grants of
+// the old one that did not reach this process are not used.
 func (b *Book) Planner(now time.Time, id mesh.ID) {
 	if id == b.planner {
 		return
@@ -162,23 +163,23 @@
 	if id == (mesh.ID{}) {
 		return
 	}
-	// How long the one before took says nothing of this one.
-	b.delay.ask = 0
-	for _, j := range b.sorted() {
-		if j.answer == nil && j.elsewhere == (mesh.ID{}) {
-			b.askAgain(now, j)
+	// The previous planner's answer times say nothing of this one's.
+	b.delay.plannerTime = 0
+	for _, j := range b.sortedJobs() {
+		if j.answer == nil && j.otherPlanner == (mesh.ID{}) {
+			b.repeatRequests(now, j)
 		}
 	}
 }
 
-func (b *Book) askAgain(now time.Time, j *job) {
+func (b *Book) repeatRequests(now time.Time, j *job) {
 	for s := range j.Steps {
 		var tasks []*task
 		for _, t := range j.tasks {
-			if t.step == s && t.state == waiting {
+			if t.step == s && t.state == pending {
 				tasks = append(tasks, t)
 			}
 		}
-		b.ask(now, j, tasks)
+		b.requestWorkers(now, j, tasks)
 	}
 }
--- a/entry/text_test.go
+++ b/entry/text_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func letters(n int) string {
+func randomLetters(n int) string {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var b strings.Builder
 	for range n {
@@ -15,8 +15,8 @@
 	return b.String()
 }
 
-// A job's text is packed between processes. A worker must get what the caller sent, to
-// the byte: with another text it would do other work.
+// A job's text is compressed between processes. A worker must get what the caller sent,
+// to the byte: with another text it would do other work.
 func TestTextIsReadAsWritten(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -24,8 +24,8 @@
 	}{
 		{"none", "", 1},
 		{"short", "1", 2},
-		{"below the least", letters(packLeast - 1), packLeast},
-		{"letters", letters(2000), 1100},
+		{"below the minimum", randomLetters(minCompressLen - 1), minCompressLen},
+		{"letters", randomLetters(2000), 1100},
 		{"one letter", strings.Repeat("x", 4000), 600},
 		{"all bytes", strings.Repeat("\x00\xff\x80 ü", 300), 2100},
 	} {
@@ -37,9 +37,10 @@
 	}
 }
 
-// What can't be unpacked ends the session with who sent it, and starts nothing.
-func TestTextThatIsNoText(t *testing.T) {
-	for _, b := range [][]byte{nil, {7}, {packedText, 0xff, 0xff}} {
+// A text that can't be decompressed is an error, which ends the session with its sender
+// and starts nothing.
+func TestInvalidText(t *testing.T) {
+	for _, b := range [][]byte{nil, {7}, {compressedText, 0xff, 0xff}} {
 		var got Text
 		if err := got.UnmarshalBinary(b); err == nil {
 			t.Errorf("%x is read as %q", b, got)
@@ -48,7 +49,7 @@
 }
 
 func BenchmarkText(b *testing.B) {
-	text := Text(letters(2000))
+	text := Text(randomLetters(2000))
 	var size int
 	for b.Loop() {
 		packed, _ := text.MarshalBinary()
