--- a/entry/text.go
+++ b/entry/text.go
@@ -37,7 +37,7 @@
 	r io.ReadCloser
 }
 
-var errInvalidText = errors.New("entry: text can't be read")
+var errInvalidText = errors.New("entry: invalid encoding of a job's text")
 
 // MarshalBinary encodes the text for messages.
 func (t Text) MarshalBinary() ([]byte, error) {
@@ -56,7 +56,7 @@
 	if compressor.w == nil {
 		var err error
 		if compressor.w, err = flate.NewWriter(nil, flate.HuffmanOnly); err != nil {
-			return nil, errors.Wrap(err, "entry: pack a text")
+			return nil, errors.Wrap(err, "entry: compress a job's text")
 		}
 	}
 	var b bytes.Buffer
@@ -64,10 +64,10 @@
 	b.WriteByte(compressedText)
 	compressor.w.Reset(&b)
 	if _, err := io.WriteString(compressor.w, string(t)); err != nil {
-		return nil, errors.Wrap(err, "entry: pack a text")
+		return nil, errors.Wrap(err, "entry: compress a job's text")
 	}
 	if err := compressor.w.Close(); err != nil {
-		return nil, errors.Wrap(err, "entry: pack a text")
+		return nil, errors.Wrap(err, "entry: compress a job's text")
 	}
 	return b.Bytes(), nil
 }
@@ -94,11 +94,11 @@
 		compressor.r = flate.NewReader(nil)
 	}
 	if err := compressor.r.(flate.Resetter).Reset(bytes.NewReader(b), nil); err != nil {
-		return errors.Wrap(err, "entry: unpack a text")
+		return errors.Wrap(err, "entry: decompress a job's text")
 	}
 	out, err := io.ReadAll(io.LimitReader(compressor.r, maxTextLen+1))
 	if err != nil {
-		return errors.Wrap(err, "entry: unpack a text")
+		return errors.Wrap(err, "entry: decompress a job's text")
 	}
 	if len(out) > maxTextLen {
 		return errInvalidText
--- a/lease/away.go
+++ b/lease/away.go
@@ -5,7 +5,7 @@
 // OwnerAway records that the owner of runs is unreachable, and the time from which its
 // callers may retry at another process. The runs must be over by then even if this
 // process dies before it has stopped them, so no lease is renewed beyond that time.
-func (b *Book) OwnerAway(o Owner, back time.Time) { b.unreachableOwners[o] = back }
+func (b *Book) OwnerAway(o Owner, retryAt time.Time) { b.unreachableOwners[o] = retryAt }
 
 // OwnerBack records that the owner is reachable again.
 func (b *Book) OwnerBack(o Owner) { delete(b.unreachableOwners, o) }
@@ -13,11 +13,11 @@
 // renewalEnd returns the end of the lease that a call asks for now, or 0 for none.
 func (b *Book) renewalEnd(now time.Time) int64 {
 	until := b.maxWorkerClock(now) + leaseDuration.Milliseconds()
-	for o, back := range b.unreachableOwners {
+	for o, retryAt := range b.unreachableOwners {
 		switch {
 		case b.hasRuns(o):
-			until = min(until, b.minWorkerClock(back))
-		case now.After(back):
+			until = min(until, b.minWorkerClock(retryAt))
+		case now.After(retryAt):
 			delete(b.unreachableOwners, o)
 		}
 	}
--- a/lease/book.go
+++ b/lease/book.go
@@ -331,8 +331,7 @@
 	return n
 }
 
-// expireRuns reports the runs of an unusable worker as lost: their leases have
-// expired.
+// expireRuns reports the runs of an unusable worker as lost: their leases have expired.
 func (b *Book) expireRuns(now time.Time) {
 	for _, e := range b.sortedRuns() {
 		b.end(now, e, End{Run: e.Run, How: Lost})
--- a/lease/task.go
+++ b/lease/task.go
@@ -70,7 +70,7 @@
 	return binary.AppendUvarint(binary.AppendUvarint(b, s), i), true
 }
 
-var errInvalidTask = errors.New("lease: name of a task can't be read")
+var errInvalidTask = errors.New("lease: invalid encoding of a task's name")
 
 // UnmarshalBinary decodes what MarshalBinary returned.
 func (t *Task) UnmarshalBinary(b []byte) error {
