--- a/entry/book_test.go
+++ b/entry/book_test.go
@@ -429,9 +429,9 @@
 	}
 }
 
-// A process regards another one as the planner that does not plan, because the two see
-// different members. Its callers got no answer until their timeout, ten seconds here,
-// although the job could have been in time at another process.
+// The process that is taken for the planner does not plan, because the two see different
+// members. The callers got no answer until their timeout, ten seconds here, although the
+// job could have been in time at another process.
 func TestPlannerIsSilent(t *testing.T) {
 	b, _ := newSubmittedBook(t, request(2))
 	// The objective is 220 ms, and 40 ms of work at the least.
--- a/lease/speed.go
+++ b/lease/speed.go
@@ -48,14 +48,14 @@
 )
 
 // nearlyEqual reports whether a planner that knows o needs no report of s: the same
-// number of bad ends, and factors that differ by less than estimates are wrong.
+// number of bad ends, and factors that differ by at most factorTolerance.
 func (s Speed) nearlyEqual(o Speed) bool {
 	sameKnowledge := s.Ends > 0 == (o.Ends > 0)
 	return s.Bad == o.Bad && sameKnowledge && math.Abs(s.Factor-o.Factor) <= factorTolerance*o.Factor
 }
 
 // factorTolerance is the share of a factor by which it may differ from what the planner
-// knows. Single estimates are off by a third.
+// knows. It is far below the error of single estimates, which are off by a third.
 const factorTolerance = 0.02
 
 func (s *Speed) learnFromEnd(e *run, end End) {
