--- a/lease/away.go
+++ b/lease/away.go
@@ -37,7 +37,7 @@
 }
 
 // minWorkerClock returns the lowest value that the worker's clock can have at a local
-// time: the clock may run slow.
+// time: the clock may run slow by MaxClockDrift.
 func (b *Book) minWorkerClock(t time.Time) int64 {
 	return b.clock + int64(float64(t.Sub(b.clockAt).Milliseconds())*(1-MaxClockDrift))
 }
--- a/lease/book.go
+++ b/lease/book.go
@@ -9,7 +9,7 @@
 const (
 	// leaseDuration is how long each renewal asks for. A platform grants a second at the
 	// most; a shorter lease ends lost runs sooner, a longer one survives longer pauses of
-	// this process. It is four polls.
+	// this process. Four polls begin within it if each waits for pollWait.
 	leaseDuration = 1000 * time.Millisecond
 	// pollWait is how long a hold call waits for a run to end.
 	pollWait = 300 * time.Millisecond
@@ -22,7 +22,7 @@
 	lossyPollWait = 100 * time.Millisecond
 	// answerTimeout is when a call that does not wait counts as unanswered; a call that
 	// waits has this in addition to its wait. A round trip takes a millisecond within a
-	// data centre and a few between two; a slow VM of our own takes tens.
+	// data centre and a few between two; with a slow VM of our own it takes tens.
 	answerTimeout = 100 * time.Millisecond
 	// startTimeout is answerTimeout for a start. It may be shorter: finding out what
 	// became of the start costs one more call, and its caller waits.
@@ -53,7 +53,7 @@
 	// planner: with this, two tasks in three of the users' jobs are reported once, at
 	// their end. It is well below the time for which a grant counts without a report.
 	reportDelay = 250 * time.Millisecond
-	// stopRetryInterval is when a stop without effect is repeated.
+	// stopRetryInterval is how long after a stop without effect it is repeated.
 	stopRetryInterval = 150 * time.Millisecond
 )
 
@@ -62,13 +62,13 @@
 const (
 	// connecting: the first hold call is unanswered.
 	connecting phase = iota + 1
-	// claiming: runs of unknown owners were found, who may claim them.
+	// claiming: runs of unknown owners were found, and the owners may claim them.
 	claiming
 	// open: tasks may be started.
 	open
 	// releasing: the worker is being released; nothing is started any more.
 	releasing
-	// closed: another holder has taken over, or the worker is gone.
+	// closed: this process does not hold the worker any more.
 	closed
 )
 
@@ -101,7 +101,8 @@
 	// learned from this run before its end, adopted if the run's beginning is unknown.
 	progressedAt     time.Time
 	sampled, adopted bool
-	// reported is set if the planner knows of the run, and of its speed if sampled.
+	// reported is set if the planner knows of the run and, if sampled is set, of the
+	// speed learned from it.
 	reported bool
 	// orphan is set while the owner is unknown.
 	orphan bool
@@ -140,15 +141,15 @@
 	unclaimedEnds map[Run]How
 	claimDeadline time.Time
 
-	// callCount counts the hold calls. openPoll is the number of the unanswered call that
-	// waits for ends, openCheck that of the unanswered call that returns at once; 0 if
-	// there is none.
+	// callCount counts the hold calls. openPoll is the number of the unanswered poll (a
+	// hold call that waits for ends), openCheck that of the unanswered check (one that
+	// returns at once); 0 if there is none.
 	callCount           int
 	openPoll, openCheck int
-	// checkedAt is when the last call that returns at once was made.
+	// checkedAt is when the last check was made.
 	checkedAt time.Time
 	// usable is set while the worker answers and accepts hold calls. checkDue is set when
-	// a call that returns at once is needed.
+	// a check is needed.
 	usable   bool
 	checkDue bool
 	// resourcesRefused is set if the worker has refused a start for lack of resources
@@ -166,9 +167,9 @@
 
 	speed Speed
 	pool  *Habits
-	// unreported is set if there is something to report to the planner, fullStateSent
-	// once a full state was reported. removedRuns are the runs removed since the last
-	// report.
+	// unreported is set if there is something to report to the planner, fullStateSent if
+	// a full state was reported and none is due again. removedRuns are the runs removed
+	// since the last report.
 	unreported, fullStateSent bool
 	removedRuns               []Run
 	// lastReported is what the planner was last told of the parts that a partial report
@@ -180,12 +181,12 @@
 	actions []Action
 }
 
-// NewBook begins to hold a worker with a fence above the minimum fence floor, and with
-// what its former holder had learned of its speed. The floor must be above every fence
-// that this process has used for the worker before (Spent).
-func NewBook(now time.Time, w Worker, own, floor Fence, speed Speed, habits *Habits) *Book {
+// NewBook begins to hold a worker with a fence above floor, and with what its former
+// holder had learned of its speed. The floor must not be below any fence that is known to
+// have been used for the worker, including those of this process (Spent).
+func NewBook(now time.Time, w Worker, own, floor Fence, speed Speed, stats *Habits) *Book {
 	fence := own.Above(floor)
-	b := &Book{worker: w, speed: speed, pool: habits, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]How), nextHoldAt: now}
+	b := &Book{worker: w, speed: speed, pool: stats, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]How), nextHoldAt: now}
 	b.Tick(now)
 	return b
 }
@@ -199,15 +200,16 @@
 
 func (b *Book) Worker() Worker { return b.worker }
 
-// Closed reports whether another holder has taken over, the worker is gone, or it was
-// released: there is nothing left to do.
+// Closed reports whether this process does not hold the worker any more: another holder
+// has taken over, the worker is gone or has never answered, all rounds of the term are
+// used, or the worker was released. There is nothing left to do.
 func (b *Book) Closed() bool { return b.phase == closed }
 
-// Why returns the reason why the worker is not held any more, in a word.
+// Why returns the reason why the worker is not held any more, as a short name.
 func (b *Book) Why() string { return b.closeReason }
 
 // maxWorkerClock returns the highest value that the worker's clock can have at a local
-// time: the clock may run slow.
+// time: the clock may run slow, but not fast.
 func (b *Book) maxWorkerClock(t time.Time) int64 { return b.clock + t.Sub(b.clockAt).Milliseconds() }
 
 // LeaseEnd returns when every lease asked for so far has expired.
@@ -268,7 +270,7 @@
 	}
 }
 
-// Drain has all further starts refused.
+// Drain marks the worker as draining: all further starts are refused.
 func (b *Book) Drain() {
 	b.unreported = b.unreported || !b.draining
 	b.draining = true
@@ -359,8 +361,8 @@
 	}
 }
 
-// close ends this holding because another holder has taken over, the worker is gone or it
-// was released. What still runs there belongs to the next holder.
+// close ends this holding for a reason, a short name. What still runs there belongs to
+// the next holder.
 func (b *Book) close(why string) {
 	b.phase, b.closeReason = closed, why
 	b.unreported = true
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -298,9 +298,9 @@
 	wantEnd(t, takeActions(b).tells, alice, Lost, "")
 }
 
-// A worker is unreachable and may run on. Its runs are lost only when every lease that
-// was asked for has expired, also on a clock that is slow.
-func TestLapse(t *testing.T) {
+// A worker is unreachable, and what it runs may go on. The runs are reported as lost only
+// when every lease that was asked for has expired, also on a clock that is slow.
+func TestRunsAreLostWhenTheLeaseExpires(t *testing.T) {
 	b, poll, _ := newRunningBook(t)
 	b.Answered(ms(500), poll, Result{Verdict: NoAnswer})
 	for at := 500; at < 2000; at += 10 {
--- a/lease/call.go
+++ b/lease/call.go
@@ -61,7 +61,7 @@
 type Result struct {
 	Verdict Verdict
 	Reason  Reason
-	// Clock is the worker's clock in milliseconds, 0 if it wasn't told.
+	// Clock is the worker's clock in milliseconds, 0 if the answer has none.
 	Clock int64
 	// Born identifies the worker's incarnation, in the answer to a hold call.
 	Born    int64
--- a/lease/claim.go
+++ b/lease/claim.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Claim is an owner's description of its run, for a holder that may not know it. It has
-// no text: as a type of its own, it can't take the place of the order that was given.
+// no text, so that a claim can't replace the text of the order that was given.
 type Claim struct {
 	Run
 	Room Room
@@ -11,10 +11,10 @@
 	Estimate time.Duration
 }
 
-// Claim handles the claims of an owner: for runs that this holder has found, or that are
-// still its own in a new session. Runs that don't exist are reported as such. It must not
-// be called for runs that were placed under a later holder: this one's list is older than
-// they are.
+// Claim handles the claims of an owner: for runs that this holder has found on the
+// worker, or, in a new session with the owner, for those that it has started itself. Runs
+// that don't exist are reported as lost. It must not be called for runs that were placed
+// under a later holder: this one's list is older than they are.
 func (b *Book) Claim(now time.Time, owner Owner, claims []Claim) {
 	for _, c := range claims {
 		b.claim(owner, c)
--- a/lease/hold.go
+++ b/lease/hold.go
@@ -34,7 +34,7 @@
 func (b *Book) emitHoldCall(now time.Time, wait time.Duration) int {
 	b.callCount++
 	c := &HoldCall{Number: b.callCount, Fence: b.fence, Seen: b.lastEndSeen, Wait: wait, Timeout: wait + b.pool.timeout(answerTimeout), Sent: now}
-	// A call to an unreachable worker renews nothing: its order may be carried out
+	// A call to an unreachable worker renews nothing: the renewal may take effect
 	// although the answer is lost, and the runs there would be in doubt for as long as
 	// calls are tried. Nor does the first call after a suspension.
 	if b.clock != 0 && b.usable && b.failures == 0 && (b.phase == open || b.phase == releasing) {
@@ -162,10 +162,10 @@
 	b.claimDeadline = now.Add(claimTimeout)
 }
 
-// handleRestart handles a restart of the worker: nothing of before runs, and its clock
-// and the numbers of its ends start over. A start in flight may have reached the new
-// incarnation, which knows no fence yet; it is either listed, or unconfirmed for as long
-// as the worker may still accept it.
+// handleRestart handles a restart of the worker: nothing that ran before runs any more,
+// and its clock and the numbers of its ends start over. A start in flight may have
+// reached the new incarnation, which knows no fence yet; it is either listed, or
+// unconfirmed for as long as the worker may still accept it.
 func (b *Book) handleRestart(now time.Time, c HoldCall, r Result) {
 	b.clock, b.listClock, b.leaseEnd, b.lastEndSeen = 0, 0, 0, 0
 	b.unclaimedEnds = make(map[Run]How)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -3,7 +3,7 @@
 //
 // A worker kills everything that it runs when the lease that its holder renews expires,
 // and refuses orders with a lower fencing token than it has seen. Therefore a holder that
-// is suspended, dead or cut off can't keep a task running, and can't start one after
+// is suspended, dead or cut off can't keep a task running, and can't start a task once
 // another holder has taken over.
 //
 // A Book is the state of one worker as a deterministic state machine without I/O: events
@@ -78,7 +78,8 @@
 	maxRound   = 1<<roundBits - 1
 )
 
-// NewFence returns the first fence of a holder whose number is unique.
+// NewFence returns the first fence of the holder with the given number, which must be
+// unique.
 func NewFence(number uint64) Fence {
 	return Fence(number<<termShift | number&(1<<holderBits-1)<<roundBits)
 }
@@ -86,10 +87,11 @@
 // Term returns the term.
 func (f Fence) Term() uint64 { return uint64(f >> termShift) }
 
-// Base returns the fence without its round. It identifies one holding of a worker.
+// Base returns the fence without its round. It identifies one holding: the period in
+// which one process holds a worker.
 func (f Fence) Base() Fence { return f &^ maxRound }
 
-// AddTerms returns the fence of the same holder in a term that is higher by terms.
+// AddTerms returns the first fence of the same holder in a term that is higher by terms.
 func (f Fence) AddTerms(terms uint64) Fence {
 	return f.Base() + Fence(terms<<termShift)
 }
@@ -118,7 +120,7 @@
 	Number int `json:"n" cbor:"2,keyasint,omitzero"`
 }
 
-// Job returns the name of the run's job.
+// Job returns the id of the run's job.
 func (r Run) Job() string { return r.Task.Job() }
 
 // Order asks for one run to be started.
@@ -146,10 +148,10 @@
 	Lost
 )
 
-var howNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Never: "never", Lost: "lost"}
+var outcomeNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Never: "never", Lost: "lost"}
 
 // String returns the outcome's name.
-func (h How) String() string { return howNames[h] }
+func (h How) String() string { return outcomeNames[h] }
 
 // LogValue logs the outcome by its name.
 func (h How) LogValue() slog.Value { return slog.StringValue(h.String()) }
@@ -165,10 +167,11 @@
 	Unusable  Reason = "unsound"
 	Draining  Reason = "draining"
 	Unhealthy Reason = "unhealthy"
-	// Late: the order reached the worker after it had expired.
+	// Late: the order had expired when it reached the worker.
 	Late Reason = "late"
 	// Old: the worker was told before to stop this run of the task, or a later one.
-	Old    Reason = "old"
+	Old Reason = "old"
+	// Fenced: the worker has seen a higher fence than the order's.
 	Fenced Reason = "fenced"
 	// Unanswered: the start got no answer, and the worker does not run it.
 	Unanswered Reason = "unanswered"
--- a/lease/speed.go
+++ b/lease/speed.go
@@ -26,15 +26,15 @@
 	// ten ends count, so that a worker that turns slow is recognized after a few tasks,
 	// although single estimates are off by a third.
 	minSampleWeight = 0.1
-	// priorSamples is the number of ends as estimated that are assumed beforehand, so
-	// that the first end alone does not decide.
+	// priorSamples is the number of ends, each after exactly its estimate, that are
+	// assumed beforehand, so that the first end alone does not decide.
 	priorSamples = 2
 	// minSampleEstimate is the estimate below which an end is not sampled: messages are
-	// then a good part of its duration. A task of 1 ms that took 7 had jobs of seconds
-	// refused.
+	// then a good part of its duration. Because of a task of 1 ms that took 7, jobs of
+	// seconds were refused.
 	minSampleEstimate = 20 * time.Millisecond
-	// samplePercent is the progress at which the duration of a run is extrapolated;
-	// before, a percent more or less changes too much.
+	// samplePercent is the progress from which the duration of a run is extrapolated;
+	// before that, one percent more or less changes the result too much.
 	samplePercent = 20
 	// A run counts as stalled if it shows no progress for minStallTimeout, or for the
 	// share stallShare of its estimate if that is longer. Progress is reported in
@@ -48,7 +48,8 @@
 )
 
 // nearlyEqual reports whether a planner that knows o needs no report of s: the same
-// number of bad ends, and factors that differ by at most factorTolerance.
+// number of bad jobs, and both without a factor or with factors that differ by at most
+// factorTolerance.
 func (s Speed) nearlyEqual(o Speed) bool {
 	sameKnowledge := s.Ends > 0 == (o.Ends > 0)
 	return s.Bad == o.Bad && sameKnowledge && math.Abs(s.Factor-o.Factor) <= factorTolerance*o.Factor
@@ -70,7 +71,8 @@
 	}
 }
 
-// countBad counts a bad end, once for consecutive ends of the same job.
+// countBad counts a run that failed, was refused or stalled, once for consecutive runs of
+// the same job.
 func (s *Speed) countBad(r Run) {
 	if job := r.Job(); job != s.lastBadJob {
 		s.lastBadJob = job
@@ -125,6 +127,6 @@
 	}
 }
 
-// stallBadCount is how many bad ends a stalled run counts for: tasks don't stall by
-// themselves.
+// stallBadCount is the least number of bad jobs that a worker with a stalled run has:
+// tasks don't stall by themselves.
 const stallBadCount = 2
--- a/lease/speed_test.go
+++ b/lease/speed_test.go
@@ -53,8 +53,8 @@
 // never report progress, none of this may happen.
 func TestStalledRuns(t *testing.T) {
 	for _, reportsProgress := range []bool{true, false} {
-		habits := &Habits{ReportsProgress: reportsProgress}
-		b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, habits)
+		stats := &Habits{ReportsProgress: reportsProgress}
+		b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, stats)
 		b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), nil))
 		poll := takeActions(b).holds[0]
 		b.Start(ms(10), alice, order("a", 1))
--- a/lease/start.go
+++ b/lease/start.go
@@ -111,7 +111,7 @@
 		case Unhealthy:
 			b.speed.countBad(e.Run)
 		case NoRoom:
-			b.resourcesMissing(now)
+			b.handleResourcesRefused(now)
 		}
 		b.end(now, e, End{Run: e.Run, How: Never, Why: why})
 		return
@@ -126,10 +126,11 @@
 	}
 }
 
-// resourcesMissing records that the worker runs something unknown here. Until the next
+// handleResourcesRefused handles a start that the worker has refused for lack of
+// resources although some seemed free: it runs something unknown here. Until the next
 // list nothing is started: the planner would give the resources that seem free to one
 // task after the other.
-func (b *Book) resourcesMissing(now time.Time) {
+func (b *Book) handleResourcesRefused(now time.Time) {
 	b.resourcesRefused, b.checkDue = true, true
 	b.reportFullState()
 	b.nextHoldAt = now
@@ -137,8 +138,8 @@
 }
 
 // reportFullState has the full state reported to the planner: it has granted a task that
-// could not be started. Told only of the refused run, a new planner that does not know
-// the others granted the same resources every two milliseconds.
+// could not be started. A new planner that was told only of the refused run, and did not
+// know the others, granted the same resources again every two milliseconds.
 func (b *Book) reportFullState() { b.unreported, b.fullStateSent = true, false }
 
 // resolveStart begins to find out what became of an unanswered start. The order may still
--- a/lease/state.go
+++ b/lease/state.go
@@ -51,7 +51,8 @@
 	return b.Part(now), true
 }
 
-// Part returns what has changed of the state, which may be nothing.
+// Part returns what has changed of the state, which may be nothing, or the full state
+// without the worker while that is due.
 func (b *Book) Part(now time.Time) State {
 	if !b.fullStateSent {
 		s := b.State(now)
--- a/lease/task.go
+++ b/lease/task.go
@@ -13,7 +13,7 @@
 // separated by dots.
 type Task string
 
-// Job returns the name of the task's job: the part before the first dot.
+// Job returns the id of the task's job: the part before the first dot.
 func (t Task) Job() string {
 	job, _, _ := strings.Cut(string(t), ".")
 	return job
@@ -33,15 +33,15 @@
 	compactTask
 )
 
-// compactJobBytes is the length of a job's name in the compact form.
+// compactJobBytes is the length of a job's id in the compact form.
 const compactJobBytes = 8
 
 // occurrenceInfix separates the job from the step; jobs have one occurrence.
 const occurrenceInfix = ".0."
 
-// MarshalBinary encodes the name for messages between processes. A job of 16 hexadecimal
-// digits takes half as many bytes, which makes 11 bytes of the usual 22; the planner
-// receives and sends some five names for each task.
+// MarshalBinary encodes the name for messages between processes. A job's id of 16
+// hexadecimal digits takes half as many bytes, which makes 11 bytes of the usual 22; the
+// planner receives and sends some five names for each task.
 func (t Task) MarshalBinary() ([]byte, error) {
 	if b, ok := t.compact(); ok {
 		return b, nil
@@ -50,11 +50,11 @@
 }
 
 func (t Task) compact() ([]byte, bool) {
-	job, place, ok := strings.Cut(string(t), occurrenceInfix)
+	job, rest, ok := strings.Cut(string(t), occurrenceInfix)
 	if !ok || len(job) != 2*compactJobBytes || strings.ToLower(job) != job {
 		return nil, false
 	}
-	step, index, ok := strings.Cut(place, ".")
+	step, index, ok := strings.Cut(rest, ".")
 	s, err := strconv.ParseUint(step, 10, 32)
 	if !ok || err != nil || strconv.FormatUint(s, 10) != step {
 		return nil, false
--- a/lease/text.go
+++ b/lease/text.go
@@ -11,7 +11,7 @@
 	Sum Sum
 }
 
-// Sum is a checksum of a job's name and its text. That of an empty text is not 0, so an
+// Sum is a checksum of a job's id and its text. That of an empty text is not 0, so an
 // order that has lost both its text and its sum is detected too.
 type Sum uint64
 
--- a/lease/trip.go
+++ b/lease/trip.go
@@ -24,22 +24,22 @@
 
 // recordAnswer learns from a call that does not wait. The time is tracked for all workers
 // together: what makes it long is this process's own link or processor.
-func (h *Habits) recordAnswer(d time.Duration, r Result) {
+func (s *Habits) recordAnswer(d time.Duration, r Result) {
 	if r.Verdict == NoAnswer {
-		h.answerTime.Longer(answerTimeRange)
+		s.answerTime.Longer(answerTimeRange)
 		return
 	}
-	h.answerTime.Add(answerTimeRange, d)
+	s.answerTime.Add(answerTimeRange, d)
 }
 
 // timeout returns how long a call may go without an answer: the usual time, or longer
 // where answers take longer.
 //
-// With fixed timeouts a thin link collapses: a call that waits in its queue counts as
-// lost, is made again on a new connection, and what became of it must be found out by one
-// more call. On links of 2 Mbit/s that carried a task in 70 ms, more than half of the
+// With fixed timeouts a thin link collapses: a call that waits in the link's queue counts
+// as lost, is made again on a new connection, and what became of it must be found out by
+// one more call. On links of 2 Mbit/s that carried a task in 70 ms, more than half of the
 // starts were taken for lost within 50 ms, and checks of workers came to 30 a second
 // each.
-func (h *Habits) timeout(usual time.Duration) time.Duration {
-	return max(usual, timeoutFactor*h.answerTime.Value(answerTimeRange))
+func (s *Habits) timeout(usual time.Duration) time.Duration {
+	return max(usual, timeoutFactor*s.answerTime.Value(answerTimeRange))
 }
