--- a/entry/book.go
+++ b/entry/book.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// lostHolderTimeout is when runs at a lost holder are certainly over: the holder
-	// stops them within a second after this process has become unreachable to it, and if
-	// it can't, their lease of a second expires.
+	// lostHolderTimeout is how long after the loss of their holder runs are certainly
+	// over: the holder stops them within a second after this process has become
+	// unreachable to it, and if it can't, their lease of a second expires.
 	lostHolderTimeout = 2100 * time.Millisecond
 	// answerRetention is how long the answer of a job is kept for a late copy of its
 	// request.
@@ -60,7 +60,7 @@
 	arrived, objectiveAt, deadline time.Time
 	tasks                          []*task
 	waiters                        []Waiter
-	// asked is when a planner was last asked for tasks; zero once this cell's has
+	// asked is when a planner was last asked for workers; zero once this cell's has
 	// answered.
 	asked time.Time
 	// otherPlanner is the planner of another cell that was asked after this cell's
@@ -73,7 +73,7 @@
 	answeredAt time.Time
 }
 
-// Book is the jobs of one process. It is a deterministic state machine without I/O:
+// Book keeps the jobs of one process. It is a deterministic state machine without I/O:
 // events and times go in, actions come out.
 type Book struct {
 	log     *slog.Logger
@@ -192,7 +192,8 @@
 }
 
 // Tick gives up jobs past their deadline, and runs whose holder was lost for so long that
-// they have ended.
+// they have ended. It refuses jobs that can't meet their objective any more, and forgets
+// those that are over.
 func (b *Book) Tick(now time.Time) {
 	b.delay.fade(now)
 	for _, p := range b.expiredRuns(now) {
--- a/entry/delay.go
+++ b/entry/delay.go
@@ -10,12 +10,13 @@
 // the planner's wait for free resources: from the request to the planner until its grant,
 // and from the grant to the worker and back.
 //
-// The planner reckons with the time that is left at this process, and with no time for
-// messages. Where links are thin that is wrong by a hundred milliseconds and more: jobs
-// were placed that could not meet their objective any more, their texts filled the links,
-// and at 1.7 times the load that the links bore a tenth of the jobs was in time. With the
-// delay subtracted from the objective, the planner refuses at once the jobs that would be
-// late because of it, first those with the shortest objectives, and the links drain.
+// The planner plans with the time that was left when this process sent the request, and
+// allows none for messages. Where links are thin that is wrong by a hundred milliseconds
+// and more: jobs were placed that could not meet their objective any more, their texts
+// filled the links, and at 1.7 times the load that the links bore only a tenth of the
+// jobs was in time. With the delay subtracted from the objective, the planner refuses at
+// once the jobs that would be late because of it, first those with the shortest
+// objectives, and the links drain.
 type delay struct {
 	plannerTime, runOverhead, slowRunOverhead quantile.Tracker
 	// sampledAt is when the last sample came in.
--- a/entry/delay_test.go
+++ b/entry/delay_test.go
@@ -9,16 +9,18 @@
 	"snipehub.example/lease"
 )
 
-// runJobs sends jobs through a book, one after the other, with the given message times.
-func runJobs(b *Book, at, n int, ask, run time.Duration) (last int) {
+// runJobs sends jobs through a book, one after the other, with the given message times:
+// from the request to the grant, and from the grant to the end besides the time of the
+// run.
+func runJobs(b *Book, at, n int, plannerTime, runOverhead time.Duration) (last int) {
 	for i := range n {
 		r := request(1)
 		r.ID = string(rune('a' + i))
 		b.Submit(ms(at), Waiter(at), r)
 		for _, a := range takeActions(b).asks {
-			granted := ms(at).Add(ask)
+			granted := ms(at).Add(plannerTime)
 			b.Grant(granted, planner, cell.Grant{Job: a.Job, Items: []cell.Granted{{Run: a.Tasks[0], Worker: "w", Holder: holder}}})
-			b.Ended(granted.Add(run+50*time.Millisecond), holder, Ended{Worker: "w", End: lease.End{Run: a.Tasks[0], How: lease.Done, Took: 50 * time.Millisecond}})
+			b.Ended(granted.Add(runOverhead+50*time.Millisecond), holder, Ended{Worker: "w", End: lease.End{Run: a.Tasks[0], How: lease.Done, Took: 50 * time.Millisecond}})
 		}
 		takeActions(b)
 		at += 200
--- a/entry/elsewhere.go
+++ b/entry/elsewhere.go
@@ -32,9 +32,9 @@
 	return true
 }
 
-// otherPlannerDown asks this cell's planner again for jobs that were sent to a planner of
-// another cell which is unreachable now.
-func (b *Book) otherPlannerDown(now time.Time, p mesh.ID) {
+// otherPlannerUnreachable asks this cell's planner again for jobs that were sent to a
+// planner of another cell which is unreachable now.
+func (b *Book) otherPlannerUnreachable(now time.Time, p mesh.ID) {
 	for _, j := range b.sortedJobs() {
 		if j.answer == nil && j.otherPlanner == p && p != (mesh.ID{}) {
 			j.otherPlanner = mesh.ID{}
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -15,7 +15,7 @@
 	other := mesh.ID{Address: netip.MustParseAddrPort("10.0.0.9:1"), Boot: 1}
 	tests := []struct {
 		name string
-		// do is what happens after the own planner has refused.
+		// do is what happens after this cell's planner has refused.
 		do      func(b *Book)
 		to      mesh.ID
 		asks    int
--- a/entry/grant.go
+++ b/entry/grant.go
@@ -34,7 +34,7 @@
 		s := byStep[t.step]
 		if s == nil {
 			step := j.Steps[t.step]
-			s = &Start{Spec: Text(j.text.Spec), Sum: j.text.Sum, Room: step.Room, Estimate: step.Estimate}
+			s = &Start{Spec: WireText(j.text.Spec), Sum: j.text.Sum, Room: step.Room, Estimate: step.Estimate}
 			byStep[t.step] = s
 		}
 		s.Runs = append(s.Runs, Placed{Run: item.Run, Worker: item.Worker, Estimate: item.Estimate, Fence: item.Fence})
--- a/entry/holders.go
+++ b/entry/holders.go
@@ -8,17 +8,17 @@
 	"snipehub.example/mesh"
 )
 
-// HolderDown records that a holder, or the planner of another cell, is unreachable. The
-// time counts from this call, not from when the holder was last heard: a busy process
-// notices late, and what it has placed in between may have reached the holder over a new
-// session.
+// HolderDown records that a holder, or the planner of another cell, is unreachable. For a
+// holder lostHolderTimeout counts from this call, not from when it was last heard: a busy
+// process notices late, and what it has placed in between may have reached the holder
+// over a new session.
 func (b *Book) HolderDown(now time.Time, h mesh.ID) {
 	for _, p := range b.runs {
 		if p.t.holder == h && p.t.unreachableSince.IsZero() {
 			p.t.unreachableSince = now
 		}
 	}
-	b.otherPlannerDown(now, h)
+	b.otherPlannerUnreachable(now, h)
 }
 
 // HolderUp claims the runs at a holder that is reachable again: it may have lost the last
@@ -62,6 +62,8 @@
 	}
 }
 
+// sendClaim claims runs at the holder of their worker. Those whose job is over are
+// stopped there: the stop that was sent before may be lost.
 func (b *Book) sendClaim(h mesh.ID, worker string, tasks []placedTask) {
 	c := &Claim{Worker: worker}
 	for _, p := range tasks {
--- a/entry/late.go
+++ b/entry/late.go
@@ -15,7 +15,7 @@
 	// can't meet their objective: messages both ways, and a tick.
 	plannerGrace = 100 * time.Millisecond
 	// minRetryAfter is the minimum time that callers are told to wait where the planner
-	// is unreachable or its link is full: another one is found within a second.
+	// is unreachable or its link is full: another planner is found within a second.
 	minRetryAfter = time.Second
 )
 
@@ -27,8 +27,8 @@
 
 // refuseIfTooLate refuses a job of which nothing has begun and which can't meet its
 // objective any more. The planner does that too, and earlier. But the process that is
-// taken for the planner may not be planning, for instance when the two see different
-// members: all callers would then wait for nothing until their deadlines.
+// taken for the planner may not be planning, for instance when it and this process see
+// different members: all callers would then wait for nothing until their deadlines.
 func (b *Book) refuseIfTooLate(now time.Time, j *job) {
 	if !j.hasBegun() && now.After(j.objectiveAt.Add(plannerGrace-j.minDuration())) {
 		if !j.asked.IsZero() && j.otherPlanner == (mesh.ID{}) {
@@ -50,10 +50,10 @@
 // refuseIfMessagesSlow refuses a job at once that can't meet its objective because of the
 // time that messages take, and reports whether it did. A request to the planner would
 // only add to the load of its link: at twice what the links bore, requests for jobs that
-// were late when they arrived kept it half a second behind permanently.
+// were late when they arrived kept the link half a second behind permanently.
 func (b *Book) refuseIfMessagesSlow(now time.Time, j *job) bool {
-	objective := j.objectiveAt.Sub(now)
-	if objective == 0 || b.delay.total(j.Steps[0].Count)+j.minDuration() <= objective {
+	remaining := j.objectiveAt.Sub(now)
+	if remaining == 0 || b.delay.total(j.Steps[0].Count)+j.minDuration() <= remaining {
 		return false
 	}
 	b.finish(now, j, Answer{Status: Refused, Why: "messages_slow", After: minRetryAfter + cell.Spread(j.ID)})
--- a/entry/message.go
+++ b/entry/message.go
@@ -10,7 +10,7 @@
 
 // Start asks a holder to start tasks of one step of a job.
 type Start struct {
-	Spec     Text          `cbor:"1,keyasint,omitzero"`
+	Spec     WireText      `cbor:"1,keyasint,omitzero"`
 	Room     lease.Room    `cbor:"2,keyasint,omitzero"`
 	Estimate time.Duration `cbor:"3,keyasint,omitzero"`
 	Runs     []Placed      `cbor:"4,keyasint,omitzero"`
--- a/entry/text.go
+++ b/entry/text.go
@@ -9,11 +9,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Text is a job's text as it is sent between processes. It is compressed by Huffman
+// WireText is a job's text as it is sent between processes. It is compressed by Huffman
 // coding alone: that takes 15 microseconds for a text of two kilobytes and halves one of
 // digits and letters, which is most of what processes send to each other (BenchmarkText).
 // On links of 2 Mbit/s it makes a job of four tasks start 8 ms earlier.
-type Text string
+type WireText string
 
 // The forms of a text in messages.
 const (
@@ -40,7 +40,7 @@
 var errInvalidText = errors.New("entry: invalid encoding of a job's text")
 
 // MarshalBinary encodes the text for messages.
-func (t Text) MarshalBinary() ([]byte, error) {
+func (t WireText) MarshalBinary() ([]byte, error) {
 	if len(t) >= minCompressLen {
 		b, err := t.compress()
 		if err != nil || len(b) < len(t) {
@@ -50,7 +50,7 @@
 	return append([]byte{plainText}, t...), nil
 }
 
-func (t Text) compress() ([]byte, error) {
+func (t WireText) compress() ([]byte, error) {
 	compressor.Lock()
 	defer compressor.Unlock()
 	if compressor.w == nil {
@@ -73,13 +73,13 @@
 }
 
 // UnmarshalBinary decodes what MarshalBinary returned.
-func (t *Text) UnmarshalBinary(b []byte) error {
+func (t *WireText) UnmarshalBinary(b []byte) error {
 	if len(b) == 0 {
 		return errInvalidText
 	}
 	switch b[0] {
 	case plainText:
-		*t = Text(b[1:])
+		*t = WireText(b[1:])
 		return nil
 	case compressedText:
 		return t.decompress(b[1:])
@@ -87,7 +87,7 @@
 	return errInvalidText
 }
 
-func (t *Text) decompress(b []byte) error {
+func (t *WireText) decompress(b []byte) error {
 	compressor.Lock()
 	defer compressor.Unlock()
 	if compressor.r == nil {
@@ -103,6 +103,6 @@
 	if len(out) > maxTextLen {
 		return errInvalidText
 	}
-	*t = Text(out)
+	*t = WireText(out)
 	return nil
 }
--- a/entry/text_test.go
+++ b/entry/text_test.go
@@ -29,8 +29,8 @@
 		{"one letter", strings.Repeat("x", 4000), 600},
 		{"all bytes", strings.Repeat("\x00\xff\x80 ü", 300), 2100},
 	} {
-		b, err := Text(c.text).MarshalBinary()
-		var got Text
+		b, err := WireText(c.text).MarshalBinary()
+		var got WireText
 		if err != nil || len(b) > c.most || got.UnmarshalBinary(b) != nil || string(got) != c.text {
 			t.Errorf("%s: %d bytes of %d, %v, the same: %t", c.name, len(b), len(c.text), err, string(got) == c.text)
 		}
@@ -41,7 +41,7 @@
 // and starts nothing.
 func TestInvalidText(t *testing.T) {
 	for _, b := range [][]byte{nil, {7}, {compressedText, 0xff, 0xff}} {
-		var got Text
+		var got WireText
 		if err := got.UnmarshalBinary(b); err == nil {
 			t.Errorf("%x is read as %q", b, got)
 		}
@@ -49,13 +49,13 @@
 }
 
 func BenchmarkText(b *testing.B) {
-	text := Text(randomLetters(2000))
+	text := WireText(randomLetters(2000))
 	var size int
 	for b.Loop() {
-		packed, _ := text.MarshalBinary()
-		size = len(packed)
-		var got Text
-		_ = got.UnmarshalBinary(packed)
+		encoded, _ := text.MarshalBinary()
+		size = len(encoded)
+		var got WireText
+		_ = got.UnmarshalBinary(encoded)
 	}
 	b.ReportMetric(float64(size), "bytes")
 }
