--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -41,10 +41,10 @@
 	// whatever status the backend server answers goes to the caller, and a
 	// route may allow it to be repeated.
 	Request bool
-	// Guest tells that this is one task that a peer has handed over; Job is
+	// FromPeer tells that this is one task that a peer has handed over; Job is
 	// then the id of the attempt.
-	Guest bool
-	Tasks [][]byte
+	FromPeer bool
+	Tasks    [][]byte
 	// Done is called once for each task, from any goroutine.
 	Done func(index int, r Result)
 }
@@ -77,13 +77,13 @@
 	Members(now time.Time) []roster.Known
 }
 
-// courier runs one attempt on a backend server.
-type courier interface {
+// taskDeliverer runs one attempt on a backend server.
+type taskDeliverer interface {
 	Deliver(ctx context.Context, a delivery.Attempt) delivery.Outcome
 }
 
-// gauges is what the dispatcher tells the metrics.
-type gauges interface {
+// metricSink is what the dispatcher tells the metricSink.
+type metricSink interface {
 	Count(name meter.Name, n int64)
 	Gauge(name meter.Name, v float64)
 }
@@ -96,84 +96,84 @@
 }
 
 const (
-	// period is how often time works on the planner.
-	period = 50 * time.Millisecond
-	// lookEvery is how often the members are looked at. Their list is copied and
+	// tickInterval is how often time works on the planner.
+	tickInterval = 50 * time.Millisecond
+	// membersInterval is how often the members are looked at. Their list is copied and
 	// sorted, so looking with each period cost an idle process 74 µs a second for
 	// each member: a third of a core at the 4,600 members of the letter's size.
 	// Heartbeats bring news of a member once a second at the most.
-	lookEvery = 500 * time.Millisecond
-	// ring is how many submissions and cancellations wait for the planner.
-	ring = 1024
+	membersInterval = 500 * time.Millisecond
+	// requestBuffer is how many submissions and cancellations wait for the planner.
+	requestBuffer = 1024
 	// submitTimeout is how long a submission waits for the planner.
 	submitTimeout = 2 * time.Second
-	// quiet is the least time between two log lines about a full queue.
-	quiet = 10 * time.Second
+	// queueFullLogInterval is the least time between two log lines about a full queue.
+	queueFullLogInterval = 10 * time.Second
 )
 
 // Dispatcher is the shell around the planner. It is a suture service.
 type Dispatcher struct {
-	cfg   Config
-	c     courier
-	dir   Directory
-	clock *clock.Service
-	log   *slog.Logger
-	m     gauges
+	cfg       Config
+	deliverer taskDeliverer
+	dir       Directory
+	clock     *clock.Service
+	log       *slog.Logger
+	metrics   metricSink
 
 	requests chan request
-	ended    chan ending
+	events   chan plannerEvent
 	wake     chan struct{}
 	stopped  chan struct{}
 	stop     sync.Once
 	reports  reports
 	free     atomic.Int64
 
-	p     *plan.Planner
-	world plan.World
-	// looked is when the members were last looked at.
-	looked   time.Time
-	batches  map[string]*batch
-	sender   sender
-	sends    chan struct{}
-	peers    map[string]roster.Known
-	acts     plan.Actions
-	complain time.Time
+	planner *plan.Planner
+	cluster plan.Cluster
+	// membersReadAt is when the members were last membersReadAt at.
+	membersReadAt     time.Time
+	batches           map[string]*batch
+	sender            sender
+	handoverSlots     chan struct{}
+	peers             map[string]roster.Known
+	actions           plan.Actions
+	queueFullLoggedAt time.Time
 }
 
 // batch is a batch with tasks that have not ended.
 type batch struct {
 	Batch
-	left int
+	unfinished int
 }
 
-// ending is the outcome of an attempt, or what a peer tells of its room.
-type ending struct {
-	number uint64
-	o      delivery.Outcome
-	// handed tells that the attempt was a peer's, who counts it.
-	handed bool
-	peer   string
-	free   int
+// plannerEvent is the outcome of an attempt, or what a peer tells of its room.
+type plannerEvent struct {
+	attemptID uint64
+	outcome   delivery.Outcome
+	// handedOver tells that the attempt was a peer's, who counts it.
+	handedOver bool
+	peer       string
+	free       int
 }
 
 // New makes a dispatcher.
-func New(cfg Config, c courier, dir Directory, ticks *clock.Service, log *slog.Logger, m gauges) *Dispatcher {
+func New(cfg Config, c taskDeliverer, dir Directory, ticks *clock.Service, log *slog.Logger, m metricSink) *Dispatcher {
 	return &Dispatcher{
-		cfg:      cfg,
-		c:        c,
-		dir:      dir,
-		clock:    ticks,
-		log:      log,
-		m:        m,
-		requests: make(chan request, ring),
-		ended:    make(chan ending, cfg.Connections),
-		wake:     make(chan struct{}, 1),
-		stopped:  make(chan struct{}),
-		reports:  newReports(),
-		p:        plan.New(cfg.Config, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		batches:  make(map[string]*batch),
-		sends:    make(chan struct{}, handovers),
-		peers:    make(map[string]roster.Known),
+		cfg:           cfg,
+		deliverer:     c,
+		dir:           dir,
+		clock:         ticks,
+		log:           log,
+		metrics:       m,
+		requests:      make(chan request, requestBuffer),
+		events:        make(chan plannerEvent, cfg.Connections),
+		wake:          make(chan struct{}, 1),
+		stopped:       make(chan struct{}),
+		reports:       newReports(),
+		planner:       plan.New(cfg.Config, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		batches:       make(map[string]*batch),
+		handoverSlots: make(chan struct{}, maxHandovers),
+		peers:         make(map[string]roster.Known),
 	}
 }
 
@@ -190,94 +190,94 @@
 
 // Serve runs the planner until ctx ends.
 func (d *Dispatcher) Serve(ctx context.Context) error {
-	sub := d.clock.Subscribe(period)
+	sub := d.clock.Subscribe(tickInterval)
 	defer sub.Stop()
 	var reporting sync.WaitGroup
 	reporting.Go(func() { d.reports.run(ctx) })
 	defer reporting.Wait()
-	d.look(d.clock.Now())
+	d.refreshCluster(d.clock.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			d.stop.Do(func() { close(d.stopped) })
 			return ctx.Err()
 		case r := <-d.requests:
-			d.take(r)
-		case e := <-d.ended:
-			d.hear(e)
+			d.handleRequests(r)
+		case e := <-d.events:
+			d.handleEvent(e)
 		case <-d.wake:
-			d.look(d.clock.Now())
+			d.refreshCluster(d.clock.Now())
 		case <-sub.C:
 			d.tick(d.clock.Now())
 		}
-		d.act(ctx)
+		d.runActions(ctx)
 	}
 }
 
-func (d *Dispatcher) count(k delivery.Kind) {
+func (d *Dispatcher) countOutcome(k delivery.Kind) {
 	switch k {
 	case delivery.Done, delivery.Ran:
-		d.m.Count(meter.TasksDone, 1)
+		d.metrics.Count(meter.TasksDone, 1)
 	case delivery.NotRun:
-		d.m.Count(meter.TaskRefusals, 1)
+		d.metrics.Count(meter.TaskRefusals, 1)
 	case delivery.Unknown:
-		d.m.Count(meter.TasksUnknown, 1)
+		d.metrics.Count(meter.TasksUnknown, 1)
 	}
 }
 
-func (d *Dispatcher) hear(e ending) {
+func (d *Dispatcher) handleEvent(e plannerEvent) {
 	if e.peer != "" {
-		d.p.Reported(e.peer, e.free)
+		d.planner.PeerReported(e.peer, e.free)
 		return
 	}
-	if !e.handed {
-		d.count(e.o.Kind)
+	if !e.handedOver {
+		d.countOutcome(e.outcome.Kind)
 	}
-	d.p.Ended(d.clock.Now(), e.number, e.o)
+	d.planner.AttemptEnded(d.clock.Now(), e.attemptID, e.outcome)
 }
 
 func (d *Dispatcher) tick(now time.Time) {
-	if now.Sub(d.looked) >= lookEvery {
-		d.look(now)
+	if now.Sub(d.membersReadAt) >= membersInterval {
+		d.refreshCluster(now)
 	}
-	d.p.Tick(now)
-	d.free.Store(int64(d.p.Free()))
-	d.m.Gauge(meter.QueuedTasks, float64(d.p.Waiting()))
-	d.m.Gauge(meter.RunningTasks, float64(d.p.Busy()))
-	d.m.Gauge(meter.TaskReports, float64(d.reports.len()))
-	d.m.Gauge(meter.HandedTasks, float64(d.p.Handed()))
+	d.planner.Tick(now)
+	d.free.Store(int64(d.planner.Free()))
+	d.metrics.Gauge(meter.QueuedTasks, float64(d.planner.Waiting()))
+	d.metrics.Gauge(meter.RunningTasks, float64(d.planner.Running()))
+	d.metrics.Gauge(meter.TaskReports, float64(d.reports.len()))
+	d.metrics.Gauge(meter.HandedTasks, float64(d.planner.HandedOver()))
 }
 
-// act asks the planner what to do, and does it.
-func (d *Dispatcher) act(ctx context.Context) {
+// runActions asks the planner what to do, and does it.
+func (d *Dispatcher) runActions(ctx context.Context) {
 	now := d.clock.Now()
-	d.p.Allow(d.dir.MayPlace(now))
-	d.p.Take(now, &d.acts)
-	for _, e := range d.acts.Ends {
-		d.end(e)
+	d.planner.SetMayPlace(d.dir.MayPlace(now))
+	d.planner.Decide(now, &d.actions)
+	for _, e := range d.actions.Ends {
+		d.endTasks(e)
 	}
-	for _, s := range d.acts.Starts {
-		d.start(ctx, s)
+	for _, s := range d.actions.Starts {
+		d.startAttempt(ctx, s)
 	}
-	for _, h := range d.acts.Hands {
-		d.hand(ctx, h)
+	for _, h := range d.actions.Handovers {
+		d.sendHandover(ctx, h)
 	}
-	for _, n := range d.acts.News {
+	for _, n := range d.actions.HealthChanges {
 		switch {
-		case n.Capped:
-			event.AsideFull.Log(d.log, "server", n.Server, "reason", string(n.Why))
-		case n.Aside:
-			event.ServerAside.Log(d.log, "server", n.Server, "reason", string(n.Why))
+		case n.LimitReached:
+			event.AsideFull.Log(d.log, "server", n.Server, "reason", string(n.Reason))
+		case n.Ejected:
+			event.ServerAside.Log(d.log, "server", n.Server, "reason", string(n.Reason))
 		default:
 			event.ServerBack.Log(d.log, "server", n.Server)
 		}
 	}
 }
 
-func (d *Dispatcher) start(ctx context.Context, s plan.Start) {
+func (d *Dispatcher) startAttempt(ctx context.Context, s plan.Start) {
 	b := d.batches[s.Job]
 	id := delivery.TaskID(s.Job, s.Task, s.Attempt)
-	if b.Guest {
+	if b.FromPeer {
 		id = b.Job
 	}
 	a := delivery.Attempt{
@@ -288,14 +288,14 @@
 		Type:    b.Type,
 		Expires: s.Expires,
 	}
-	d.m.Count(meter.TaskStarts, 1)
+	d.metrics.Count(meter.TaskStarts, 1)
 	if s.Attempt > 0 {
-		d.m.Count(meter.TaskRetries, 1)
+		d.metrics.Count(meter.TaskRetries, 1)
 	}
-	go func() { d.ended <- ending{number: s.Number, o: d.c.Deliver(ctx, a)} }()
+	go func() { d.events <- plannerEvent{attemptID: s.AttemptID, outcome: d.deliverer.Deliver(ctx, a)} }()
 }
 
-func (d *Dispatcher) end(e plan.End) {
+func (d *Dispatcher) endTasks(e plan.End) {
 	b := d.batches[e.Job]
 	r := Result{Ran: e.Ran, Status: e.Outcome.Status, Error: e.Reason}
 	switch e.Outcome.Kind {
@@ -310,8 +310,8 @@
 		r.Error = ""
 	}
 	d.reports.add(report{b.Done, e.From, e.To, r})
-	b.left -= e.To - e.From
-	if b.left == 0 {
+	b.unfinished -= e.To - e.From
+	if b.unfinished == 0 {
 		delete(d.batches, e.Job)
 	}
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -22,25 +22,25 @@
 	"snipehub.example/ticket"
 )
 
-// world is one backend server with two slots, and nobody else.
-type world struct {
-	st *tables.State
-	// barred tells that nothing may be placed.
-	barred *atomic.Bool
+// fakeDirectory is one backend server with two slots, and nobody else.
+type fakeDirectory struct {
+	state *tables.State
+	// cutOff tells that nothing may be placed.
+	cutOff *atomic.Bool
 }
 
-func (w world) State() *tables.State                  { return w.st }
-func (w world) Usable(time.Time, netip.AddrPort) bool { return true }
-func (w world) MayPlace(time.Time) bool               { return !w.barred.Load() }
-func (w world) Members(time.Time) []roster.Known      { return nil }
+func (w fakeDirectory) State() *tables.State                  { return w.state }
+func (w fakeDirectory) Usable(time.Time, netip.AddrPort) bool { return true }
+func (w fakeDirectory) MayPlace(time.Time) bool               { return !w.cutOff.Load() }
+func (w fakeDirectory) Members(time.Time) []roster.Known      { return nil }
 
-// hands does each task in a second and counts the starts.
-type hands struct {
+// fakeDeliverer does each task in a second and counts the starts.
+type fakeDeliverer struct {
 	mu     sync.Mutex
 	starts []string
 }
 
-func (h *hands) Deliver(_ context.Context, a delivery.Attempt) delivery.Outcome {
+func (h *fakeDeliverer) Deliver(_ context.Context, a delivery.Attempt) delivery.Outcome {
 	h.mu.Lock()
 	h.starts = append(h.starts, a.Task)
 	h.mu.Unlock()
@@ -48,7 +48,7 @@
 	return delivery.Outcome{Kind: delivery.Done, Status: 200, Body: a.Body}
 }
 
-func newDispatcher(t *testing.T) (*Dispatcher, *hands, *clock.Service) {
+func newDispatcher(t *testing.T) (*Dispatcher, *fakeDeliverer, *clock.Service) {
 	t.Helper()
 	st, err := tables.Build(1, tables.Rows{
 		Routes:  []tables.Route{{Kind: "price", Half: "north", Pool: "quick"}},
@@ -66,11 +66,11 @@
 			TaskTimeout: 10 * time.Second, MaxWait: time.Minute, RetryBudget: 0.1, AsideShare: 0.3, HandLeast: 1,
 		},
 	}
-	h := &hands{}
+	h := &fakeDeliverer{}
 	ticks := clock.New()
 	m := meter.New(100, func() {})
 	t.Cleanup(m.Close)
-	return New(cfg, h, world{st, new(atomic.Bool)}, ticks, slog.New(slog.DiscardHandler), m), h, ticks
+	return New(cfg, h, fakeDirectory{st, new(atomic.Bool)}, ticks, slog.New(slog.DiscardHandler), m), h, ticks
 }
 
 // serve runs the dispatcher and its clock until the test's end.
@@ -86,7 +86,7 @@
 	})
 }
 
-func batch1(id string, n int, done func(int, Result)) Batch {
+func newBatch(id string, n int, done func(int, Result)) Batch {
 	return Batch{Job: id, Kind: "price", Caller: "x", Expires: time.Now().Add(time.Hour), Tasks: make([][]byte, n), Done: done}
 }
 
@@ -108,7 +108,7 @@
 		for i := range 20 {
 			lock <- struct{}{}
 			time.Sleep(500 * time.Millisecond)
-			if err := d.Submit(batch1(string(rune('a'+i)), 1, done)); err != nil {
+			if err := d.Submit(newBatch(string(rune('a'+i)), 1, done)); err != nil {
 				t.Errorf("job %d: %v", i, err)
 			}
 			<-lock
@@ -128,17 +128,17 @@
 func TestReadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, ticks := newDispatcher(t)
-		barred := d.dir.(world).barred
+		barred := d.dir.(fakeDirectory).cutOff
 		barred.Store(true)
 		serve(t, d, ticks)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		barred.Store(false)
-		if err := d.Submit(batch1("first", 1, func(int, Result) {})); err != nil {
+		if err := d.Submit(newBatch("first", 1, func(int, Result) {})); err != nil {
 			t.Error(err)
 		}
 		barred.Store(true)
-		if d.Submit(batch1("second", 1, func(int, Result) {})) == nil {
+		if d.Submit(newBatch("second", 1, func(int, Result) {})) == nil {
 			t.Error("taken while nothing may be placed")
 		}
 		time.Sleep(time.Minute)
@@ -153,7 +153,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d, h, ticks := newDispatcher(t)
 		began := time.Now()
-		err := d.Submit(batch1("late", 1, func(int, Result) {}))
+		err := d.Submit(newBatch("late", 1, func(int, Result) {}))
 		var r *refusal.Refusal
 		if !errors.As(err, &r) || r.Ran != refusal.RanNo || time.Since(began) > submitTimeout {
 			t.Fatalf("%v after %v", err, time.Since(began))
@@ -172,9 +172,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		d, _, _ := newDispatcher(t)
 		var waiting sync.WaitGroup
-		for range 2 * ring {
+		for range 2 * requestBuffer {
 			waiting.Go(func() {
-				if d.Submit(batch1("x", 1, func(int, Result) {})) == nil {
+				if d.Submit(newBatch("x", 1, func(int, Result) {})) == nil {
 					t.Error("taken without a planner")
 				}
 			})
@@ -191,7 +191,7 @@
 		serve(t, d, ticks)
 		var mu sync.Mutex
 		got := make(map[refusal.Ran]int)
-		_ = d.Submit(batch1("job", 10, func(_ int, r Result) {
+		_ = d.Submit(newBatch("job", 10, func(_ int, r Result) {
 			mu.Lock()
 			defer mu.Unlock()
 			got[r.Ran]++
--- a/dispatch/hand.go
+++ b/dispatch/hand.go
@@ -10,8 +10,8 @@
 	"snipehub.example/roster"
 )
 
-// Guest is a task on its way to a peer.
-type Guest struct {
+// HandoverTask is a task on its way to a peer.
+type HandoverTask struct {
 	Job            string
 	Index, Attempt int
 	Kind           string
@@ -23,70 +23,72 @@
 
 // sender hands tasks over to a peer. Send returns when all have an outcome.
 type sender interface {
-	Send(ctx context.Context, to roster.Known, tasks []Guest, done func(i int, o delivery.Outcome), room func(free int))
+	Send(ctx context.Context, to roster.Known, tasks []HandoverTask, done func(i int, o delivery.Outcome), room func(free int))
 }
 
 const (
-	// handovers is how many batches may be with peers at once.
-	handovers = 256
-	// handBytes bounds the bodies of one batch, so that a message between
+	// maxHandovers is how many batches may be with peers at once.
+	maxHandovers = 256
+	// maxHandoverBytes bounds the bodies of one batch, so that a message between
 	// dispatchers stays small.
-	handBytes = 512 << 10
+	maxHandoverBytes = 512 << 10
 )
 
 // SetSender tells who carries hand-overs. It is called before Serve; without
 // it, or with a policy that does not hand over, all tasks stay here.
 func (d *Dispatcher) SetSender(s sender) { d.sender = s }
 
-// hand sends the batches that the planner asks for.
-func (d *Dispatcher) hand(ctx context.Context, h plan.Hand) {
+// sendHandover sends the batches that the planner asks for.
+func (d *Dispatcher) sendHandover(ctx context.Context, h plan.Handover) {
 	to, ok := d.peers[h.Peer]
 	for len(h.Items) > 0 {
-		n := d.fitting(h.Items)
+		n := d.fittingTasks(h.Items)
 		items := h.Items[:n:n]
 		h.Items = h.Items[n:]
-		if !ok || !d.beginSend() {
-			d.turnDown(items)
+		if !ok || !d.acquireHandoverSlot() {
+			d.returnTasks(items)
 			continue
 		}
-		guests := d.guests(items)
-		d.m.Count(meter.HandoverTasks, int64(n))
-		d.m.Count(meter.Handovers, 1)
+		guests := d.handoverTasks(items)
+		d.metrics.Count(meter.HandoverTasks, int64(n))
+		d.metrics.Count(meter.Handovers, 1)
 		go func() {
-			defer func() { <-d.sends }()
+			defer func() { <-d.handoverSlots }()
 			d.sender.Send(ctx, to, guests,
-				func(i int, o delivery.Outcome) { d.ended <- ending{number: items[i].Number, o: o, handed: true} },
-				func(free int) { d.ended <- ending{peer: h.Peer, free: free} })
+				func(i int, o delivery.Outcome) {
+					d.events <- plannerEvent{attemptID: items[i].AttemptID, outcome: o, handedOver: true}
+				},
+				func(free int) { d.events <- plannerEvent{peer: h.Peer, free: free} })
 		}()
 	}
 }
 
-func (d *Dispatcher) beginSend() bool {
+func (d *Dispatcher) acquireHandoverSlot() bool {
 	select {
-	case d.sends <- struct{}{}:
+	case d.handoverSlots <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-// fitting returns how many of the items go into one batch.
-func (d *Dispatcher) fitting(items []plan.Item) int {
+// fittingTasks returns how many of the items go into one batch.
+func (d *Dispatcher) fittingTasks(items []plan.HandoverItem) int {
 	bytes := 0
 	for i, it := range items {
 		bytes += len(d.batches[it.Job].Tasks[it.Task])
-		if i > 0 && bytes > handBytes {
+		if i > 0 && bytes > maxHandoverBytes {
 			return i
 		}
 	}
 	return len(items)
 }
 
-func (d *Dispatcher) guests(items []plan.Item) []Guest {
-	out := make([]Guest, len(items))
+func (d *Dispatcher) handoverTasks(items []plan.HandoverItem) []HandoverTask {
+	out := make([]HandoverTask, len(items))
 	for i, it := range items {
 		b := d.batches[it.Job]
-		out[i] = Guest{
+		out[i] = HandoverTask{
 			Job:     b.Job,
 			Index:   it.Task,
 			Attempt: it.Attempt,
@@ -101,16 +103,16 @@
 	return out
 }
 
-// turnDown gives tasks back to the planner that were not sent to anybody.
-func (d *Dispatcher) turnDown(items []plan.Item) {
+// returnTasks gives tasks back to the planner that were not sent to anybody.
+func (d *Dispatcher) returnTasks(items []plan.HandoverItem) {
 	now := d.clock.Now()
 	for _, it := range items {
-		d.p.Ended(now, it.Number, delivery.Outcome{Kind: delivery.NotRun, Cause: delivery.NoConnection, Reason: "no peer could be asked"})
+		d.planner.AttemptEnded(now, it.AttemptID, delivery.Outcome{Kind: delivery.NotRun, Cause: delivery.NoConnection, Reason: "no peer could be asked"})
 	}
 }
 
-// canReceive tells the planner which peers may take tasks.
-func (d *Dispatcher) canReceive(known []roster.Known) {
+// setPeers tells the planner which peers may take tasks.
+func (d *Dispatcher) setPeers(known []roster.Known) {
 	if d.sender == nil {
 		return
 	}
@@ -124,5 +126,5 @@
 		d.peers[name] = k
 		list = append(list, plan.Peer{Name: name, DataCenter: k.Owner.DataCenter, Report: k.Count, Free: k.FreeSlots})
 	}
-	d.p.SetPeers(list)
+	d.planner.SetPeers(list)
 }
--- a/dispatch/handover/handover_test.go
+++ b/dispatch/handover/handover_test.go
@@ -23,23 +23,23 @@
 	to   = ticket.Owner{DataCenter: "dc1", VM: "b", Process: "p", Incarnation: 1}
 )
 
-// bench is a receiver's dispatcher: tasks take a second, and every start is
+// fakeDispatcher is a receiver's dispatcher: tasks take a second, and every start is
 // counted.
-type bench struct {
+type fakeDispatcher struct {
 	mu     sync.Mutex
 	starts map[string]int
 	err    error
-	// full is a task for which there is no room.
-	full string
+	// turnedDown is a task for which there is no room.
+	turnedDown string
 }
 
-func (p *bench) Free() int { return 7 }
+func (p *fakeDispatcher) Free() int { return 7 }
 
-func (p *bench) Submit(b dispatch.Batch) error {
+func (p *fakeDispatcher) Submit(b dispatch.Batch) error {
 	if p.err != nil {
 		return p.err
 	}
-	if b.Job == p.full {
+	if b.Job == p.turnedDown {
 		return refusal.New(refusal.Overloaded, "")
 	}
 	p.mu.Lock()
@@ -53,14 +53,14 @@
 
 var errLost = errors.New("lost")
 
-// wire is a network between a sender and a receiver. Each ask goes through fault,
+// fakeNetwork is a network between a sender and a receiver. Each ask goes through fault,
 // which says what happens to it.
-type wire struct {
+type fakeNetwork struct {
 	r     *Receiver
 	fault func(n int, a Ask) fate
 	gone  bool
 	asks  int
-	old   []Ask
+	sent  []Ask
 }
 
 type fate int
@@ -74,12 +74,12 @@
 	restarted
 )
 
-func (w *wire) Gone(ticket.Owner) bool { return w.gone }
+func (w *fakeNetwork) Gone(ticket.Owner) bool { return w.gone }
 
-func (w *wire) Ask(ctx context.Context, _ roster.Known, a Ask) (Answer, error) {
+func (w *fakeNetwork) Ask(ctx context.Context, _ roster.Known, a Ask) (Answer, error) {
 	w.asks++
-	a = copied(a)
-	w.old = append(w.old, a)
+	a = throughJSON(a)
+	w.sent = append(w.sent, a)
 	switch w.fault(w.asks, a) {
 	case notSent:
 		return Answer{}, fmt.Errorf("%w: refused", ErrNotSent)
@@ -93,13 +93,13 @@
 	case restarted:
 		next := to
 		next.Incarnation++
-		w.r = NewReceiver(next, w.r.place, time.Now)
+		w.r = NewReceiver(next, w.r.dispatcher, time.Now)
 	}
 	return w.r.Handle(ctx, a)
 }
 
-// copied sends the ask through its form on the wire.
-func copied(a Ask) Ask {
+// throughJSON sends the ask through its form on the wire.
+func throughJSON(a Ask) Ask {
 	b, err := json.Marshal(a)
 	var out Ask
 	if err != nil || json.Unmarshal(b, &out) != nil {
@@ -108,10 +108,10 @@
 	return out
 }
 
-func tasks(n int) []dispatch.Guest {
-	out := make([]dispatch.Guest, n)
+func tasks(n int) []dispatch.HandoverTask {
+	out := make([]dispatch.HandoverTask, n)
 	for i := range out {
-		out[i] = dispatch.Guest{Job: "job", Index: i, Kind: "price", Body: []byte(`{}`), Expires: time.Now().Add(10 * time.Second)}
+		out[i] = dispatch.HandoverTask{Job: "job", Index: i, Kind: "price", Body: []byte(`{}`), Expires: time.Now().Add(10 * time.Second)}
 	}
 	return out
 }
@@ -164,8 +164,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				place := &bench{starts: make(map[string]int), err: tt.err}
-				w := &wire{r: NewReceiver(to, place, time.Now), fault: tt.fault, gone: tt.gone}
+				place := &fakeDispatcher{starts: make(map[string]int), err: tt.err}
+				w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: tt.fault, gone: tt.gone}
 				began := time.Now()
 				send(t, NewSender(from, w, time.Now), tt.want)
 				if took := time.Since(began); tt.gone && took > time.Second {
@@ -204,21 +204,21 @@
 func TestLateCopy(t *testing.T) {
 	for _, err := range []error{nil, refusal.New(refusal.Overloaded, "")} {
 		synctest.Test(t, func(t *testing.T) {
-			place := &bench{starts: make(map[string]int), err: err}
-			w := &wire{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
+			place := &fakeDispatcher{starts: make(map[string]int), err: err}
+			w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
 			want := delivery.Done
 			if err != nil {
 				want = delivery.NotRun
 			}
 			s := NewSender(from, w, time.Now)
 			send(t, s, want)
-			late := w.old[0]
+			late := w.sent[0]
 			started := place.starts["job/0/0"]
 			place.err = nil
 			s.Send(t.Context(), roster.Known{Member: roster.Member{Owner: to}},
-				[]dispatch.Guest{{Job: "next", Kind: "price", Expires: time.Now().Add(time.Second)}}, func(int, delivery.Outcome) {}, func(int) {})
+				[]dispatch.HandoverTask{{Job: "next", Kind: "price", Expires: time.Now().Add(time.Second)}}, func(int, delivery.Outcome) {}, func(int) {})
 			a, _ := w.r.Handle(t.Context(), late)
-			if a.State != Over || place.starts["job/0/0"] != started {
+			if a.State != Forgotten || place.starts["job/0/0"] != started {
 				t.Errorf("state %s, %d starts, want %d", a.State, place.starts["job/0/0"], started)
 			}
 			time.Sleep(time.Minute)
@@ -241,8 +241,8 @@
 // job's last task is not kept back for those of other jobs.
 func TestAnswersAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		place := &bench{starts: make(map[string]int)}
-		w := &wire{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
+		place := &fakeDispatcher{starts: make(map[string]int)}
+		w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
 		send(t, NewSender(from, w, time.Now), delivery.Done)
 		if w.asks > 2 {
 			t.Errorf("%d asks for one batch", w.asks)
@@ -254,8 +254,8 @@
 // told, and only then the process goes; new ones are turned down with "not run".
 func TestStopCutsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		place := &bench{starts: make(map[string]int)}
-		w := &wire{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
+		place := &fakeDispatcher{starts: make(map[string]int)}
+		w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
 		s := NewSender(from, w, time.Now)
 		var sent sync.WaitGroup
 		sent.Go(func() { send(t, s, delivery.Done) })
@@ -276,8 +276,8 @@
 // make its job wait for a second.
 func TestTurnedDownIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		place := &bench{starts: make(map[string]int), full: "job/1/0"}
-		w := &wire{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
+		place := &fakeDispatcher{starts: make(map[string]int), turnedDown: "job/1/0"}
+		w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
 		began := time.Now()
 		NewSender(from, w, time.Now).Send(t.Context(), roster.Known{Member: roster.Member{Owner: to}}, tasks(3), func(i int, o delivery.Outcome) {
 			if took := time.Since(began); i == 1 && (o.Kind != delivery.NotRun || took > 0) {
--- a/dispatch/handover/receiver.go
+++ b/dispatch/handover/receiver.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// wait is how long an ask is held while there are no results.
-	wait = 2 * time.Second
-	// linger is how long results are kept back for more to come. It delays no
+	// maxAnswerDelay is how long an ask is held while there are no results.
+	maxAnswerDelay = 2 * time.Second
+	// batchingDelay is how long results are kept back for more to come. It delays no
 	// caller: a job whose last task of the batch has ended is told at once.
-	linger = time.Second
-	// keep is how long a batch with all results is kept for an owner that does
+	batchingDelay = time.Second
+	// resultRetention is how long a batch with all results is kept for an owner that does
 	// not come for them.
-	keep = 2 * time.Minute
+	resultRetention = 2 * time.Minute
 	// drainPoll is how often a planned stop looks whether batches are open.
 	drainPoll = 20 * time.Millisecond
 	// maxBatches bounds the open batches of all owners, maxOwners the owners
@@ -29,17 +29,17 @@
 	maxOwners  = 16384
 )
 
-// placer is what a receiver needs of the dispatcher.
-type placer interface {
+// submitter is what a receiver needs of the submitter.
+type submitter interface {
 	Submit(b dispatch.Batch) error
 	Free() int
 }
 
 // Receiver takes tasks over from peers.
 type Receiver struct {
-	self  ticket.Owner
-	place placer
-	now   func() time.Time
+	self       ticket.Owner
+	dispatcher submitter
+	now        func() time.Time
 
 	mu       sync.Mutex
 	stopping bool
@@ -48,30 +48,30 @@
 
 // owner is what is remembered of a dispatcher that hands over.
 type owner struct {
-	low     uint64
-	batches map[uint64]*received
-	used    time.Time
+	lowestOpen uint64
+	batches    map[uint64]*receivedBatch
+	lastAsked  time.Time
 }
 
-// received is a batch.
-type received struct {
-	mu      sync.Mutex
-	left    int
-	jobs    []string
-	byJob   map[string]int
-	results []Result
-	// told is how many results have been given in answers.
-	told int
-	// due wakes who waits when an answer should go out, some when there is
+// receivedBatch is a batch.
+type receivedBatch struct {
+	mu              sync.Mutex
+	unfinished      int
+	jobOfTask       []string
+	unfinishedByJob map[string]int
+	results         []Result
+	// delivered is how many results have been given in answers.
+	delivered int
+	// answerDue wakes who waits when an answer should go out, some when there is
 	// any result.
-	due  chan struct{}
-	some chan struct{}
-	used time.Time
+	answerDue chan struct{}
+	anyResult chan struct{}
+	lastAsked time.Time
 }
 
 // NewReceiver makes a receiver that places the tasks it gets.
-func NewReceiver(self ticket.Owner, place placer, now func() time.Time) *Receiver {
-	return &Receiver{self: self, place: place, now: now, owners: make(map[ticket.Owner]*owner)}
+func NewReceiver(self ticket.Owner, dispatcher submitter, now func() time.Time) *Receiver {
+	return &Receiver{self: self, dispatcher: dispatcher, now: now, owners: make(map[ticket.Owner]*owner)}
 }
 
 // Stop makes the receiver turn down every batch that it does not have yet.
@@ -84,12 +84,12 @@
 // Drain waits until every batch has ended and its owner has been told, or ctx
 // ends. It is for a planned stop, which must not cut a peer's tasks.
 func (r *Receiver) Drain(ctx context.Context) {
-	for r.busy() && ctx.Err() == nil {
+	for r.hasOpenBatches() && ctx.Err() == nil {
 		clock.Sleep(ctx, drainPoll)
 	}
 }
 
-func (r *Receiver) busy() bool {
+func (r *Receiver) hasOpenBatches() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.owners {
@@ -102,24 +102,24 @@
 	return false
 }
 
-func (b *received) finished() bool {
+func (b *receivedBatch) finished() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left == 0 && b.told >= len(b.results)
+	return b.unfinished == 0 && b.delivered >= len(b.results)
 }
 
 // Handle answers an ask.
 func (r *Receiver) Handle(ctx context.Context, a Ask) (Answer, error) {
 	if a.To != r.self {
-		return Answer{State: Other}, nil
+		return Answer{State: OtherIncarnation}, nil
 	}
 	b := r.batch(a)
 	if b == nil {
-		return Answer{State: Over, Free: r.place.Free()}, nil
+		return Answer{State: Forgotten, Free: r.dispatcher.Free()}, nil
 	}
-	news := b.await(ctx, a.Got)
-	b.tell(a.Got+len(news), r.now())
-	return Answer{State: Open, Results: news, Free: r.place.Free()}, nil
+	results := b.await(ctx, a.Received)
+	b.markDelivered(a.Received+len(results), r.now())
+	return Answer{State: Open, Results: results, Free: r.dispatcher.Free()}, nil
 }
 
 // batch finds the batch of the ask, or takes it.
@@ -127,31 +127,31 @@
 // The lock is held until the batch stands in the map, and a batch is started
 // only by whoever put it there: of two copies of an ask that arrive together,
 // one starts the tasks.
-func (r *Receiver) batch(a Ask) *received {
+func (r *Receiver) batch(a Ask) *receivedBatch {
 	r.mu.Lock()
 	o := r.owner(a.From)
-	o.forget(a.Low)
+	o.forgetBelow(a.LowestOpen)
 	b, ok := o.batches[a.Batch]
-	if ok || a.Batch < o.low || len(a.Tasks) == 0 {
+	if ok || a.Batch < o.lowestOpen || len(a.Tasks) == 0 {
 		r.mu.Unlock()
 		return b
 	}
-	b = &received{
-		left:  len(a.Tasks),
-		byJob: make(map[string]int),
-		due:   make(chan struct{}, 1),
-		some:  make(chan struct{}, 1),
-		used:  r.now(),
+	b = &receivedBatch{
+		unfinished:      len(a.Tasks),
+		unfinishedByJob: make(map[string]int),
+		answerDue:       make(chan struct{}, 1),
+		anyResult:       make(chan struct{}, 1),
+		lastAsked:       r.now(),
 	}
 	for _, t := range a.Tasks {
-		b.byJob[t.Job]++
-		b.jobs = append(b.jobs, t.Job)
+		b.unfinishedByJob[t.Job]++
+		b.jobOfTask = append(b.jobOfTask, t.Job)
 	}
 	refuse := r.stopping || r.full()
 	if refuse && r.full() {
 		// Not remembered, but over: a late copy must not start it, since
 		// the owner may have been told that it did not run.
-		o.low = a.Batch + 1
+		o.lowestOpen = a.Batch + 1
 	} else {
 		o.batches[a.Batch] = b
 	}
@@ -162,25 +162,25 @@
 	return b
 }
 
-func (r *Receiver) start(b *received, i int, t Task, refuse bool) {
+func (r *Receiver) start(b *receivedBatch, i int, t Task, refuse bool) {
 	if refuse {
-		b.add(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: "the peer takes no tasks now"})
+		b.addResult(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: "the peer takes no tasks now"})
 		return
 	}
-	err := r.place.Submit(dispatch.Batch{
-		Job:     t.ID,
-		Guest:   true,
-		Kind:    t.Kind,
-		Caller:  t.Caller,
-		Team:    t.Team,
-		Type:    t.Type,
-		Expires: r.now().Add(t.Left),
-		Request: true,
-		Tasks:   [][]byte{t.Body},
-		Done:    func(_ int, d dispatch.Result) { b.add(result(i, d)) },
+	err := r.dispatcher.Submit(dispatch.Batch{
+		Job:      t.ID,
+		FromPeer: true,
+		Kind:     t.Kind,
+		Caller:   t.Caller,
+		Team:     t.Team,
+		Type:     t.Type,
+		Expires:  r.now().Add(t.TimeLeft),
+		Request:  true,
+		Tasks:    [][]byte{t.Body},
+		Done:     func(_ int, d dispatch.Result) { b.addResult(result(i, d)) },
 	})
 	if err != nil {
-		b.add(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: err.Error()})
+		b.addResult(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: err.Error()})
 	}
 }
 
@@ -209,11 +209,11 @@
 func (r *Receiver) owner(from ticket.Owner) *owner {
 	o := r.owners[from]
 	if o == nil {
-		r.sweep()
-		o = &owner{batches: make(map[uint64]*received)}
+		r.evictOwner()
+		o = &owner{batches: make(map[uint64]*receivedBatch)}
 		r.owners[from] = o
 	}
-	o.used = r.now()
+	o.lastAsked = r.now()
 	return o
 }
 
@@ -228,33 +228,33 @@
 		return false
 	}
 	for _, o := range r.owners {
-		n -= o.expire(r.now())
+		n -= o.dropExpired(r.now())
 	}
 	return n >= maxBatches
 }
 
-// sweep forgets the owner that was silent longest when there are too many. An
+// evictOwner forgets the owner that was silent longest when there are too many. An
 // owner's lowest number is kept as long as possible, also without any batch: a
 // frozen owner may send an old ask when it thaws.
-func (r *Receiver) sweep() {
+func (r *Receiver) evictOwner() {
 	if len(r.owners) < maxOwners {
 		return
 	}
 	var oldest ticket.Owner
 	for name, o := range r.owners {
-		if e := r.owners[oldest]; e == nil || o.used.Before(e.used) {
+		if e := r.owners[oldest]; e == nil || o.lastAsked.Before(e.lastAsked) {
 			oldest = name
 		}
 	}
 	delete(r.owners, oldest)
 }
 
-// forget drops the batches below low; they are over.
-func (o *owner) forget(low uint64) {
-	if low <= o.low {
+// forgetBelow drops the batches below low; they are over.
+func (o *owner) forgetBelow(low uint64) {
+	if low <= o.lowestOpen {
 		return
 	}
-	o.low = low
+	o.lowestOpen = low
 	for n := range o.batches {
 		if n < low {
 			delete(o.batches, n)
@@ -262,36 +262,36 @@
 	}
 }
 
-// expire drops the batches that nobody has come for, and returns their number.
-func (o *owner) expire(now time.Time) int {
+// dropExpired drops the batches that nobody has come for, and returns their number.
+func (o *owner) dropExpired(now time.Time) int {
 	dropped := 0
 	for n, b := range o.batches {
-		if b.over(now) {
+		if b.expired(now) {
 			delete(o.batches, n)
-			o.low = max(o.low, n+1)
+			o.lowestOpen = max(o.lowestOpen, n+1)
 			dropped++
 		}
 	}
 	return dropped
 }
 
-func (b *received) over(now time.Time) bool {
+func (b *receivedBatch) expired(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left == 0 && now.Sub(b.used) > keep
+	return b.unfinished == 0 && now.Sub(b.lastAsked) > resultRetention
 }
 
-func (b *received) add(r Result) {
+func (b *receivedBatch) addResult(r Result) {
 	b.mu.Lock()
-	job := b.jobs[r.Task]
+	job := b.jobOfTask[r.Task]
 	b.results = append(b.results, r)
-	b.left--
-	b.byJob[job]--
-	now := b.left == 0 || b.byJob[job] == 0 || r.Kind == delivery.NotRun
+	b.unfinished--
+	b.unfinishedByJob[job]--
+	due := b.unfinished == 0 || b.unfinishedByJob[job] == 0 || r.Kind == delivery.NotRun
 	b.mu.Unlock()
-	signal(b.some)
-	if now {
-		signal(b.due)
+	signal(b.anyResult)
+	if due {
+		signal(b.answerDue)
 	}
 }
 
@@ -304,53 +304,53 @@
 
 // await returns the results after the first got, once they are worth a message
 // or the time is over.
-func (b *received) await(ctx context.Context, got int) []Result {
-	t := time.NewTimer(wait)
+func (b *receivedBatch) await(ctx context.Context, received int) []Result {
+	t := time.NewTimer(maxAnswerDelay)
 	defer t.Stop()
-	if news, now := b.after(got); now {
-		return news
+	if results, due := b.resultsAfter(received); due {
+		return results
 	}
-	first := b.some
+	firstResult := b.anyResult
 	for {
 		select {
-		case <-b.due:
-			if news, now := b.after(got); now {
-				return news
+		case <-b.answerDue:
+			if results, due := b.resultsAfter(received); due {
+				return results
 			}
-		case <-first:
-			first = nil
-			t.Reset(linger)
+		case <-firstResult:
+			firstResult = nil
+			t.Reset(batchingDelay)
 		case <-t.C:
-			news, _ := b.after(got)
-			return news
+			results, _ := b.resultsAfter(received)
+			return results
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// tell notes that the owner is told the first n results.
-func (b *received) tell(n int, now time.Time) {
+// markDelivered notes that the owner is told the first n results.
+func (b *receivedBatch) markDelivered(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = max(b.told, n)
-	b.used = now
+	b.delivered = max(b.delivered, n)
+	b.lastAsked = now
 }
 
-// after returns the results after the first got, and whether they should be
+// resultsAfter returns the results resultsAfter the first got, and whether they should be
 // told at once: the batch is at its end, or a job's part of it is, or a task
 // was turned down and waits for another place.
-func (b *received) after(got int) ([]Result, bool) {
+func (b *receivedBatch) resultsAfter(received int) ([]Result, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	got = min(max(got, 0), len(b.results))
-	news := append([]Result(nil), b.results[got:]...)
-	return news, b.left == 0 || b.complete(news)
+	received = min(max(received, 0), len(b.results))
+	results := append([]Result(nil), b.results[received:]...)
+	return results, b.unfinished == 0 || b.worthAnswering(results)
 }
 
-func (b *received) complete(news []Result) bool {
-	for _, r := range news {
-		if b.byJob[b.jobs[r.Task]] == 0 || r.Kind == delivery.NotRun {
+func (b *receivedBatch) worthAnswering(results []Result) bool {
+	for _, r := range results {
+		if b.unfinishedByJob[b.jobOfTask[r.Task]] == 0 || r.Kind == delivery.NotRun {
 			return true
 		}
 	}
--- a/dispatch/handover/wire.go
+++ b/dispatch/handover/wire.go
@@ -25,10 +25,10 @@
 	// knows nothing of the batch, and must not start it.
 	To    ticket.Owner `json:"to"`
 	Batch uint64       `json:"batch"`
-	// Low is the lowest number of a batch for this peer that is still open.
-	Low uint64 `json:"low"`
-	// Got is how many results the owner has.
-	Got int `json:"got"`
+	// LowestOpen is the lowest number of a batch for this peer that is still open.
+	LowestOpen uint64 `json:"low"`
+	// Received is how many results the owner has.
+	Received int `json:"got"`
 	// Tasks is the batch. It is left out once an answer has come.
 	Tasks []Task `json:"tasks,omitempty"`
 }
@@ -43,9 +43,9 @@
 	Team   string `json:"team,omitempty"`
 	Type   string `json:"type,omitempty"`
 	Body   []byte `json:"body"`
-	// Left is the time until the job's deadline. A length of time and not a
+	// TimeLeft is the time until the job's deadline. A length of time and not a
 	// moment, because the clocks of two VMs differ.
-	Left time.Duration `json:"left"`
+	TimeLeft time.Duration `json:"left"`
 }
 
 // State says how a peer takes an ask.
@@ -55,10 +55,10 @@
 const (
 	// Open means that the results are those of the batch.
 	Open State = "open"
-	// Other means that another incarnation was meant.
-	Other State = "other"
-	// Over means that the batch is not remembered any more.
-	Over State = "over"
+	// OtherIncarnation means that another incarnation was meant.
+	OtherIncarnation State = "other"
+	// Forgotten means that the batch is not remembered any more.
+	Forgotten State = "over"
 )
 
 // Answer is the answer to an Ask.
--- a/dispatch/plan/cost_test.go
+++ b/dispatch/plan/cost_test.go
@@ -27,10 +27,10 @@
 		b.Run(fmt.Sprintf("workers%d/callers%d/queued%d", tt.workers, tt.callers, tt.queued), func(b *testing.B) {
 			p, now := loaded(b, tt.workers, tt.callers, tt.queued)
 			var a Actions
-			p.Take(now, &a)
+			p.Decide(now, &a)
 			flying := make([]uint64, 0, 64)
 			for _, s := range a.Starts {
-				flying = append(flying, s.Number)
+				flying = append(flying, s.AttemptID)
 			}
 			n := 0
 			b.ReportAllocs()
@@ -39,9 +39,9 @@
 				now = now.Add(time.Millisecond)
 				k := n % len(flying)
 				n++
-				p.Ended(now, flying[k], delivery.Outcome{Kind: delivery.Done, Status: 200})
-				p.Take(now, &a)
-				flying[k] = a.Starts[0].Number
+				p.AttemptEnded(now, flying[k], delivery.Outcome{Kind: delivery.Done, Status: 200})
+				p.Decide(now, &a)
+				flying[k] = a.Starts[0].AttemptID
 				if p.waiting < tt.queued {
 					_ = p.Submit(now, Job{ID: fmt.Sprint("n", n), Kind: "price", Caller: fmt.Sprint("c", n%tt.callers), Tasks: 10, Expires: now.Add(24 * time.Hour)})
 				}
@@ -75,7 +75,7 @@
 			for done := 0; done < b.N; {
 				b.StopTimer()
 				p, now := loaded(b, 48, 190, 10*queued)
-				p.Take(now, &a)
+				p.Decide(now, &a)
 				b.StartTimer()
 				for i := 0; i < queued && done < b.N; i++ {
 					p.Cancel(fmt.Sprint("j", i))
@@ -107,13 +107,13 @@
 		for _, members := range []int{1, 16, 100} {
 			b.Run(fmt.Sprintf("workers%d/members%d", workers, members), func(b *testing.B) {
 				p, now := loaded(b, workers, 1, 100)
-				w := p.world
+				w := p.cluster
 				for i := range b.N {
 					w.Members.Sizes = map[string]int{"a": 1 + i%2}
 					for k := range members - 1 {
 						w.Members.Sizes[fmt.Sprint("m", k)] = 1
 					}
-					p.SetWorld(now, w)
+					p.SetCluster(now, w)
 				}
 			})
 		}
--- a/dispatch/plan/guard_test.go
+++ b/dispatch/plan/guard_test.go
@@ -29,14 +29,14 @@
 	submit("warm", 130)
 	for now.Before(epoch.Add(3 * time.Second)) {
 		p.Tick(now)
-		p.Take(now, &a)
+		p.Decide(now, &a)
 		starts := append([]Start(nil), a.Starts...)
 		now = now.Add(100 * time.Millisecond)
 		for _, s := range starts {
-			p.Ended(now, s.Number, delivery.Outcome{Kind: delivery.Done})
+			p.AttemptEnded(now, s.AttemptID, delivery.Outcome{Kind: delivery.Done})
 		}
 	}
-	p.Take(now, &a)
+	p.Decide(now, &a)
 	submit("backlog", waiting)
 	return p, now
 }
@@ -57,16 +57,16 @@
 		{"taken", 10, nil, Job{Kind: "price", Tasks: 1}, hour, ""},
 		{"no route", 10, nil, Job{Kind: "none", Tasks: 1}, hour, refusal.NoRoute},
 		{"no tasks", 10, nil, Job{Kind: "price"}, hour, refusal.BadRequest},
-		{"no server", 10, func(p *Planner, now time.Time) { p.SetWorld(now, world(state(t, 0, 1))) }, Job{Kind: "price", Tasks: 1}, hour, refusal.NoServer},
-		{"cut off", 10, func(p *Planner, _ time.Time) { p.Allow(false) }, Job{Kind: "price", Tasks: 1}, hour, refusal.CutOff},
+		{"no server", 10, func(p *Planner, now time.Time) { p.SetCluster(now, clusterState(state(t, 0, 1))) }, Job{Kind: "price", Tasks: 1}, hour, refusal.NoServer},
+		{"cut off", 10, func(p *Planner, _ time.Time) { p.SetMayPlace(false) }, Job{Kind: "price", Tasks: 1}, hour, refusal.CutOff},
 		{"time over", 10, nil, Job{Kind: "price", Tasks: 1}, 0, refusal.Hopeless},
 		{"shorter than a task", 10, nil, Job{Kind: "price", Tasks: 1}, 20 * time.Millisecond, refusal.Hopeless},
 		{"more tasks than fit", 10, nil, Job{Kind: "price", Tasks: 1300}, 10 * time.Second, refusal.Hopeless},
 		{"longest wait", 500, nil, Job{Kind: "price", Tasks: 1}, hour, refusal.Overloaded},
 		{"deadline behind the queue", 200, nil, Job{Kind: "price", Tasks: 1}, 2 * time.Second, refusal.Overloaded},
 		{"another caller's backlog", 500, nil, Job{Kind: "price", Caller: "y", Tasks: 1}, 2 * time.Second, ""},
-		{"quota", 300, func(p *Planner, _ time.Time) { p.teams["x"].part = 2 }, Job{Kind: "price", Tasks: 1}, hour, refusal.OverQuota},
-		{"within the quota", 10, func(p *Planner, _ time.Time) { p.teams["x"].part = 2 }, Job{Kind: "price", Tasks: 1}, hour, ""},
+		{"quota", 300, func(p *Planner, _ time.Time) { p.teams["x"].quotaShare = 2 }, Job{Kind: "price", Tasks: 1}, hour, refusal.OverQuota},
+		{"within the quota", 10, func(p *Planner, _ time.Time) { p.teams["x"].quotaShare = 2 }, Job{Kind: "price", Tasks: 1}, hour, ""},
 		{"too many tasks", 10, func(p *Planner, _ time.Time) { p.cfg.QueuedTasks = 20 }, Job{Kind: "price", Tasks: 30}, hour, refusal.Overloaded},
 	}
 	for _, tt := range tests {
@@ -104,12 +104,12 @@
 	now := epoch
 	var a Actions
 	for started := 0; started < n; {
-		p.Take(now, &a)
+		p.Decide(now, &a)
 		now = now.Add(10 * time.Millisecond)
 		for _, s := range append([]Start(nil), a.Starts...) {
 			started++
 			out[name(s.Job)]++
-			p.Ended(now, s.Number, delivery.Outcome{Kind: delivery.Done})
+			p.AttemptEnded(now, s.AttemptID, delivery.Outcome{Kind: delivery.Done})
 		}
 	}
 	return out
@@ -151,17 +151,17 @@
 // keeps to its part without asking the other.
 func TestQuota(t *testing.T) {
 	p := planner(config("share"), state(t, 4, 4, tables.Team{Name: "red", Quota: 6}))
-	w := p.world
+	w := p.cluster
 	w.Dispatchers = 2
-	p.SetWorld(epoch, w)
+	p.SetCluster(epoch, w)
 	_ = p.Submit(epoch, Job{ID: "red", Kind: "price", Caller: "r", Team: "red", Tasks: 20, Expires: epoch.Add(time.Hour)})
 	var a Actions
-	p.Take(epoch, &a)
+	p.Decide(epoch, &a)
 	if len(a.Starts) != 3 {
 		t.Fatalf("%d tasks at once, want 3", len(a.Starts))
 	}
-	p.Ended(epoch, a.Starts[0].Number, delivery.Outcome{Kind: delivery.Done})
-	p.Take(epoch, &a)
+	p.AttemptEnded(epoch, a.Starts[0].AttemptID, delivery.Outcome{Kind: delivery.Done})
+	p.Decide(epoch, &a)
 	if len(a.Starts) != 1 {
 		t.Errorf("%d starts after one end, want 1", len(a.Starts))
 	}
@@ -199,7 +199,7 @@
 		p.Cancel(fmt.Sprint("wave", i))
 	}
 	var a Actions
-	p.Take(epoch, &a)
+	p.Decide(epoch, &a)
 	if len(a.Ends) != n || p.Waiting() != 4 || len(a.Starts) != 1 || a.Starts[0].Job != "other" {
 		t.Errorf("%d ends, %d waiting, starts %v", len(a.Ends), p.Waiting(), a.Starts)
 	}
@@ -210,15 +210,15 @@
 func TestTooLate(t *testing.T) {
 	p, now := busyPlanner(t, 4)
 	var a Actions
-	p.Take(now, &a)
+	p.Decide(now, &a)
 	if err := p.Submit(now, Job{ID: "late", Kind: "price", Caller: "y", Team: "y", Tasks: 1, Expires: now.Add(300 * time.Millisecond)}); err != nil {
 		t.Fatal(err)
 	}
 	now = now.Add(280 * time.Millisecond)
 	for _, s := range a.Starts {
-		p.Ended(now, s.Number, delivery.Outcome{Kind: delivery.Done})
+		p.AttemptEnded(now, s.AttemptID, delivery.Outcome{Kind: delivery.Done})
 	}
-	p.Take(now, &a)
+	p.Decide(now, &a)
 	ends := slices.ContainsFunc(a.Ends, func(e End) bool { return e.Job == "late" && e.Ran == refusal.RanNo })
 	if len(a.Starts) > 0 || !ends {
 		t.Errorf("starts %v, ends %v", a.Starts, a.Ends)
@@ -230,13 +230,13 @@
 // waiting tasks teach a new rate.
 func TestOldRateIsForgotten(t *testing.T) {
 	p, now := busyPlanner(t, 1)
-	p.line("quick").drain.rate = 0.1
+	p.poolQueue("quick").drainRate.perSecond = 0.1
 	var a Actions
-	for len(p.flights) > 0 {
-		for n := range p.flights {
-			p.Ended(now, n, delivery.Outcome{Kind: delivery.Done})
+	for len(p.activeAttempts) > 0 {
+		for n := range p.activeAttempts {
+			p.AttemptEnded(now, n, delivery.Outcome{Kind: delivery.Done})
 		}
-		p.Take(now, &a)
+		p.Decide(now, &a)
 	}
 	for range 20 {
 		now = now.Add(time.Second)
@@ -266,9 +266,9 @@
 		t.Fatal(err)
 	}
 	var a Actions
-	p.Take(epoch, &a)
-	if len(a.Starts) > 0 || len(a.Hands) != 1 || a.Hands[0].Peer != "far" || len(a.Hands[0].Items) != 3 {
-		t.Errorf("starts %v, hands %v", a.Starts, a.Hands)
+	p.Decide(epoch, &a)
+	if len(a.Starts) > 0 || len(a.Handovers) != 1 || a.Handovers[0].Peer != "far" || len(a.Handovers[0].Items) != 3 {
+		t.Errorf("starts %v, hands %v", a.Starts, a.Handovers)
 	}
 }
 
@@ -278,17 +278,17 @@
 func TestGuestIsNotHandedOn(t *testing.T) {
 	st := state(t, 1, 1)
 	p := planner(config("hand"), st)
-	j := Job{ID: "guest", Kind: "price", Caller: "x", Guest: true, Tasks: 1, Expires: epoch.Add(time.Minute)}
+	j := Job{ID: "guest", Kind: "price", Caller: "x", FromPeer: true, Tasks: 1, Expires: epoch.Add(time.Minute)}
 	if err := p.Submit(epoch, j); err != nil {
 		t.Fatal(err)
 	}
-	w := world(st)
+	w := clusterState(st)
 	w.Usable = func(netip.AddrPort) bool { return false }
-	p.SetWorld(epoch, w)
+	p.SetCluster(epoch, w)
 	p.SetPeers([]Peer{{Name: "b", DataCenter: "dc1", Report: 1, Free: 8}})
 	var a Actions
-	p.Take(epoch, &a)
-	if len(a.Starts)+len(a.Hands)+len(a.Ends) > 0 {
-		t.Errorf("starts %v, hands %v, ends %v", a.Starts, a.Hands, a.Ends)
+	p.Decide(epoch, &a)
+	if len(a.Starts)+len(a.Handovers)+len(a.Ends) > 0 {
+		t.Errorf("starts %v, hands %v, ends %v", a.Starts, a.Handovers, a.Ends)
 	}
 }
--- a/dispatch/plan/hand.go
+++ b/dispatch/plan/hand.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// handTasks bounds one hand-over.
-	handTasks = 256
-	// handTries is how often a task is handed over; after that it waits here.
-	handTries = 2
+	// maxHandoverTasks bounds one hand-over.
+	maxHandoverTasks = 256
+	// maxHandoverTries is how often a task is handed over; after that it waits here.
+	maxHandoverTries = 2
 )
 
 // peer is a dispatcher that may take tasks over.
@@ -19,7 +19,7 @@
 	// credit is how many more tasks it should have room for: what it last
 	// reported, less what was handed to it since, and more for what came back.
 	credit int
-	seen   bool
+	listed bool
 }
 
 type peers struct {
@@ -28,13 +28,13 @@
 }
 
 // SetPeers tells who may take tasks over now.
-func (p *Planner) SetPeers(now []Peer) {
+func (p *Planner) SetPeers(listed []Peer) {
 	ps := &p.peers
 	if ps.byName == nil {
 		ps.byName = make(map[string]*peer)
 	}
 	ps.list = ps.list[:0]
-	for _, n := range now {
+	for _, n := range listed {
 		e := ps.byName[n.Name]
 		if e == nil {
 			e = &peer{}
@@ -44,27 +44,27 @@
 			e.credit = n.Free
 		}
 		e.Peer = n
-		e.seen = true
+		e.listed = true
 		ps.list = append(ps.list, e)
 	}
 	for name, e := range ps.byName {
-		if !e.seen {
+		if !e.listed {
 			delete(ps.byName, name)
 		}
-		e.seen = false
+		e.listed = false
 	}
 }
 
-// Reported takes the room that a peer tells with an answer. Heartbeats alone are
+// PeerReported takes the room that a peer tells with an answer. Heartbeats alone are
 // up to a second old, in which a peer fills up several times.
-func (p *Planner) Reported(name string, free int) {
+func (p *Planner) PeerReported(name string, freeSlots int) {
 	if e := p.peers.byName[name]; e != nil {
-		e.credit = free
+		e.credit = freeSlots
 	}
 }
 
-// any tells whether there is a peer in one of the data centres.
-func (ps *peers) any(centers map[string]bool) bool {
+// anyIn tells whether there is a peer in one of the data centres.
+func (ps *peers) anyIn(centers map[string]bool) bool {
 	for _, e := range ps.list {
 		if centers[e.DataCenter] {
 			return true
@@ -76,61 +76,61 @@
 // handOver gives the tasks that this dispatcher can't start soon to peers that
 // report room.
 func (p *Planner) handOver(now time.Time) {
-	if p.waiting == 0 || !p.world.MayPlace || !p.cfg.Policy.HandsOver() {
+	if p.waiting == 0 || !p.cluster.MayPlace || !p.cfg.Policy.HandsOver() {
 		return
 	}
-	for _, l := range p.queues {
-		for p.handFrom(now, l) {
+	for _, l := range p.poolQueues {
+		for p.handOverFrom(now, l) {
 		}
 	}
 }
 
-// handFrom hands one batch over and tells whether it did.
-func (p *Planner) handFrom(now time.Time, l *line) bool {
-	spare := l.Len() - p.soon(l)
-	if spare < p.cfg.HandLeast {
+// handOverFrom hands one batch over and tells whether it did.
+func (p *Planner) handOverFrom(now time.Time, l *poolQueue) bool {
+	surplus := l.Len() - p.startableSoon(l)
+	if surplus < p.cfg.HandLeast {
 		return false
 	}
-	to := p.receiver(p.reach(l.pool).centers)
+	to := p.receiver(p.poolSummary(l.pool).dataCenters)
 	if to == nil {
 		return false
 	}
-	h := Hand{Peer: to.Name}
-	for n := min(spare, max(to.credit/2, p.cfg.HandLeast), handTasks); len(h.Items) < n; {
-		w := p.top(l)
-		if w == nil || !p.mayHand(w) || p.tooLate(now, w) || !p.routed(w, l) {
+	h := Handover{Peer: to.Name}
+	for n := min(surplus, max(to.credit/2, p.cfg.HandLeast), maxHandoverTasks); len(h.Items) < n; {
+		js := p.topJob(l)
+		if js == nil || !p.mayHandOver(js) || p.tooLate(now, js) || !p.routedTo(js, l) {
 			break
 		}
-		f := &flight{w: w, peer: to, started: now}
-		attempt := p.take(f)
-		p.handed++
+		f := &activeAttempt{js: js, peer: to, startedAt: now}
+		attempt := p.takeTask(f)
+		p.handedOver++
 		to.credit--
-		h.Items = append(h.Items, Item{p.number, w.job.ID, f.task, attempt, w.job.Expires})
+		h.Items = append(h.Items, HandoverItem{p.attempts, js.job.ID, f.task, attempt, js.job.Expires})
 	}
 	if len(h.Items) == 0 {
 		return false
 	}
-	p.out.Hands = append(p.out.Hands, h)
+	p.actions.Handovers = append(p.actions.Handovers, h)
 	return true
 }
 
-// mayHand tells whether the next task of the work may be handed over.
-func (p *Planner) mayHand(w *work) bool {
-	if w.job.Guest {
+// mayHandOver tells whether the next task of the work may be handed over.
+func (p *Planner) mayHandOver(js *jobState) bool {
+	if js.job.FromPeer {
 		return false
 	}
-	n := len(w.retries)
-	return n == 0 || w.tried[w.retries[n-1]].peers < handTries
+	n := len(js.retries)
+	return n == 0 || js.tried[js.retries[n-1]].peers < maxHandoverTries
 }
 
-func (p *Planner) routed(w *work, l *line) bool {
-	r, ok := p.world.Tables.Route(w.job.Kind)
+func (p *Planner) routedTo(js *jobState, l *poolQueue) bool {
+	r, ok := p.cluster.Tables.Route(js.job.Kind)
 	return ok && r.Pool == l.pool
 }
 
-// soon returns how many tasks of the queue this dispatcher will probably start
+// startableSoon returns how many tasks of the queue this dispatcher will probably start
 // itself before HandAfter is over.
-func (p *Planner) soon(l *line) int {
+func (p *Planner) startableSoon(l *poolQueue) int {
 	if p.fleet.Pool(l.pool) == nil {
 		return 0
 	}
@@ -138,7 +138,7 @@
 	if usual == 0 {
 		return 0
 	}
-	return int(float64(p.busy) * float64(p.cfg.HandAfter) / float64(usual))
+	return int(float64(p.running) * float64(p.cfg.HandAfter) / float64(usual))
 }
 
 // receiver returns the better of two peers with room in the data centres
@@ -170,10 +170,10 @@
 	return a
 }
 
-// returned takes the answer of a peer into account. One that refuses is asked
+// handoverEnded takes the answer of a peer into account. One that refuses is asked
 // again only after its next report.
-func (p *Planner) returned(e *peer, o delivery.Outcome) {
-	p.handed--
+func (p *Planner) handoverEnded(e *peer, o delivery.Outcome) {
+	p.handedOver--
 	if o.Kind == delivery.NotRun {
 		e.credit = 0
 	}
--- a/dispatch/plan/health_test.go
+++ b/dispatch/plan/health_test.go
@@ -7,8 +7,8 @@
 	"snipehub.example/delivery"
 )
 
-// sick is a worker's answer while it is sick: o after d.
-func sick(from, to time.Time, d time.Duration, o delivery.Outcome) func(time.Time) (time.Duration, delivery.Outcome, bool) {
+// faultBetween is a worker's answer while it is faultBetween: o after d.
+func faultBetween(from, to time.Time, d time.Duration, o delivery.Outcome) func(time.Time) (time.Duration, delivery.Outcome, bool) {
 	return func(now time.Time) (time.Duration, delivery.Outcome, bool) {
 		return d, o, !now.Before(from) && now.Before(to)
 	}
@@ -39,7 +39,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := newSim(1, config("share"), 1, state(t, 10, 4), 1)
 			w := s.workers[address(0)]
-			w.fault = sick(epoch.Add(5*time.Second), epoch.Add(25*time.Second), tt.after, tt.o)
+			w.fault = faultBetween(epoch.Add(5*time.Second), epoch.Add(25*time.Second), tt.after, tt.o)
 			s.offer(170, time.Minute, 20*time.Second, 1)
 			s.run(5 * time.Second)
 			before := w.starts
@@ -62,12 +62,12 @@
 func TestAsideIsBounded(t *testing.T) {
 	s := newSim(1, config("share"), 1, state(t, 10, 4), 1)
 	for _, w := range s.workers {
-		w.fault = sick(epoch, epoch.Add(time.Hour), time.Millisecond, delivery.Outcome{Kind: delivery.Ran, Cause: delivery.Status, Status: 500})
+		w.fault = faultBetween(epoch, epoch.Add(time.Hour), time.Millisecond, delivery.Outcome{Kind: delivery.Ran, Cause: delivery.Status, Status: 500})
 	}
 	s.offer(100, 10*time.Second, 20*time.Second, 1)
 	for range 100 {
 		s.run(100 * time.Millisecond)
-		if n := s.planners[0].fleet.Pool("quick").Aside(); n > 3 {
+		if n := s.planners[0].fleet.Pool("quick").Ejected(); n > 3 {
 			t.Fatalf("%d of 10 servers are set aside, want at most 3", n)
 		}
 	}
@@ -82,12 +82,12 @@
 	cfg.AsideShare = 0
 	s := newSim(1, cfg, 1, state(t, 10, 400), 1)
 	for _, w := range s.workers {
-		w.fault = sick(epoch, epoch.Add(10*time.Second), 0, delivery.Outcome{Kind: delivery.NotRun, Cause: delivery.NoConnection})
+		w.fault = faultBetween(epoch, epoch.Add(10*time.Second), 0, delivery.Outcome{Kind: delivery.NotRun, Cause: delivery.NoConnection})
 	}
 	s.offer(100, 10*time.Second, time.Minute, 1)
 	s.run(10 * time.Second)
 	firsts := 1100
-	if most := firsts + firsts/10 + budgetBurst + 10*budgetTrickle; s.starts > most {
+	if most := firsts + firsts/10 + retryBudgetBurst + 10*retryBudgetRefill; s.starts > most {
 		t.Errorf("%d attempts, want at most %d", s.starts, most)
 	}
 	s.run(2 * time.Minute)
@@ -115,7 +115,7 @@
 		t.Error("nothing was refused")
 	}
 	s.run(4 * time.Second)
-	s.ratios = nil
+	s.responseRatios = nil
 	s.offer(0.3*8*16/simMean, 5*time.Second, 3*time.Second, 1)
 	s.run(10 * time.Second)
 	if r := s.quantile(0.9); r > 2 {
@@ -129,7 +129,7 @@
 func TestFrozenServer(t *testing.T) {
 	s := newSim(1, config("random"), 1, state(t, 10, 64), 1)
 	w := s.workers[address(0)]
-	w.fault = sick(epoch.Add(5*time.Second), epoch.Add(14*time.Second), time.Hour, delivery.Outcome{})
+	w.fault = faultBetween(epoch.Add(5*time.Second), epoch.Add(14*time.Second), time.Hour, delivery.Outcome{})
 	s.offer(200, 14*time.Second, 20*time.Second, 1)
 	s.run(5 * time.Second)
 	before := w.starts
--- a/dispatch/plan/place.go
+++ b/dispatch/plan/place.go
@@ -7,62 +7,62 @@
 	"snipehub.example/tables"
 )
 
-// usableRest is how long a server is left alone that the VM list calls leaving
+// unusableBackoff is how long a server is left alone that the VM list calls leaving
 // or that is held back after a move, before it is looked at again.
-const usableRest = 200 * time.Millisecond
+const unusableBackoff = 200 * time.Millisecond
 
 // place starts tasks while a connection, a task and a server with room are
 // there.
 func (p *Planner) place(now time.Time) {
-	if !p.world.MayPlace {
+	if !p.cluster.MayPlace {
 		return
 	}
-	for p.busy < p.cfg.Connections && p.placeOne(now) {
+	for p.running < p.cfg.Connections && p.placeNext(now) {
 	}
 }
 
-// placeOne serves the pools in turn.
-func (p *Planner) placeOne(now time.Time) bool {
-	for range p.queues {
-		p.turn = (p.turn + 1) % len(p.queues)
-		if p.placeFrom(now, p.queues[p.turn]) {
+// placeNext serves the pools in turn.
+func (p *Planner) placeNext(now time.Time) bool {
+	for range p.poolQueues {
+		p.lastServed = (p.lastServed + 1) % len(p.poolQueues)
+		if p.placeFrom(now, p.poolQueues[p.lastServed]) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Planner) placeFrom(now time.Time, l *line) bool {
+func (p *Planner) placeFrom(now time.Time, l *poolQueue) bool {
 	servers := p.fleet.Pool(l.pool)
 	if l.Len() == 0 || servers == nil {
 		return false
 	}
-	w := p.top(l)
-	if w == nil {
+	js := p.topJob(l)
+	if js == nil {
 		return false
 	}
-	route, ok := p.world.Tables.Route(w.job.Kind)
+	route, ok := p.cluster.Tables.Route(js.job.Kind)
 	if !ok || route.Pool != l.pool {
-		p.reroute(now, w)
+		p.reroute(now, js)
 		return true
 	}
-	if p.tooLate(now, w) {
-		p.stop(w, "its deadline can't be met any more")
+	if p.tooLate(now, js) {
+		p.stop(js, "its deadline can't be met any more")
 		return true
 	}
 	s := p.choose(now, servers)
 	if s == nil {
 		return false
 	}
-	p.start(now, w, s, route)
+	p.start(now, js, s, route)
 	return true
 }
 
-// top returns the work whose task goes next. When all job slots are taken it is
+// topJob returns the work whose task goes next. When all job slots are taken it is
 // one that has a slot, if any of those can go on; no connection stands idle for
 // want of a slot.
-func (p *Planner) top(l *line) *work {
-	full := p.cfg.JobSlots > 0 && p.open >= p.cfg.JobSlots
+func (p *Planner) topJob(l *poolQueue) *jobState {
+	full := p.cfg.JobSlots > 0 && p.jobSlotsUsed >= p.cfg.JobSlots
 	j := l.Top(full)
 	if j == nil && full {
 		j = l.Top(false)
@@ -70,97 +70,97 @@
 	if j == nil {
 		return nil
 	}
-	return j.Owner.(*work)
+	return j.Owner.(*jobState)
 }
 
 // choose returns a server for the next task of the pool. A server that was set
 // aside and is due for a probe goes first: with the others free, nothing else
 // would ever bring it back.
 func (p *Planner) choose(now time.Time, servers *pool.Pool) *pool.Server {
-	if s := servers.Probe(); s != nil && p.world.Usable(s.Address) {
+	if s := servers.Probe(); s != nil && p.cluster.Usable(s.Address) {
 		return s
 	}
-	for servers.Free().Len() > 0 {
-		s := p.cfg.Policy.Choose(servers.Free(), p.rnd).Server
-		if p.world.Usable(s.Address) {
+	for servers.FreeServers().Len() > 0 {
+		s := p.cfg.Policy.Choose(servers.FreeServers(), p.rnd).Server
+		if p.cluster.Usable(s.Address) {
 			return s
 		}
-		p.fleet.Rest(now, s, now.Add(usableRest))
+		p.fleet.BackOff(now, s, now.Add(unusableBackoff))
 	}
 	return nil
 }
 
-func (p *Planner) start(now time.Time, w *work, s *pool.Server, r tables.Route) {
-	f := &flight{w: w, server: s, started: now}
-	attempt := p.take(f)
+func (p *Planner) start(now time.Time, js *jobState, s *pool.Server, r tables.Route) {
+	f := &activeAttempt{js: js, server: s, startedAt: now}
+	attempt := p.takeTask(f)
 	task := f.task
-	p.busy++
+	p.running++
 	p.fleet.Start(now, s)
-	p.quota(w.team, 1)
+	p.countRunning(js.team, 1)
 	lease := p.cfg.TaskTimeout
 	if r.Timeout > 0 {
 		lease = r.Timeout
 	}
 	expires := now.Add(lease)
-	if w.job.Expires.Before(expires) {
-		expires = w.job.Expires
-	}
-	p.out.Starts = append(p.out.Starts, Start{
-		Number:  p.number,
-		Job:     w.job.ID,
-		Task:    task,
-		Attempt: attempt,
-		Server:  s.Address,
-		Expires: expires,
+	if js.job.Expires.Before(expires) {
+		expires = js.job.Expires
+	}
+	p.actions.Starts = append(p.actions.Starts, Start{
+		AttemptID: p.attempts,
+		Job:       js.job.ID,
+		Task:      task,
+		Attempt:   attempt,
+		Server:    s.Address,
+		Expires:   expires,
 	})
 }
 
-// take moves the next task of a work from its queue into flight, and returns
+// takeTask moves the next task of a work from its queue into flight, and returns
 // the number of the attempt.
-func (p *Planner) take(f *flight) int {
-	w := f.w
-	f.task = w.pop()
-	attempt := w.tried[f.task].number
+func (p *Planner) takeTask(f *activeAttempt) int {
+	js := f.js
+	f.task = js.popTask()
+	attempt := js.tried[f.task].attempts
 	if attempt == 0 {
-		p.budget.first()
+		p.retryBudget.earn()
 	}
-	w.line.Take(w.q, p.cost(w))
-	p.slot(w, w.q.Waiting() > 0)
+	js.poolQueue.Take(js.queueJob, p.cost(js))
+	p.setJobSlot(js, js.queueJob.Waiting() > 0)
 	p.waiting--
-	p.number++
-	p.flights[p.number] = f
+	p.attempts++
+	p.activeAttempts[p.attempts] = f
 	return attempt
 }
 
-// slot gives the work a job slot or takes it back.
-func (p *Planner) slot(w *work, has bool) {
+// setJobSlot gives the work a job setJobSlot or takes it back.
+func (p *Planner) setJobSlot(js *jobState, has bool) {
 	switch {
-	case has && !w.slot:
-		p.open++
-	case !has && w.slot:
-		p.open--
+	case has && !js.hasJobSlot:
+		p.jobSlotsUsed++
+	case !has && js.hasJobSlot:
+		p.jobSlotsUsed--
 	}
-	w.slot = has
+	js.hasJobSlot = has
 }
 
-// pop takes the task of the work that goes next.
-func (w *work) pop() int {
-	if n := len(w.retries); n > 0 {
-		task := w.retries[n-1]
-		w.retries = w.retries[:n-1]
+// popTask takes the task of the work that goes next.
+func (js *jobState) popTask() int {
+	if n := len(js.retries); n > 0 {
+		task := js.retries[n-1]
+		js.retries = js.retries[:n-1]
 		return task
 	}
-	w.next++
-	return w.next - 1
+	js.nextTask++
+	return js.nextTask - 1
 }
 
 // cost is what a start charges its team and caller with, in seconds.
-func (p *Planner) cost(w *work) float64 {
-	if u := p.kind(w.job.Kind); u.Known() {
+func (p *Planner) cost(js *jobState) float64 {
+	if u := p.serviceTime(js.job.Kind); u.Known() {
 		return u.Mean().Seconds()
 	}
-	return unknownCost.Seconds()
+	return defaultCost.Seconds()
 }
 
-// unknownCost stands for the service time of a kind of which nothing is known.
-const unknownCost = 200 * time.Millisecond
+// defaultCost stands for the service time of a kind of which nothing is known.
+const defaultCost = 200 * time.Millisecond
--- a/dispatch/plan/plan.go
+++ b/dispatch/plan/plan.go
@@ -62,37 +62,37 @@
 	Expires time.Time
 	// Request tells that this is one request passed through.
 	Request bool
-	// Guest tells that this is one task which a peer has handed over: it is
+	// FromPeer tells that this is one task which a peer has handed over: it is
 	// tried once, and not handed on.
-	Guest bool
-	Tasks int
+	FromPeer bool
+	Tasks    int
 }
 
 // Start asks the shell to run an attempt and to report it by Ended.
 type Start struct {
-	Number  uint64
-	Job     string
-	Task    int
-	Attempt int
-	Server  netip.AddrPort
-	Expires time.Time
+	AttemptID uint64
+	Job       string
+	Task      int
+	Attempt   int
+	Server    netip.AddrPort
+	Expires   time.Time
 }
 
-// Item is a task in a hand-over.
-type Item struct {
-	Number  uint64
-	Job     string
-	Task    int
-	Attempt int
-	Expires time.Time
+// HandoverItem is a task in a hand-over.
+type HandoverItem struct {
+	AttemptID uint64
+	Job       string
+	Task      int
+	Attempt   int
+	Expires   time.Time
 }
 
-// Hand asks the shell to hand tasks over to a peer, and to report what became
+// Handover asks the shell to hand tasks over to a peer, and to report what became
 // of each by Ended: "not run" only when the peer said so, or certainly did not
 // get it.
-type Hand struct {
+type Handover struct {
 	Peer  string
-	Items []Item
+	Items []HandoverItem
 }
 
 // Peer is another dispatcher as the roster last heard of it.
@@ -117,14 +117,14 @@
 // Actions is what the shell is to do. The slices are used again by the next
 // Take.
 type Actions struct {
-	Starts []Start
-	Ends   []End
-	Hands  []Hand
-	News   []pool.News
+	Starts        []Start
+	Ends          []End
+	Handovers     []Handover
+	HealthChanges []pool.HealthChange
 }
 
-// World is what a planner knows of its surroundings.
-type World struct {
+// Cluster is what a planner knows of its surroundings.
+type Cluster struct {
 	Tables  *tables.State
 	Members pool.Members
 	// Dispatchers is how many are live in the whole system.
@@ -137,82 +137,82 @@
 
 // Planner is the decisions of one dispatcher.
 type Planner struct {
-	cfg   Config
-	rnd   *rand.Rand
-	world World
-	fleet *pool.Fleet
+	cfg     Config
+	rnd     *rand.Rand
+	cluster Cluster
+	fleet   *pool.Fleet
 
-	jobs    map[string]*work
-	expiry  expiries
-	queues  []*line
-	byPool  map[string]*line
-	reaches map[string]reach
-	turn    int
-	kinds   map[string]*pool.Usual
-	flights map[uint64]*flight
-	teams   map[string]*team
-	budget  budget
-	// later has an entry for each task that waits for the retry budget.
-	later []*work
+	jobs           map[string]*jobState
+	expiry         expiries
+	poolQueues     []*poolQueue
+	byPool         map[string]*poolQueue
+	poolSummaries  map[string]poolSummary
+	lastServed     int
+	serviceTimes   map[string]*pool.ServiceTime
+	activeAttempts map[uint64]*activeAttempt
+	teams          map[string]*team
+	retryBudget    retryBudget
+	// budgetQueue has an entry for each task that waits for the retry budget.
+	budgetQueue []*jobState
 
-	number  uint64
-	busy    int
-	waiting int
-	open    int
-	last    time.Time
-	peers   peers
-	handed  int
-	out     Actions
+	attempts     uint64
+	running      int
+	waiting      int
+	jobSlotsUsed int
+	lastTick     time.Time
+	peers        peers
+	handedOver   int
+	actions      Actions
 }
 
-// work is a job that has not ended.
-type work struct {
-	job  Job
-	q    *queue.Job
-	line *line
-	team *team
-	// next is the first task that was never tried; retries are those that may
+// jobState is a job that has not ended.
+type jobState struct {
+	job       Job
+	queueJob  *queue.Job
+	poolQueue *poolQueue
+	team      *team
+	// nextTask is the first task that was never tried; retries are those that may
 	// be tried again, and tried tells how often they were.
-	next    int
-	retries []int
-	tried   map[int]tries
-	// held is the tasks that wait for the retry budget.
-	held []int
-	left int
-	// slot tells that it has a job slot.
-	slot bool
-	// ended tells that no more tasks are started.
-	ended bool
-	// maybe tells that an attempt of a repeatable request has an unknown
+	nextTask int
+	retries  []int
+	tried    map[int]taskTries
+	// awaitingBudget is the tasks that wait for the retry budget.
+	awaitingBudget []int
+	unfinished     int
+	// hasJobSlot tells that it has a job hasJobSlot.
+	hasJobSlot bool
+	// stopped tells that no more tasks are started.
+	stopped bool
+	// mayHaveRun tells that an attempt of a repeatable request has an unknown
 	// outcome, after which no later refusal makes it "not run".
-	maybe bool
-	index int
+	mayHaveRun  bool
+	expiryIndex int
 }
 
-// tries counts what was done about a task that did not run.
-type tries struct {
-	// number is that of the next attempt.
-	number int
+// taskTries counts what was done about a task that did not run.
+type taskTries struct {
+	// attempts is that of the next attempt.
+	attempts int
 	// servers counts the attempts on backend servers of this dispatcher,
 	// peers the hand-overs.
 	servers, peers int
 }
 
-// flight is an attempt under way.
-type flight struct {
-	w    *work
+// activeAttempt is an attempt under way.
+type activeAttempt struct {
+	js   *jobState
 	task int
 	// server is nil when the task was handed to peer.
-	server  *pool.Server
-	peer    *peer
-	started time.Time
+	server    *pool.Server
+	peer      *peer
+	startedAt time.Time
 }
 
-// line is the queue of a pool.
-type line struct {
+// poolQueue is the queue of a pool.
+type poolQueue struct {
 	*queue.Queue
-	pool  string
-	drain drain
+	pool      string
+	drainRate drainRate
 }
 
 // ageingStep is by how much each waiting task of a job puts it behind smaller
@@ -223,56 +223,56 @@
 // New makes a planner that knows no tables yet.
 func New(cfg Config, rnd *rand.Rand) *Planner {
 	return &Planner{
-		cfg:     cfg,
-		rnd:     rnd,
-		world:   World{Tables: tables.Empty(), Usable: func(netip.AddrPort) bool { return true }},
-		fleet:   pool.New(cfg.DataCenter, cfg.Policy, cfg.AsideShare),
-		jobs:    make(map[string]*work),
-		byPool:  make(map[string]*line),
-		reaches: make(map[string]reach),
-		kinds:   make(map[string]*pool.Usual),
-		flights: make(map[uint64]*flight),
-		teams:   make(map[string]*team),
-		budget:  budget{share: cfg.RetryBudget, tokens: budgetBurst},
+		cfg:            cfg,
+		rnd:            rnd,
+		cluster:        Cluster{Tables: tables.Empty(), Usable: func(netip.AddrPort) bool { return true }},
+		fleet:          pool.New(cfg.DataCenter, cfg.Policy, cfg.AsideShare),
+		jobs:           make(map[string]*jobState),
+		byPool:         make(map[string]*poolQueue),
+		poolSummaries:  make(map[string]poolSummary),
+		serviceTimes:   make(map[string]*pool.ServiceTime),
+		activeAttempts: make(map[uint64]*activeAttempt),
+		teams:          make(map[string]*team),
+		retryBudget:    retryBudget{share: cfg.RetryBudget, tokens: retryBudgetBurst},
 	}
 }
 
-// Take places what can be placed and moves the actions into a.
-func (p *Planner) Take(now time.Time, a *Actions) {
+// Decide places what can be placed and moves the actions into a.
+func (p *Planner) Decide(now time.Time, a *Actions) {
 	p.place(now)
 	p.handOver(now)
-	p.out.News = append(p.out.News, p.fleet.News()...)
-	a.Starts = append(a.Starts[:0], p.out.Starts...)
-	a.Ends = append(a.Ends[:0], p.out.Ends...)
-	a.Hands = append(a.Hands[:0], p.out.Hands...)
-	a.News = append(a.News[:0], p.out.News...)
-	clear(p.out.Ends)
-	clear(p.out.Hands)
-	p.out.Starts = p.out.Starts[:0]
-	p.out.Ends = p.out.Ends[:0]
-	p.out.Hands = p.out.Hands[:0]
-	p.out.News = p.out.News[:0]
+	p.actions.HealthChanges = append(p.actions.HealthChanges, p.fleet.HealthChanges()...)
+	a.Starts = append(a.Starts[:0], p.actions.Starts...)
+	a.Ends = append(a.Ends[:0], p.actions.Ends...)
+	a.Handovers = append(a.Handovers[:0], p.actions.Handovers...)
+	a.HealthChanges = append(a.HealthChanges[:0], p.actions.HealthChanges...)
+	clear(p.actions.Ends)
+	clear(p.actions.Handovers)
+	p.actions.Starts = p.actions.Starts[:0]
+	p.actions.Ends = p.actions.Ends[:0]
+	p.actions.Handovers = p.actions.Handovers[:0]
+	p.actions.HealthChanges = p.actions.HealthChanges[:0]
 }
 
 // Waiting returns the number of tasks that wait.
 func (p *Planner) Waiting() int { return p.waiting }
 
-// Busy returns the number of attempts under way.
-func (p *Planner) Busy() int { return p.busy }
+// Running returns the number of attempts under way.
+func (p *Planner) Running() int { return p.running }
 
-// Handed returns the number of tasks that are with peers.
-func (p *Planner) Handed() int { return p.handed }
+// HandedOver returns the number of tasks that are with peers.
+func (p *Planner) HandedOver() int { return p.handedOver }
 
 // Free returns how many more tasks could start now.
 func (p *Planner) Free() int {
-	return max(min(p.cfg.Connections-p.busy, p.fleet.Room())-p.waiting, 0)
+	return max(min(p.cfg.Connections-p.running, p.fleet.FreeSlots())-p.waiting, 0)
 }
 
-func (p *Planner) kind(name string) *pool.Usual {
-	u := p.kinds[name]
+func (p *Planner) serviceTime(name string) *pool.ServiceTime {
+	u := p.serviceTimes[name]
 	if u == nil {
-		u = &pool.Usual{}
-		p.kinds[name] = u
+		u = &pool.ServiceTime{}
+		p.serviceTimes[name] = u
 	}
 	return u
 }
--- a/dispatch/plan/plan_test.go
+++ b/dispatch/plan/plan_test.go
@@ -66,12 +66,12 @@
 
 func planner(cfg Config, st *tables.State) *Planner {
 	p := New(cfg, rand.New(rand.NewPCG(1, 2)))
-	p.SetWorld(epoch, world(st))
+	p.SetCluster(epoch, clusterState(st))
 	return p
 }
 
-func world(st *tables.State) World {
-	return World{
+func clusterState(st *tables.State) Cluster {
+	return Cluster{
 		Tables: st, MayPlace: true, Dispatchers: 1,
 		Members: pool.Members{Self: "a", Sizes: map[string]int{"a": 1}},
 		Usable:  func(netip.AddrPort) bool { return true },
@@ -81,31 +81,31 @@
 // model is the oracle: what a task may do, told without any of the planner's
 // means.
 type model struct {
-	p       *Planner
-	cfg     Config
-	now     time.Time
-	st      *tables.State
-	n       int
-	jobs    map[string]*modelJob
-	flights map[uint64]Start
-	busy    map[netip.AddrPort]int
-	out     Actions
-	// room is what the peer has told of its free slots, less what it got.
-	room   int
-	report uint64
+	p              *Planner
+	cfg            Config
+	now            time.Time
+	state          *tables.State
+	jobCount       int
+	jobs           map[string]*modelJob
+	activeAttempts map[uint64]Start
+	busy           map[netip.AddrPort]int
+	out            Actions
+	// peerFree is what the peer has told of its free slots, less what it got.
+	peerFree int
+	report   uint64
 }
 
 type modelJob struct {
 	Job
 	stopped bool
-	flying  []bool
+	running []bool
 	ended   []bool
 	notRun  []int
 	unknown []bool
 }
 
 func (m *model) check(t *rapid.T) {
-	m.p.Take(m.now, &m.out)
+	m.p.Decide(m.now, &m.out)
 	for _, e := range m.out.Ends {
 		m.end(t, e)
 	}
@@ -113,7 +113,7 @@
 		m.start(t, s)
 		m.onServer(t, s)
 	}
-	for _, h := range m.out.Hands {
+	for _, h := range m.out.Handovers {
 		m.handed(t, h)
 	}
 	running := 0
@@ -127,16 +127,16 @@
 
 // handed checks a hand-over: each item is an attempt like a start, but on no
 // server of this dispatcher.
-func (m *model) handed(t *rapid.T, h Hand) {
-	if len(h.Items) > m.room {
-		t.Fatalf("%d tasks handed over, room for %d", len(h.Items), m.room)
+func (m *model) handed(t *rapid.T, h Handover) {
+	if len(h.Items) > m.peerFree {
+		t.Fatalf("%d tasks handed over, room for %d", len(h.Items), m.peerFree)
 	}
-	m.room -= len(h.Items)
+	m.peerFree -= len(h.Items)
 	for _, it := range h.Items {
-		if m.jobs[it.Job].Guest {
+		if m.jobs[it.Job].FromPeer {
 			t.Fatalf("%s was handed on", it.Job)
 		}
-		m.start(t, Start{Number: it.Number, Job: it.Job, Task: it.Task, Attempt: it.Attempt, Expires: it.Expires})
+		m.start(t, Start{AttemptID: it.AttemptID, Job: it.Job, Task: it.Task, Attempt: it.Attempt, Expires: it.Expires})
 	}
 }
 
@@ -145,22 +145,22 @@
 	switch {
 	case j == nil || j.stopped:
 		t.Fatalf("%s/%d starts after its end or cancellation", s.Job, s.Task)
-	case j.flying[s.Task] || j.ended[s.Task]:
+	case j.running[s.Task] || j.ended[s.Task]:
 		t.Fatalf("%s/%d starts twice", s.Job, s.Task)
-	case s.Attempt >= m.cfg.Attempts+handTries || j.Guest && s.Attempt > 0:
+	case s.Attempt >= m.cfg.Attempts+maxHandoverTries || j.FromPeer && s.Attempt > 0:
 		t.Fatalf("attempt %d", s.Attempt)
 	case !j.Request && s.Attempt != j.notRun[s.Task]:
 		t.Fatalf("%s/%d: attempt %d after %d not run", s.Job, s.Task, s.Attempt, j.notRun[s.Task])
 	case !m.now.Before(s.Expires) || s.Expires.After(j.Expires):
 		t.Fatalf("lease %v outside the job's time", s.Expires)
 	}
-	j.flying[s.Task] = true
-	m.flights[s.Number] = s
+	j.running[s.Task] = true
+	m.activeAttempts[s.AttemptID] = s
 }
 
 func (m *model) onServer(t *rapid.T, s Start) {
 	var row *tables.Server
-	for _, v := range m.st.Servers("quick") {
+	for _, v := range m.state.Servers("quick") {
 		if v.Address == s.Server {
 			row = &v
 		}
@@ -180,7 +180,7 @@
 		switch {
 		case j == nil || j.ended[i]:
 			t.Fatalf("%s/%d ends twice", e.Job, i)
-		case j.flying[i]:
+		case j.running[i]:
 			t.Fatalf("%s/%d ends while it runs", e.Job, i)
 		case e.Ran == refusal.RanNo && j.unknown[i]:
 			t.Fatalf("%s/%d: \"not run\" although it may have run", e.Job, i)
@@ -190,16 +190,16 @@
 }
 
 func (m *model) submit(t *rapid.T) {
-	m.n++
+	m.jobCount++
 	j := Job{
-		ID:     fmt.Sprint("j", m.n),
+		ID:     fmt.Sprint("j", m.jobCount),
 		Kind:   rapid.SampledFrom([]string{"price", "check", "none"}).Draw(t, "kind"),
 		Caller: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "caller"),
 		Team:   rapid.SampledFrom([]string{"", "red", "blue"}).Draw(t, "team"),
 		Tasks:  rapid.SampledFrom([]int{1, 1, 2, 5, 40}).Draw(t, "tasks"),
 	}
 	j.Request = j.Tasks == 1 && rapid.Bool().Draw(t, "request")
-	j.Guest = j.Request && rapid.Bool().Draw(t, "guest")
+	j.FromPeer = j.Request && rapid.Bool().Draw(t, "guest")
 	j.Expires = m.now.Add(time.Duration(rapid.IntRange(-1, 20000).Draw(t, "ms")) * time.Millisecond)
 	if m.p.Submit(m.now, j) != nil {
 		return
@@ -208,13 +208,13 @@
 		t.Fatal("a job that can't run was taken")
 	}
 	m.jobs[j.ID] = &modelJob{
-		Job: j, flying: make([]bool, j.Tasks), ended: make([]bool, j.Tasks),
+		Job: j, running: make([]bool, j.Tasks), ended: make([]bool, j.Tasks),
 		notRun: make([]int, j.Tasks), unknown: make([]bool, j.Tasks),
 	}
 }
 
 func (m *model) cancel(t *rapid.T) {
-	id := fmt.Sprint("j", rapid.IntRange(1, m.n+1).Draw(t, "job"))
+	id := fmt.Sprint("j", rapid.IntRange(1, m.jobCount+1).Draw(t, "job"))
 	m.p.Cancel(id)
 	if j := m.jobs[id]; j != nil {
 		j.stopped = true
@@ -222,11 +222,11 @@
 }
 
 func (m *model) finish(t *rapid.T) {
-	numbers := slices.Sorted(maps.Keys(m.flights))
+	numbers := slices.Sorted(maps.Keys(m.activeAttempts))
 	if len(numbers) == 0 {
 		return
 	}
-	s := m.flights[rapid.SampledFrom(numbers).Draw(t, "which")]
+	s := m.activeAttempts[rapid.SampledFrom(numbers).Draw(t, "which")]
 	o := rapid.SampledFrom([]delivery.Outcome{
 		{Kind: delivery.Done},
 		{Kind: delivery.Done},
@@ -239,19 +239,19 @@
 }
 
 func (m *model) settle(s Start, o delivery.Outcome) {
-	delete(m.flights, s.Number)
+	delete(m.activeAttempts, s.AttemptID)
 	if s.Server.IsValid() {
 		m.busy[s.Server]--
 	}
 	j := m.jobs[s.Job]
-	j.flying[s.Task] = false
+	j.running[s.Task] = false
 	switch o.Kind {
 	case delivery.NotRun:
 		j.notRun[s.Task]++
 	default:
 		j.unknown[s.Task] = true
 	}
-	m.p.Ended(m.now, s.Number, o)
+	m.p.AttemptEnded(m.now, s.AttemptID, o)
 }
 
 func (m *model) tick(t *rapid.T) {
@@ -260,30 +260,30 @@
 }
 
 func (m *model) tables(t *rapid.T) {
-	rows := m.st.Rows()
+	rows := m.state.Rows()
 	rows.Servers = append([]tables.Server(nil), rows.Servers...)
 	i := rapid.IntRange(0, len(rows.Servers)-1).Draw(t, "server")
 	rows.Servers[i].Leaving = !rows.Servers[i].Leaving
 	rows.Servers[(i+1)%len(rows.Servers)].DataCenter = rapid.SampledFrom([]string{"dc1", "dc2"}).Draw(t, "dc")
-	st, err := tables.Build(m.st.Version+1, rows)
+	st, err := tables.Build(m.state.Version+1, rows)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.st = st
-	m.p.SetWorld(m.now, world(st))
+	m.state = st
+	m.p.SetCluster(m.now, clusterState(st))
 }
 
 func (m *model) peers(t *rapid.T) {
-	m.room = rapid.IntRange(0, 6).Draw(t, "room")
+	m.peerFree = rapid.IntRange(0, 6).Draw(t, "room")
 	m.report++
-	m.p.SetPeers([]Peer{{Name: "b", DataCenter: "dc1", Report: m.report, Free: m.room}})
+	m.p.SetPeers([]Peer{{Name: "b", DataCenter: "dc1", Report: m.report, Free: m.peerFree}})
 }
 
 // drain ends everything, and nothing may be left.
 func (m *model) drain(t *rapid.T) {
-	for len(m.flights) > 0 {
-		first := slices.Min(slices.Collect(maps.Keys(m.flights)))
-		m.settle(m.flights[first], delivery.Outcome{Kind: delivery.Done})
+	for len(m.activeAttempts) > 0 {
+		first := slices.Min(slices.Collect(maps.Keys(m.activeAttempts)))
+		m.settle(m.activeAttempts[first], delivery.Outcome{Kind: delivery.Done})
 		m.check(t)
 	}
 	m.now = m.now.Add(time.Hour)
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	if n := len(m.p.jobs) + len(m.p.flights) + len(m.p.teams) + len(m.p.expiry) + m.p.waiting + m.p.busy + m.p.open; n != 0 {
+	if n := len(m.p.jobs) + len(m.p.activeAttempts) + len(m.p.teams) + len(m.p.expiry) + m.p.waiting + m.p.running + m.p.jobSlotsUsed; n != 0 {
 		t.Fatalf("%d things are left", n)
 	}
 }
@@ -313,10 +313,10 @@
 		cfg.RetryBudget = rapid.SampledFrom([]float64{0, 0.1, 1}).Draw(t, "budget")
 		m := &model{
 			cfg: cfg, now: epoch, jobs: make(map[string]*modelJob),
-			flights: make(map[uint64]Start), busy: make(map[netip.AddrPort]int),
+			activeAttempts: make(map[uint64]Start), busy: make(map[netip.AddrPort]int),
 		}
 		rows := state(zeroT{}, 4, rapid.IntRange(1, 3).Draw(t, "slots"), tables.Team{Name: "red", Quota: 2, Weight: 3})
-		m.st = rows
+		m.state = rows
 		m.p = planner(cfg, rows)
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": m.submit,
--- a/dispatch/plan/sim_test.go
+++ b/dispatch/plan/sim_test.go
@@ -23,14 +23,14 @@
 	planners []*Planner
 	workers  map[netip.AddrPort]*simWorker
 	jobs     map[string]*simJob
-	n        int
+	lastID   int
 	until    time.Time
 
 	starts, refusals, handed int
-	messages, turned         int
-	beats                    uint64
+	messages, turnedDown     int
+	heartbeats               uint64
 	done, failed, refused    int
-	ratios                   []float64
+	responseRatios           []float64
 }
 
 type simWorker struct {
@@ -43,13 +43,13 @@
 }
 
 type simJob struct {
-	at      time.Time
-	owner   *Planner
-	service []time.Duration
-	left    int
-	failed  bool
-	// back takes the outcome of a task that was handed over.
-	back func(o delivery.Outcome)
+	submittedAt time.Time
+	owner       *Planner
+	service     []time.Duration
+	unfinished  int
+	failed      bool
+	// reportBack takes the outcome of a task that was handed over.
+	reportBack func(o delivery.Outcome)
 }
 
 type timed struct {
@@ -95,18 +95,18 @@
 	}
 	for i := range planners {
 		p := New(cfg, rand.New(rand.NewPCG(seed, uint64(i))))
-		w := world(st)
+		w := clusterState(st)
 		w.Members = pool.Members{Self: fmt.Sprint(i), Sizes: m.Sizes}
 		w.Dispatchers = planners
-		p.SetWorld(s.now, w)
+		p.SetCluster(s.now, w)
 		s.planners = append(s.planners, p)
 	}
 	return s
 }
 
 func (s *sim) after(d time.Duration, do func()) {
-	s.n++
-	heap.Push(&s.queue, timed{s.now.Add(d), s.n, do})
+	s.lastID++
+	heap.Push(&s.queue, timed{s.now.Add(d), s.lastID, do})
 }
 
 // run lets time pass.
@@ -115,7 +115,7 @@
 	for _, p := range s.planners {
 		s.tick(p)
 	}
-	s.beat()
+	s.heartbeat()
 	for len(s.queue) > 0 && !s.queue[0].at.After(s.until) {
 		e := heap.Pop(&s.queue).(timed)
 		s.now = e.at
@@ -134,38 +134,38 @@
 
 func (s *sim) act(p *Planner) {
 	var a Actions
-	p.Take(s.now, &a)
+	p.Decide(s.now, &a)
 	for _, e := range a.Ends {
 		s.end(e)
 	}
 	for _, st := range a.Starts {
 		s.after(simLatency, func() { s.arrive(p, st) })
 	}
-	for _, h := range a.Hands {
+	for _, h := range a.Handovers {
 		s.messages += 2
 		s.after(simLatency, func() { s.handOver(p, h) })
 	}
 }
 
-// beat tells every planner what room the others have.
-func (s *sim) beat() {
-	s.beats++
+// heartbeat tells every planner what room the others have.
+func (s *sim) heartbeat() {
+	s.heartbeats++
 	for i, p := range s.planners {
 		var all []Peer
 		for k, o := range s.planners {
 			if k != i {
-				all = append(all, Peer{Name: fmt.Sprint(k), DataCenter: o.cfg.DataCenter, Report: s.beats, Free: o.Free()})
+				all = append(all, Peer{Name: fmt.Sprint(k), DataCenter: o.cfg.DataCenter, Report: s.heartbeats, Free: o.Free()})
 			}
 		}
 		p.SetPeers(all)
 	}
 	if s.now.Before(s.until) {
-		s.after(time.Second, s.beat)
+		s.after(time.Second, s.heartbeat)
 	}
 }
 
 // handOver puts the tasks at the peer, as its guests.
-func (s *sim) handOver(p *Planner, h Hand) {
+func (s *sim) handOver(p *Planner, h Handover) {
 	to := s.planners[0]
 	for i, o := range s.planners {
 		if fmt.Sprint(i) == h.Peer {
@@ -175,20 +175,20 @@
 	for _, it := range h.Items {
 		id := fmt.Sprintf("%s/%d/%d", it.Job, it.Task, it.Attempt)
 		j := s.jobs[it.Job]
-		s.jobs[id] = &simJob{service: j.service[it.Task : it.Task+1], left: 1, back: func(o delivery.Outcome) {
-			p.Ended(s.now, it.Number, o)
-			p.Reported(h.Peer, to.Free())
+		s.jobs[id] = &simJob{service: j.service[it.Task : it.Task+1], unfinished: 1, reportBack: func(o delivery.Outcome) {
+			p.AttemptEnded(s.now, it.AttemptID, o)
+			p.PeerReported(h.Peer, to.Free())
 			s.act(p)
 		}}
-		if to.Submit(s.now, Job{ID: id, Kind: "price", Caller: "x", Guest: true, Tasks: 1, Expires: it.Expires}) == nil {
+		if to.Submit(s.now, Job{ID: id, Kind: "price", Caller: "x", FromPeer: true, Tasks: 1, Expires: it.Expires}) == nil {
 			s.handed++
 			continue
 		}
 		delete(s.jobs, id)
-		s.turned++
+		s.turnedDown++
 		s.after(simLatency, func() {
-			p.Reported(h.Peer, 0)
-			p.Ended(s.now, it.Number, delivery.Outcome{Kind: delivery.NotRun, Cause: delivery.Refused})
+			p.PeerReported(h.Peer, 0)
+			p.AttemptEnded(s.now, it.AttemptID, delivery.Outcome{Kind: delivery.NotRun, Cause: delivery.Refused})
 			s.act(p)
 		})
 	}
@@ -204,7 +204,7 @@
 			o = delivery.Outcome{Kind: delivery.Unknown, Cause: delivery.NoTime}
 		}
 		s.after(d+simLatency, func() {
-			p.Ended(s.now, st.Number, o)
+			p.AttemptEnded(s.now, st.AttemptID, o)
 			s.act(p)
 		})
 	}
@@ -229,18 +229,18 @@
 
 func (s *sim) end(e End) {
 	j := s.jobs[e.Job]
-	if j.back != nil {
+	if j.reportBack != nil {
 		delete(s.jobs, e.Job)
 		o := e.Outcome
 		if e.Ran == refusal.RanNo {
 			o.Kind = delivery.NotRun
 		}
-		s.after(simLatency, func() { j.back(o) })
+		s.after(simLatency, func() { j.reportBack(o) })
 		return
 	}
-	j.left -= e.To - e.From
+	j.unfinished -= e.To - e.From
 	j.failed = j.failed || e.Outcome.Kind != delivery.Done
-	if j.left > 0 {
+	if j.unfinished > 0 {
 		return
 	}
 	delete(s.jobs, e.Job)
@@ -250,7 +250,7 @@
 	}
 	s.done++
 	ideal := slices.Max(j.service) + 2*simLatency
-	s.ratios = append(s.ratios, float64(s.now.Sub(j.at))/float64(ideal))
+	s.responseRatios = append(s.responseRatios, float64(s.now.Sub(j.submittedAt))/float64(ideal))
 }
 
 // service draws a service time on a server of speed 1: 50 ms to 1 s, and one in
@@ -262,15 +262,15 @@
 	return 50*time.Millisecond + time.Duration(s.rnd.ExpFloat64()*float64(100*time.Millisecond))
 }
 
-func (s *sim) submit(p *Planner, caller string, tasks int, limit time.Duration) bool {
-	s.n++
-	j := &simJob{at: s.now, owner: p, left: tasks}
+func (s *sim) submit(p *Planner, caller string, tasks int, timeout time.Duration) bool {
+	s.lastID++
+	j := &simJob{submittedAt: s.now, owner: p, unfinished: tasks}
 	for range tasks {
 		j.service = append(j.service, s.service())
 	}
-	id := fmt.Sprint("j", s.n)
+	id := fmt.Sprint("j", s.lastID)
 	s.jobs[id] = j
-	err := p.Submit(s.now, Job{ID: id, Kind: "price", Caller: caller, Team: caller, Tasks: tasks, Expires: s.now.Add(limit)})
+	err := p.Submit(s.now, Job{ID: id, Kind: "price", Caller: caller, Team: caller, Tasks: tasks, Expires: s.now.Add(timeout)})
 	if err != nil {
 		delete(s.jobs, id)
 		s.refused++
@@ -282,7 +282,7 @@
 
 // offer submits jobs of the given sizes at random planners, as a Poisson
 // process of the given rate of tasks a second, for d.
-func (s *sim) offer(rate float64, d, limit time.Duration, sizes ...int) {
+func (s *sim) offer(rate float64, d, timeout time.Duration, sizes ...int) {
 	mean := 0
 	for _, n := range sizes {
 		mean += n
@@ -294,16 +294,16 @@
 		if s.now.After(end) {
 			return
 		}
-		s.submit(s.planners[s.rnd.IntN(len(s.planners))], "x", sizes[s.rnd.IntN(len(sizes))], limit)
+		s.submit(s.planners[s.rnd.IntN(len(s.planners))], "x", sizes[s.rnd.IntN(len(sizes))], timeout)
 		s.after(time.Duration(s.rnd.ExpFloat64()*gap), next)
 	}
 	s.after(0, next)
 }
 
 func (s *sim) quantile(q float64) float64 {
-	if len(s.ratios) == 0 {
+	if len(s.responseRatios) == 0 {
 		return 0
 	}
-	slices.Sort(s.ratios)
-	return s.ratios[int(q*float64(len(s.ratios)-1))]
+	slices.Sort(s.responseRatios)
+	return s.responseRatios[int(q*float64(len(s.responseRatios)-1))]
 }
--- a/dispatch/plan/trial_test.go
+++ b/dispatch/plan/trial_test.go
@@ -53,7 +53,7 @@
 	b.ReportMetric(s.quantile(0.99), "p99/ideal")
 	b.ReportMetric(float64(s.messages+s.refusals)/n, "wasted/task")
 	b.ReportMetric(float64(s.handed)/n, "handed/task")
-	b.ReportMetric(float64(s.turned)/n, "turned/task")
+	b.ReportMetric(float64(s.turnedDown)/n, "turned/task")
 	b.ReportMetric(float64(s.failed), "failed")
 	b.ReportMetric(float64(s.refused), "refused")
 }
--- a/dispatch/plan/world.go
+++ b/dispatch/plan/world.go
@@ -10,104 +10,104 @@
 type team struct {
 	name   string
 	weight float64
-	// part is how many of its tasks this dispatcher may run at once; 0 means
+	// quotaShare is how many of its tasks this dispatcher may run at once; 0 means
 	// no limit.
-	part int
-	busy int
-	jobs int
+	quotaShare int
+	running    int
+	jobs       int
 }
 
-// SetWorld brings new tables, members or permissions into force.
-func (p *Planner) SetWorld(now time.Time, w World) {
-	changed := w.Tables != p.world.Tables
-	p.world = w
+// SetCluster brings new tables, members or permissions into force.
+func (p *Planner) SetCluster(now time.Time, w Cluster) {
+	changed := w.Tables != p.cluster.Tables
+	p.cluster = w
 	p.fleet.Apply(now, w.Tables, w.Members)
 	for _, t := range p.teams {
-		p.set(t)
-		p.quota(t, 0)
+		p.configureTeam(t)
+		p.countRunning(t, 0)
 	}
 	if !changed {
 		return
 	}
-	clear(p.reaches)
-	for name := range p.kinds {
+	clear(p.poolSummaries)
+	for name := range p.serviceTimes {
 		if _, ok := w.Tables.Route(name); !ok {
-			delete(p.kinds, name)
+			delete(p.serviceTimes, name)
 		}
 	}
-	p.drop()
+	p.dropUnusedQueues()
 }
 
-// drop forgets the lines of pools that are no more.
-func (p *Planner) drop() {
-	kept := p.queues[:0]
-	for _, l := range p.queues {
-		if l.Len() > 0 || len(p.world.Tables.Servers(l.pool)) > 0 {
+// dropUnusedQueues forgets the lines of pools that are no more.
+func (p *Planner) dropUnusedQueues() {
+	kept := p.poolQueues[:0]
+	for _, l := range p.poolQueues {
+		if l.Len() > 0 || len(p.cluster.Tables.Servers(l.pool)) > 0 {
 			kept = append(kept, l)
 			continue
 		}
 		delete(p.byPool, l.pool)
 	}
-	clear(p.queues[len(kept):])
-	p.queues = kept
+	clear(p.poolQueues[len(kept):])
+	p.poolQueues = kept
 }
 
-func (p *Planner) line(name string) *line {
+func (p *Planner) poolQueue(name string) *poolQueue {
 	l := p.byPool[name]
 	if l == nil {
-		l = &line{Queue: queue.New(ageingStep), pool: name}
+		l = &poolQueue{Queue: queue.New(ageingStep), pool: name}
 		p.byPool[name] = l
-		p.queues = append(p.queues, l)
+		p.poolQueues = append(p.poolQueues, l)
 	}
 	return l
 }
 
-// reach is what the tables say of a pool over all data centres.
-type reach struct {
+// poolSummary is what the tables say of a pool over all data centres.
+type poolSummary struct {
 	slots int
-	// centers is the data centres in which it has usable servers.
-	centers map[string]bool
+	// dataCenters is the data centres in which it has usable servers.
+	dataCenters map[string]bool
 }
 
-// reach looks at a pool's servers once for each version of the tables; a look
+// poolSummary looks at a pool's servers once for each version of the tables; a look
 // for each job would cost as much as the pool has servers.
-func (p *Planner) reach(name string) reach {
-	r, ok := p.reaches[name]
+func (p *Planner) poolSummary(name string) poolSummary {
+	r, ok := p.poolSummaries[name]
 	if ok {
 		return r
 	}
-	r.centers = make(map[string]bool)
-	for _, s := range p.world.Tables.Servers(name) {
+	r.dataCenters = make(map[string]bool)
+	for _, s := range p.cluster.Tables.Servers(name) {
 		r.slots += s.Slots
 		if !s.Leaving {
-			r.centers[s.DataCenter] = true
+			r.dataCenters[s.DataCenter] = true
 		}
 	}
-	p.reaches[name] = r
+	p.poolSummaries[name] = r
 	return r
 }
 
-// usable tells whether any server of the pool may be used by this dispatcher,
+// reachable tells whether any server of the pool may be used by this dispatcher,
 // or by one to whom it can give work.
-func (p *Planner) usable(name string) bool {
-	r := p.reach(name)
-	return r.centers[p.cfg.DataCenter] || p.cfg.Policy.HandsOver() && p.peers.any(r.centers)
+func (p *Planner) reachable(name string) bool {
+	r := p.poolSummary(name)
+	return r.dataCenters[p.cfg.DataCenter] || p.cfg.Policy.HandsOver() && p.peers.anyIn(r.dataCenters)
 }
 
 // reroute moves what waits of the work to the pool that its kind goes to now.
-func (p *Planner) reroute(now time.Time, w *work) {
-	route, ok := p.world.Tables.Route(w.job.Kind)
+func (p *Planner) reroute(now time.Time, js *jobState) {
+	route, ok := p.cluster.Tables.Route(js.job.Kind)
 	if !ok {
-		p.stop(w, "its route was removed")
+		p.stop(js, "its route was removed")
 		return
 	}
-	n := w.line.Remove(w.q)
-	opened := w.q.Opened()
-	w.line = p.line(route.Pool)
-	w.q = &queue.Job{Team: w.team.name, Caller: w.job.Caller, Weight: w.team.weight, Arrived: now, Owner: w}
-	w.q.SetOpened(opened)
-	w.line.Add(w.q, n)
-	p.quota(w.team, 0)
+	n := js.poolQueue.Remove(js.queueJob)
+	opened := js.queueJob.Started()
+	js.poolQueue = p.poolQueue(route.Pool)
+	js.queueJob = &queue.Job{Team: js.team.name, Caller: js.job.Caller, Weight: js.team.weight, Arrived: now, Owner: js}
+	js.queueJob.SetStarted(opened)
+	js.poolQueue.Add(js.queueJob, n)
+	p.countRunning(js.team, 0)
 }
 
 // team finds the team of a job. A caller without a team is a team of its own.
@@ -120,40 +120,40 @@
 	if t == nil {
 		t = &team{name: name}
 		p.teams[name] = t
-		p.set(t)
+		p.configureTeam(t)
 	}
 	return t
 }
 
-func (p *Planner) set(t *team) {
-	row, _ := p.world.Tables.Team(t.name)
+func (p *Planner) configureTeam(t *team) {
+	row, _ := p.cluster.Tables.Team(t.name)
 	t.weight = row.Weight
-	t.part = 0
+	t.quotaShare = 0
 	if row.Quota > 0 {
-		t.part = max(row.Quota/max(p.world.Dispatchers, 1), 1)
+		t.quotaShare = max(row.Quota/max(p.cluster.Dispatchers, 1), 1)
 	}
 }
 
-// forget drops a team that has nothing here any more.
-func (p *Planner) forget(t *team) {
-	if t.jobs == 0 && t.busy == 0 {
+// forgetIfIdle drops a team that has nothing here any more.
+func (p *Planner) forgetIfIdle(t *team) {
+	if t.jobs == 0 && t.running == 0 {
 		delete(p.teams, t.name)
 	}
 }
 
-// quota counts a start or an end of a team's task, and holds the team back
-// while its part of the quota is used up.
-func (p *Planner) quota(t *team, n int) {
-	t.busy += n
-	if n != 0 && t.part == 0 {
+// countRunning counts a start or an end of a team's task, and holds the team back
+// while its part of the countRunning is used up.
+func (p *Planner) countRunning(t *team, n int) {
+	t.running += n
+	if n != 0 && t.quotaShare == 0 {
 		return
 	}
-	full := t.part > 0 && t.busy >= t.part
-	for _, l := range p.queues {
+	full := t.quotaShare > 0 && t.running >= t.quotaShare
+	for _, l := range p.poolQueues {
 		if full {
-			l.Park(t.name)
+			l.Pause(t.name)
 		} else {
-			l.Unpark(t.name)
+			l.Resume(t.name)
 		}
 	}
 }
@@ -161,19 +161,19 @@
 // Tick ends what has expired and lets time work on the rest. It is to be
 // called several times a second.
 func (p *Planner) Tick(now time.Time) {
-	if p.last.IsZero() {
-		p.last = now
+	if p.lastTick.IsZero() {
+		p.lastTick = now
 	}
-	p.budget.pass(now.Sub(p.last))
-	p.last = now
+	p.retryBudget.refill(now.Sub(p.lastTick))
+	p.lastTick = now
 	for len(p.expiry) > 0 && !now.Before(p.expiry[0].job.Expires) {
-		w := p.expiry[0]
-		p.expiry.remove(w)
-		p.stop(w, "its time is over")
+		js := p.expiry[0]
+		p.expiry.remove(js)
+		p.stop(js, "its time is over")
 	}
-	p.release()
-	for _, l := range p.queues {
-		l.drain.tick(now, l.Len() > 0)
+	p.releaseRetries()
+	for _, l := range p.poolQueues {
+		l.drainRate.tick(now, l.Len() > 0)
 	}
 	p.fleet.Tick(now, p.longest())
 }
@@ -181,11 +181,11 @@
 // longest returns the longest usual service time of the kinds in use.
 func (p *Planner) longest() time.Duration {
 	var d time.Duration
-	for _, u := range p.kinds {
+	for _, u := range p.serviceTimes {
 		d = max(d, u.Mean())
 	}
 	return d
 }
 
-// Allow tells whether tasks may be started from now on.
-func (p *Planner) Allow(ok bool) { p.world.MayPlace = ok }
+// SetMayPlace tells whether tasks may be started from now on.
+func (p *Planner) SetMayPlace(ok bool) { p.cluster.MayPlace = ok }
--- a/dispatch/policy/policy.go
+++ b/dispatch/policy/policy.go
@@ -22,7 +22,7 @@
 	// Limit returns how many of a server's slots this dispatcher may use.
 	Limit(server netip.AddrPort, slots int, among pool.Members) int
 	// Choose returns one of the servers with room; there is at least one.
-	Choose(free *pool.Free, r *rand.Rand) *pool.Seat
+	Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership
 	// HandsOver tells whether waiting tasks may be handed to peers.
 	HandsOver() bool
 }
--- a/dispatch/policy/random/random.go
+++ b/dispatch/policy/random/random.go
@@ -16,7 +16,7 @@
 func (Policy) Limit(_ netip.AddrPort, slots int, _ pool.Members) int { return slots }
 
 // Choose returns any server with room.
-func (Policy) Choose(free *pool.Free, r *rand.Rand) *pool.Seat {
+func (Policy) Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership {
 	return free.At(r.IntN(free.Len()))
 }
 
--- a/dispatch/policy/share/share.go
+++ b/dispatch/policy/share/share.go
@@ -32,17 +32,17 @@
 		left -= slots * n / total
 	}
 	own := slots * among.Sizes[among.Self] / total
-	mine := score(server, among.Self, among.Sizes[among.Self])
-	before := 0
+	ownRank := score(server, among.Self, among.Sizes[among.Self])
+	above := 0
 	for name, n := range among.Sizes {
-		if before >= left {
+		if above >= left {
 			return own
 		}
-		if name != among.Self && score(server, name, n).above(mine) {
-			before++
+		if name != among.Self && score(server, name, n).above(ownRank) {
+			above++
 		}
 	}
-	if before < left {
+	if above < left {
 		own++
 	}
 	return own
@@ -69,7 +69,7 @@
 
 // Choose returns the less loaded of two servers of the fastest class that has
 // room.
-func (Policy) Choose(free *pool.Free, r *rand.Rand) *pool.Seat {
+func (Policy) Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership {
 	fast := free.Fastest()
 	a := fast[r.IntN(len(fast))]
 	b := fast[r.IntN(len(fast))]
--- a/dispatch/policy/two/two.go
+++ b/dispatch/policy/two/two.go
@@ -17,7 +17,7 @@
 func (Policy) Limit(_ netip.AddrPort, slots int, _ pool.Members) int { return slots }
 
 // Choose returns the better of two.
-func (Policy) Choose(free *pool.Free, r *rand.Rand) *pool.Seat {
+func (Policy) Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership {
 	a := free.At(r.IntN(free.Len()))
 	b := free.At(r.IntN(free.Len()))
 	if b.Server.Load() < a.Server.Load() {
--- a/dispatch/pool/fleet.go
+++ b/dispatch/pool/fleet.go
@@ -16,136 +16,136 @@
 
 // Fleet is all backend servers of this data centre.
 type Fleet struct {
-	dataCenter string
-	limiter    Limiter
-	asideShare float64
+	dataCenter      string
+	limiter         Limiter
+	maxEjectedShare float64
 
 	members Members
 	servers map[key]*Server
 	pools   map[string]*Pool
-	// order is the servers by address.
-	order   []*Server
-	working []*Server
-	resting []*Server
-	away    []*Server
-	news    []News
-	room    int
-	looked  time.Time
+	// byAddress is the servers by address.
+	byAddress      []*Server
+	busyServers    []*Server
+	backingOff     []*Server
+	ejectedServers []*Server
+	healthChanges  []HealthChange
+	freeSlots      int
+	lastUnusedScan time.Time
 }
 
-// News is a change of a server's health, for the log.
-type News struct {
-	Server netip.AddrPort
-	Aside  bool
-	// Capped tells that the server should be set aside, but that too large a
+// HealthChange is a change of a server's health, for the log.
+type HealthChange struct {
+	Server  netip.AddrPort
+	Ejected bool
+	// LimitReached tells that the server should be set aside, but that too large a
 	// part of its pool is already.
-	Capped bool
-	Why    Why
+	LimitReached bool
+	Reason       Reason
 }
 
 // New makes an empty fleet. Of each pool at most asideShare, from 0 to 1, is
 // set aside at once.
-func New(dataCenter string, limiter Limiter, asideShare float64) *Fleet {
+func New(dataCenter string, limiter Limiter, maxEjectedShare float64) *Fleet {
 	return &Fleet{
-		dataCenter: dataCenter,
-		limiter:    limiter,
-		asideShare: asideShare,
-		servers:    make(map[key]*Server),
-		pools:      make(map[string]*Pool),
+		dataCenter:      dataCenter,
+		limiter:         limiter,
+		maxEjectedShare: maxEjectedShare,
+		servers:         make(map[key]*Server),
+		pools:           make(map[string]*Pool),
 	}
 }
 
 // Pool returns a pool, or nil when it has no servers here.
 func (f *Fleet) Pool(name string) *Pool { return f.pools[name] }
 
-// News returns what has changed since the last call.
-func (f *Fleet) News() []News {
-	n := f.news
-	f.news = nil
+// HealthChanges returns what has changed since the last call.
+func (f *Fleet) HealthChanges() []HealthChange {
+	n := f.healthChanges
+	f.healthChanges = nil
 	return n
 }
 
 // Apply brings the tables and the members into force.
 func (f *Fleet) Apply(now time.Time, st *tables.State, m Members) {
-	all := m.Self != f.members.Self || !maps.Equal(m.Sizes, f.members.Sizes)
+	membersChanged := m.Self != f.members.Self || !maps.Equal(m.Sizes, f.members.Sizes)
 	f.members = m
-	want := rows(st, f.dataCenter)
+	wanted := localServers(st, f.dataCenter)
 	for a, s := range f.servers {
-		if want[a] == nil {
-			f.unseat(s)
+		if wanted[a] == nil {
+			f.leavePools(s)
 			s.leaving = true
-			f.refresh(now, s)
-			f.tidy(s)
+			f.updateFree(now, s)
+			f.forgetIfGone(s)
 		}
 	}
 	// In a fixed order, so that two runs with one seed are the same.
-	for _, a := range slices.SortedFunc(maps.Keys(want), netip.AddrPort.Compare) {
-		r := want[a]
+	for _, a := range slices.SortedFunc(maps.Keys(wanted), netip.AddrPort.Compare) {
+		r := wanted[a]
 		s := f.servers[a]
 		if s == nil {
-			s = &Server{Address: a, working: -1}
+			s = &Server{Address: a, busyIndex: -1}
 			f.servers[a] = s
 		}
-		if all || s.slots != r.slots {
+		if membersChanged || s.slots != r.slots {
 			s.slots = r.slots
 			s.limit = f.limiter.Limit(a, r.slots, m)
 		}
 		s.leaving = r.leaving
-		f.seat(s, r.pools)
+		f.setPools(s, r.pools)
 	}
-	f.count()
-	f.order = f.order[:0]
+	f.countServers()
+	f.byAddress = f.byAddress[:0]
 	for _, a := range slices.SortedFunc(maps.Keys(f.servers), netip.AddrPort.Compare) {
-		f.order = append(f.order, f.servers[a])
-		f.refresh(now, f.servers[a])
+		f.byAddress = append(f.byAddress, f.servers[a])
+		f.updateFree(now, f.servers[a])
 	}
 }
 
-func (f *Fleet) seat(s *Server, pools []string) {
-	if len(s.seats) == len(pools) {
+func (f *Fleet) setPools(s *Server, pools []string) {
+	if len(s.memberships) == len(pools) {
 		same := true
 		for i, name := range pools {
-			same = same && s.seats[i].pool.Name == name
+			same = same && s.memberships[i].pool.Name == name
 		}
 		if same {
 			return
 		}
 	}
-	f.unseat(s)
+	f.leavePools(s)
 	for _, name := range pools {
 		p := f.pools[name]
 		if p == nil {
 			p = &Pool{Name: name}
 			f.pools[name] = p
 		}
-		s.seats = append(s.seats, &Seat{Server: s, pool: p, index: -1})
+		s.memberships = append(s.memberships, &Membership{Server: s, pool: p, index: -1})
 	}
 }
 
-func (f *Fleet) unseat(s *Server) {
-	for _, t := range s.seats {
+func (f *Fleet) leavePools(s *Server) {
+	for _, t := range s.memberships {
 		if t.index >= 0 {
 			t.pool.free.remove(t)
 		}
 	}
-	s.seats = nil
+	s.memberships = nil
 }
 
-// count sets the counts of the pools, and drops pools without servers.
-func (f *Fleet) count() {
+// countServers sets the counts of the pools, and drops pools without servers.
+func (f *Fleet) countServers() {
 	best := make(map[*Pool]*Server)
 	for _, p := range f.pools {
 		p.servers = 0
-		p.aside = 0
+		p.ejectedCount = 0
 		p.limit = 0
 	}
 	for _, s := range f.servers {
-		for _, t := range s.seats {
+		for _, t := range s.memberships {
 			p := t.pool
 			p.servers++
 			p.limit += s.limit
-			if s.Aside() {
-				p.aside++
+			if s.Ejected() {
+				p.ejectedCount++
 			}
 			if b := best[p]; b == nil || f.preferred(s, b) {
 				best[p] = s
@@ -176,28 +176,28 @@
 	return Score(s.Address, f.members.Self) > Score(o.Address, f.members.Self)
 }
 
-// tidy forgets a server that the tables no longer have, once its tasks ended.
-func (f *Fleet) tidy(s *Server) {
-	if len(s.seats) == 0 && s.busy == 0 {
+// forgetIfGone forgets a server that the tables no longer have, once its tasks ended.
+func (f *Fleet) forgetIfGone(s *Server) {
+	if len(s.memberships) == 0 && s.busy == 0 {
 		delete(f.servers, s.Address)
 	}
 }
 
-// refresh puts the server into the lists of those with room, or takes it out.
-func (f *Fleet) refresh(now time.Time, s *Server) {
-	room := 0
-	if !s.leaving && s.state == inUse {
-		room = max(s.cap()-s.busy, 0)
-	}
-	f.room += room - s.room
-	s.room = room
-	open := room > 0 && !now.Before(s.restTill)
+// updateFree puts the server into the lists of those with room, or takes it out.
+func (f *Fleet) updateFree(now time.Time, s *Server) {
+	free := 0
+	if !s.leaving && s.healthState == stateInUse {
+		free = max(s.maxTasks()-s.busy, 0)
+	}
+	f.freeSlots += free - s.freeSlots
+	s.freeSlots = free
+	hasRoom := free > 0 && !now.Before(s.backoffUntil)
 	class := s.class()
-	for _, t := range s.seats {
-		if t.index >= 0 && (!open || t.class != class) {
+	for _, t := range s.memberships {
+		if t.index >= 0 && (!hasRoom || t.class != class) {
 			t.pool.free.remove(t)
 		}
-		if t.index < 0 && open {
+		if t.index < 0 && hasRoom {
 			t.pool.free.add(t, class)
 		}
 	}
@@ -208,7 +208,7 @@
 func (p *Pool) Probe() *Server {
 	for len(p.probes) > 0 {
 		s := p.probes[0]
-		if s.due && s.busy < max(s.slots, 1) && !s.leaving {
+		if s.probeDue && s.busy < max(s.slots, 1) && !s.leaving {
 			return s
 		}
 		p.probes = p.probes[1:]
@@ -216,171 +216,171 @@
 	return nil
 }
 
-// Rest keeps a server without tasks until the given time.
-func (f *Fleet) Rest(now time.Time, s *Server, until time.Time) {
-	s.restTill = until
-	f.rest(s)
-	f.refresh(now, s)
+// BackOff keeps a server without tasks until the given time.
+func (f *Fleet) BackOff(now time.Time, s *Server, until time.Time) {
+	s.backoffUntil = until
+	f.trackBackoff(s)
+	f.updateFree(now, s)
 }
 
-func (f *Fleet) rest(s *Server) {
-	if !s.resting {
-		s.resting = true
-		f.resting = append(f.resting, s)
+func (f *Fleet) trackBackoff(s *Server) {
+	if !s.backingOff {
+		s.backingOff = true
+		f.backingOff = append(f.backingOff, s)
 	}
 }
 
 // Start notes that a task starts on the server.
 func (f *Fleet) Start(now time.Time, s *Server) {
-	s.due = false
-	if s.state == setAside {
-		s.state = probing
+	s.probeDue = false
+	if s.healthState == stateEjected {
+		s.healthState = stateProbing
 	}
-	if s.stale(now) {
-		s.slow.halfForget()
+	if s.needsRetest(now) {
+		s.slowness.discount()
 	}
 	s.busy++
 	if s.busy == 1 {
-		s.progress = now
-		s.working = len(f.working)
-		f.working = append(f.working, s)
+		s.lastProgress = now
+		s.busyIndex = len(f.busyServers)
+		f.busyServers = append(f.busyServers, s)
 	}
-	f.refresh(now, s)
+	f.updateFree(now, s)
 }
 
 // End notes that a task has ended there after the time given.
-func (f *Fleet) End(now time.Time, s *Server, v Verdict, took time.Duration, u *Usual) {
+func (f *Fleet) End(now time.Time, s *Server, v Verdict, took time.Duration, u *ServiceTime) {
 	s.busy--
-	s.progress = now
+	s.lastProgress = now
 	if s.busy == 0 {
-		f.idle(s)
+		f.removeBusy(s)
 	}
 	usual := u.Mean()
 	if v == Good {
 		u.learn(took, s)
 	}
-	switch s.state {
-	case probing:
-		f.probed(now, s, v == Good && (s.why != Slow || took < slowOut*usual))
-	case inUse:
-		if why, out := s.judge(now, v); out {
-			f.setAside(now, s, why)
+	switch s.healthState {
+	case stateProbing:
+		f.probeEnded(now, s, v == Good && (s.ejectReason != Slow || took < ejectSlowness*usual))
+	case stateInUse:
+		if ejectReason, out := s.judge(now, v); out {
+			f.eject(now, s, ejectReason)
 		}
-		if v == Busy {
-			f.rest(s)
+		if v == Rejected {
+			f.trackBackoff(s)
 		}
 	}
-	f.refresh(now, s)
-	f.tidy(s)
+	f.updateFree(now, s)
+	f.forgetIfGone(s)
 }
 
-func (f *Fleet) idle(s *Server) {
-	last := f.working[len(f.working)-1]
-	f.working[s.working] = last
-	last.working = s.working
-	f.working = f.working[:len(f.working)-1]
-	s.working = -1
+func (f *Fleet) removeBusy(s *Server) {
+	last := f.busyServers[len(f.busyServers)-1]
+	f.busyServers[s.busyIndex] = last
+	last.busyIndex = s.busyIndex
+	f.busyServers = f.busyServers[:len(f.busyServers)-1]
+	s.busyIndex = -1
 }
 
-func (f *Fleet) probed(now time.Time, s *Server, well bool) {
-	if !well {
-		s.away(now)
+func (f *Fleet) probeEnded(now time.Time, s *Server, healthy bool) {
+	if !healthy {
+		s.markEjected(now)
 		return
 	}
-	s.back()
-	for _, t := range s.seats {
-		t.pool.aside--
+	s.restore()
+	for _, t := range s.memberships {
+		t.pool.ejectedCount--
 	}
-	f.news = append(f.news, News{Server: s.Address})
+	f.healthChanges = append(f.healthChanges, HealthChange{Server: s.Address})
 }
 
-// setAside sets a server aside unless too much of a pool is already. Without
+// eject sets a server aside unless too much of a pool is already. Without
 // the bound a fault that all servers share, such as a kind of task that fails
 // everywhere, would empty the pool.
-func (f *Fleet) setAside(now time.Time, s *Server, why Why) {
-	for _, t := range s.seats {
-		if float64(t.pool.aside+1) > f.asideShare*float64(t.pool.servers) {
-			if s.strikes == strikesOut {
-				f.news = append(f.news, News{Server: s.Address, Capped: true, Why: why})
+func (f *Fleet) eject(now time.Time, s *Server, ejectReason Reason) {
+	for _, t := range s.memberships {
+		if float64(t.pool.ejectedCount+1) > f.maxEjectedShare*float64(t.pool.servers) {
+			if s.failuresInRow == ejectAfterFailures {
+				f.healthChanges = append(f.healthChanges, HealthChange{Server: s.Address, LimitReached: true, Reason: ejectReason})
 			}
 			return
 		}
 	}
-	s.why = why
-	s.away(now)
-	for _, t := range s.seats {
-		t.pool.aside++
+	s.ejectReason = ejectReason
+	s.markEjected(now)
+	for _, t := range s.memberships {
+		t.pool.ejectedCount++
 	}
-	f.away = append(f.away, s)
-	f.news = append(f.news, News{Server: s.Address, Aside: true, Why: why})
+	f.ejectedServers = append(f.ejectedServers, s)
+	f.healthChanges = append(f.healthChanges, HealthChange{Server: s.Address, Ejected: true, Reason: ejectReason})
 }
 
 // Tick looks for stalls, ends rests and makes probes due; usual is the longest
 // usual service time of the kinds in use.
 func (f *Fleet) Tick(now time.Time, usual time.Duration) {
-	for _, s := range f.working {
-		if s.state == inUse && s.stalled(now, usual) {
-			f.setAside(now, s, Stalled)
-			f.refresh(now, s)
+	for _, s := range f.busyServers {
+		if s.healthState == stateInUse && s.stalled(now, usual) {
+			f.eject(now, s, Stalled)
+			f.updateFree(now, s)
 		}
 	}
-	resting := f.resting[:0]
-	for _, s := range f.resting {
-		if now.Before(s.restTill) {
-			resting = append(resting, s)
+	backingOff := f.backingOff[:0]
+	for _, s := range f.backingOff {
+		if now.Before(s.backoffUntil) {
+			backingOff = append(backingOff, s)
 			continue
 		}
-		s.resting = false
-		f.refresh(now, s)
+		s.backingOff = false
+		f.updateFree(now, s)
 	}
-	clear(f.resting[len(resting):])
-	f.resting = resting
-	f.due(now)
-	f.unused(now)
+	clear(f.backingOff[len(backingOff):])
+	f.backingOff = backingOff
+	f.probeEjected(now)
+	f.probeUnused(now)
 }
 
-// unused adds the servers that were slow and unused for long to the probes.
-func (f *Fleet) unused(now time.Time) {
-	if now.Sub(f.looked) < lookEvery {
+// probeUnused adds the servers that were slow and probeUnused for long to the probes.
+func (f *Fleet) probeUnused(now time.Time) {
+	if now.Sub(f.lastUnusedScan) < unusedScanInterval {
 		return
 	}
-	f.looked = now
-	for _, s := range f.order {
-		if !s.stale(now) || s.limit == 0 || s.leaving {
+	f.lastUnusedScan = now
+	for _, s := range f.byAddress {
+		if !s.needsRetest(now) || s.limit == 0 || s.leaving {
 			continue
 		}
-		s.due = true
-		for _, t := range s.seats {
+		s.probeDue = true
+		for _, t := range s.memberships {
 			t.pool.probes = append(t.pool.probes, s)
 		}
 	}
 }
 
-// due lists the servers whose probe is due.
-func (f *Fleet) due(now time.Time) {
+// probeEjected lists the servers whose probe is probeEjected.
+func (f *Fleet) probeEjected(now time.Time) {
 	for _, p := range f.pools {
 		p.probes = p.probes[:0]
 	}
-	kept := f.away[:0]
-	for _, s := range f.away {
+	kept := f.ejectedServers[:0]
+	for _, s := range f.ejectedServers {
 		// One that is in no pool stays in the list while tasks are there: its row may
 		// come back before they end, and without a probe it would be aside for good.
-		if !s.Aside() || f.servers[s.Address] != s {
+		if !s.Ejected() || f.servers[s.Address] != s {
 			continue
 		}
 		kept = append(kept, s)
-		s.due = s.state == setAside && !now.Before(s.probeAt)
-		if !s.due {
+		s.probeDue = s.healthState == stateEjected && !now.Before(s.probeAt)
+		if !s.probeDue {
 			continue
 		}
-		for _, t := range s.seats {
+		for _, t := range s.memberships {
 			t.pool.probes = append(t.pool.probes, s)
 		}
 	}
-	clear(f.away[len(kept):])
-	f.away = kept
+	clear(f.ejectedServers[len(kept):])
+	f.ejectedServers = kept
 }
 
-// Room returns how many more tasks this dispatcher may start by the limits of
+// FreeSlots returns how many more tasks this dispatcher may start by the limits of
 // its servers.
-func (f *Fleet) Room() int { return f.room }
+func (f *Fleet) FreeSlots() int { return f.freeSlots }
--- a/dispatch/pool/fleet_test.go
+++ b/dispatch/pool/fleet_test.go
@@ -9,17 +9,17 @@
 	"snipehub.example/tables"
 )
 
-// all gives this dispatcher every slot.
-type all struct{}
+// allSlots gives this dispatcher every slot.
+type allSlots struct{}
 
-func (all) Limit(_ netip.AddrPort, slots int, _ Members) int { return slots }
+func (allSlots) Limit(_ netip.AddrPort, slots int, _ Members) int { return slots }
 
 func address(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:9000", i))
 }
 
-// with returns tables with a pool of the servers given.
-func with(t *testing.T, servers ...int) *tables.State {
+// tablesWith returns tables tablesWith a pool of the servers given.
+func tablesWith(t *testing.T, servers ...int) *tables.State {
 	t.Helper()
 	rows := tables.Rows{Pools: []tables.Pool{{Name: "quick", Half: "north"}}}
 	for _, i := range servers {
@@ -38,21 +38,21 @@
 // pool that operators see in the tables and nobody uses.
 func TestServerThatComesBackIsTried(t *testing.T) {
 	now := time.Unix(1000, 0)
-	pass := func(d time.Duration) time.Time { now = now.Add(d); return now }
+	advance := func(d time.Duration) time.Time { now = now.Add(d); return now }
 	m := Members{Self: "a", Sizes: map[string]int{"a": 1}}
-	f := New("dc1", all{}, 0.5)
-	f.Apply(now, with(t, 1, 2, 3), m)
+	f := New("dc1", allSlots{}, 0.5)
+	f.Apply(now, tablesWith(t, 1, 2, 3), m)
 	s := f.servers[address(1)]
 	f.Start(now, s)
-	f.Tick(pass(2*stallLeast), time.Millisecond)
-	if !s.Aside() {
+	f.Tick(advance(2*minStallTime), time.Millisecond)
+	if !s.Ejected() {
 		t.Fatal("not set aside")
 	}
-	f.Apply(pass(time.Second), with(t, 2, 3), m)
-	f.Tick(pass(time.Second), time.Millisecond)
-	f.Apply(pass(time.Second), with(t, 1, 2, 3), m)
-	f.End(pass(time.Second), s, Bad, 5*time.Second, &Usual{})
-	f.Tick(pass(lastProbe), time.Millisecond)
+	f.Apply(advance(time.Second), tablesWith(t, 2, 3), m)
+	f.Tick(advance(time.Second), time.Millisecond)
+	f.Apply(advance(time.Second), tablesWith(t, 1, 2, 3), m)
+	f.End(advance(time.Second), s, Bad, 5*time.Second, &ServiceTime{})
+	f.Tick(advance(maxProbeInterval), time.Millisecond)
 	if got := f.Pool("quick").Probe(); got != s {
 		t.Errorf("probe %v, want the server that is set aside", got)
 	}
@@ -63,16 +63,16 @@
 func TestServerThatWentIsForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := Members{Self: "a", Sizes: map[string]int{"a": 1}}
-	f := New("dc1", all{}, 0.5)
-	f.Apply(now, with(t, 1, 2, 3), m)
+	f := New("dc1", allSlots{}, 0.5)
+	f.Apply(now, tablesWith(t, 1, 2, 3), m)
 	s := f.servers[address(1)]
 	f.Start(now, s)
-	now = now.Add(2 * stallLeast)
+	now = now.Add(2 * minStallTime)
 	f.Tick(now, time.Millisecond)
-	f.Apply(now, with(t, 2, 3), m)
-	f.End(now, s, Bad, time.Second, &Usual{})
+	f.Apply(now, tablesWith(t, 2, 3), m)
+	f.End(now, s, Bad, time.Second, &ServiceTime{})
 	f.Tick(now, time.Millisecond)
-	if len(f.away) > 0 || len(f.servers) != 2 {
-		t.Errorf("%d away, %d servers", len(f.away), len(f.servers))
+	if len(f.ejectedServers) > 0 || len(f.servers) != 2 {
+		t.Errorf("%d away, %d servers", len(f.ejectedServers), len(f.servers))
 	}
 }
--- a/dispatch/pool/health.go
+++ b/dispatch/pool/health.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// state says whether a server gets tasks.
-type state int
+// healthState says whether a server gets tasks.
+type healthState int
 
 const (
-	inUse state = iota
-	// setAside gets none until its next probe is due.
-	setAside
-	// probing has one task that tells whether the server is well again.
-	probing
+	stateInUse healthState = iota
+	// stateEjected gets none until its next probe is due.
+	stateEjected
+	// stateProbing has one task that tells whether the server is well again.
+	stateProbing
 )
 
 // Verdict is what became of a task, as far as the server is judged by it.
@@ -22,110 +22,110 @@
 	Good Verdict = iota + 1
 	// Bad means that it failed, was lost, or that nobody listened.
 	Bad
-	// Busy means that the server refused it.
-	Busy
+	// Rejected means that the server refused it.
+	Rejected
 	// Neutral says nothing about the server.
 	Neutral
 )
 
-// Why is the reason for which a server is set aside.
-type Why string
+// Reason is the reason for which a server is set aside.
+type Reason string
 
 // The reasons.
 const (
-	Failing  Why = "it fails what it starts"
-	Refusing Why = "it refuses everything"
-	Stalled  Why = "nothing ends there"
-	Slow     Why = "it is far slower than the others"
+	Failing  Reason = "it fails what it starts"
+	Refusing Reason = "it refuses everything"
+	Stalled  Reason = "nothing ends there"
+	Slow     Reason = "it is far slower than the others"
 )
 
 const (
-	// strikesOut is how many tasks in a row fail before a server is set
+	// ejectAfterFailures is how many tasks in a row fail before a server is set
 	// aside, refusalsOut how many refusals in a row.
-	strikesOut  = 3
-	refusalsOut = 12
-	// slowOut is how many times slower than usual is too slow.
-	slowOut = 5
-	// failingStep is the weight of one more outcome in the share of failures.
-	failingStep = 0.2
-
-	// lookAgain is after how long an unused server that was slow is tried with
+	ejectAfterFailures = 3
+	ejectAfterRefusals = 12
+	// ejectSlowness is how many times slower than usual is too slow.
+	ejectSlowness = 5
+	// failureWeight is the weight of one more outcome in the share of failures.
+	failureWeight = 0.2
+
+	// retestAfter is after how long an unused server that was slow is tried with
 	// one task, and unusedSlow what counts as slow there.
-	lookAgain  = 20 * time.Second
-	unusedSlow = 1.2
-	// lookEvery is how often unused servers are looked for.
-	lookEvery = time.Second
-
-	firstRest  = 20 * time.Millisecond
-	longRest   = time.Second
-	firstProbe = time.Second
-	lastProbe  = 30 * time.Second
+	retestAfter    = 20 * time.Second
+	retestSlowness = 1.2
+	// unusedScanInterval is how often unused servers are looked for.
+	unusedScanInterval = time.Second
+
+	minRefusalBackoff = 20 * time.Millisecond
+	maxRefusalBackoff = time.Second
+	minProbeInterval  = time.Second
+	maxProbeInterval  = 30 * time.Second
 	// stallFactor times the usual service time without any end is a stall when
 	// one task is there. With more tasks it takes less, because it is ever less
 	// likely that all of them are long, but never under stallFloor times the
 	// usual time, nor under stallLeast.
-	stallFactor = 20
-	stallFloor  = 3
-	stallLeast  = time.Second
+	stallFactor    = 20
+	minStallFactor = 3
+	minStallTime   = time.Second
 )
 
 // judge takes the verdict on a task and says whether the server is to be set
 // aside, and why.
-func (s *Server) judge(now time.Time, v Verdict) (Why, bool) {
+func (s *Server) judge(now time.Time, v Verdict) (Reason, bool) {
 	switch v {
 	case Good:
-		s.widen()
-		s.strikes = 0
-		s.refusals = 0
-		s.restTill = time.Time{}
-		s.failing -= s.failing * failingStep
-		return Slow, s.slow.n >= warm/2 && s.slow.value > slowOut
+		s.growWindow()
+		s.failuresInRow = 0
+		s.refusalsInRow = 0
+		s.backoffUntil = time.Time{}
+		s.failureRate -= s.failureRate * failureWeight
+		return Slow, s.slowness.n >= warmupSamples/2 && s.slowness.value > ejectSlowness
 	case Bad:
-		s.strikes++
-		s.failing += (1 - s.failing) * failingStep
-		return Failing, s.strikes >= strikesOut
-	case Busy:
-		s.refusals++
-		s.narrow()
-		s.restTill = now.Add(s.rest())
-		return Refusing, s.refusals >= refusalsOut
+		s.failuresInRow++
+		s.failureRate += (1 - s.failureRate) * failureWeight
+		return Failing, s.failuresInRow >= ejectAfterFailures
+	case Rejected:
+		s.refusalsInRow++
+		s.shrinkWindow()
+		s.backoffUntil = now.Add(s.refusalBackoff())
+		return Refusing, s.refusalsInRow >= ejectAfterRefusals
 	}
 	return "", false
 }
 
-// rest is how long a server that refused is left alone. Without it a full
+// refusalBackoff is how long a server that refused is left alone. Without it a full
 // server is asked again for every task that waits, and each asking is a wasted
 // message.
-func (s *Server) rest() time.Duration {
-	d := firstRest << min(s.refusals-1, 6)
-	return min(d, longRest)
+func (s *Server) refusalBackoff() time.Duration {
+	d := minRefusalBackoff << min(s.refusalsInRow-1, 6)
+	return min(d, maxRefusalBackoff)
 }
 
-// away sets the server aside until its next probe. The time between probes
+// markEjected sets the server aside until its next probe. The time between probes
 // doubles, so that a server that stays bad costs ever fewer tasks.
-func (s *Server) away(now time.Time) {
-	s.backOff = min(max(s.backOff*2, firstProbe), lastProbe)
-	s.state = setAside
-	s.probeAt = now.Add(s.backOff)
+func (s *Server) markEjected(now time.Time) {
+	s.probeInterval = min(max(s.probeInterval*2, minProbeInterval), maxProbeInterval)
+	s.healthState = stateEjected
+	s.probeAt = now.Add(s.probeInterval)
 }
 
-// back takes the server into use again, with what was learned about its speed
+// restore takes the server into use again, with what was learned about its speed
 // forgotten.
-func (s *Server) back() {
-	s.state = inUse
-	s.backOff = 0
-	s.strikes = 0
-	s.refusals = 0
+func (s *Server) restore() {
+	s.healthState = stateInUse
+	s.probeInterval = 0
+	s.failuresInRow = 0
+	s.refusalsInRow = 0
 	s.window = 0
-	s.failing = 0
-	s.slow = average{}
+	s.failureRate = 0
+	s.slowness = average{}
 }
 
-// stale tells whether what was learned of the server's speed should be tried
+// needsRetest tells whether what was learned of the server's speed should be tried
 // again. A server that is slow for a while gets no tasks while faster ones are
 // free; without a trial nobody would ever learn that it is well again.
-func (s *Server) stale(now time.Time) bool {
-	return s.state == inUse && s.busy == 0 && s.Slowness() > unusedSlow && now.Sub(s.progress) > lookAgain
+func (s *Server) needsRetest(now time.Time) bool {
+	return s.healthState == stateInUse && s.busy == 0 && s.Slowness() > retestSlowness && now.Sub(s.lastProgress) > retestAfter
 }
 
 // stalled tells whether tasks are there and none has ended for too long. A
@@ -135,6 +135,6 @@
 	if s.busy == 0 {
 		return false
 	}
-	factor := max(stallFactor/time.Duration(s.busy), stallFloor)
-	return now.Sub(s.progress) > max(factor*usual, stallLeast)
+	factor := max(stallFactor/time.Duration(s.busy), minStallFactor)
+	return now.Sub(s.lastProgress) > max(factor*usual, minStallTime)
 }
--- a/dispatch/pool/pool.go
+++ b/dispatch/pool/pool.go
@@ -35,15 +35,15 @@
 // Pool is the servers of one row of the pools table in this data centre.
 type Pool struct {
 	Name string
-	free Free
-	// servers counts all, aside those set aside.
-	servers, aside int
-	limit          int
-	probes         []*Server
+	free FreeServers
+	// servers counts all, ejectedCount those set ejectedCount.
+	servers, ejectedCount int
+	limit                 int
+	probes                []*Server
 }
 
-// Free returns the servers with room.
-func (p *Pool) Free() *Free { return &p.free }
+// FreeServers returns the servers with room.
+func (p *Pool) FreeServers() *FreeServers { return &p.free }
 
 // Servers returns how many servers the pool has here.
 func (p *Pool) Servers() int { return p.servers }
@@ -51,28 +51,28 @@
 // Limit returns the sum of the tasks that this dispatcher may have there.
 func (p *Pool) Limit() int { return p.limit }
 
-// Aside returns how many of them are set aside.
-func (p *Pool) Aside() int { return p.aside }
+// Ejected returns how many of them are set aside.
+func (p *Pool) Ejected() int { return p.ejectedCount }
 
-// Seat is a server's membership of a pool.
-type Seat struct {
+// Membership is a server's membership of a pool.
+type Membership struct {
 	Server *Server
 	pool   *Pool
 	class  int
 	index  int
 }
 
-// Free is the servers with room, by class of speed.
-type Free struct {
-	classes [classes][]*Seat
+// FreeServers is the servers with room, by class of speed.
+type FreeServers struct {
+	classes [classes][]*Membership
 	n       int
 }
 
 // Len returns how many servers have room.
-func (f *Free) Len() int { return f.n }
+func (f *FreeServers) Len() int { return f.n }
 
 // At returns the i-th server with room, fastest class first.
-func (f *Free) At(i int) *Seat {
+func (f *FreeServers) At(i int) *Membership {
 	for _, c := range f.classes {
 		if i < len(c) {
 			return c[i]
@@ -83,7 +83,7 @@
 }
 
 // Fastest returns the servers with room of the fastest class that has any.
-func (f *Free) Fastest() []*Seat {
+func (f *FreeServers) Fastest() []*Membership {
 	for _, c := range f.classes {
 		if len(c) > 0 {
 			return c
@@ -92,14 +92,14 @@
 	return nil
 }
 
-func (f *Free) add(s *Seat, class int) {
+func (f *FreeServers) add(s *Membership, class int) {
 	s.class = class
 	s.index = len(f.classes[class])
 	f.classes[class] = append(f.classes[class], s)
 	f.n++
 }
 
-func (f *Free) remove(s *Seat) {
+func (f *FreeServers) remove(s *Membership) {
 	list := f.classes[s.class]
 	last := list[len(list)-1]
 	list[s.index] = last
@@ -120,7 +120,7 @@
 	pools   []string
 }
 
-func rows(st *tables.State, dataCenter string) map[key]*row {
+func localServers(st *tables.State, dataCenter string) map[key]*row {
 	out := make(map[key]*row)
 	for _, v := range st.Rows().Servers {
 		if v.DataCenter != dataCenter {
--- a/dispatch/queue/heap.go
+++ b/dispatch/queue/heap.go
@@ -1,10 +1,10 @@
 package queue
 
-// ordered is what a heap holds: values that know their order.
-type ordered[T any] interface{ before(o T) bool }
+// orderable is what a heap holds: values that know their order.
+type orderable[T any] interface{ before(o T) bool }
 
 // heap is a binary heap with the first value at index 0.
-type heap[T ordered[T]] []T
+type heap[T orderable[T]] []T
 
 func (h *heap[T]) push(v T) {
 	*h = append(*h, v)
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -29,7 +29,7 @@
 	Owner any
 
 	waiting int
-	opened  bool
+	started bool
 	queued  bool
 	removed bool
 	key     time.Time
@@ -39,50 +39,50 @@
 // Waiting returns how many tasks of the job wait.
 func (j *Job) Waiting() int { return j.waiting }
 
-// Opened tells whether a task of the job has been taken.
-func (j *Job) Opened() bool { return j.opened }
+// Started tells whether a task of the job has been taken.
+func (j *Job) Started() bool { return j.started }
 
-// SetOpened marks a job, before it is added, as one of which a task was taken.
-func (j *Job) SetOpened(opened bool) { j.opened = opened }
+// SetStarted marks a job, before it is added, as one of which a task was taken.
+func (j *Job) SetStarted(started bool) { j.started = started }
 
 func (j *Job) before(o *Job) bool { return j.key.Before(o.key) }
 
 // Queue is the waiting tasks of one pool.
 type Queue struct {
-	step    time.Duration
-	clock   float64
-	waiting int
-	teams   map[string]*team
-	// fresh holds the jobs of which nothing was taken, opened the others.
-	fresh, opened heap[*teamSide]
+	ageingStep   time.Duration
+	virtualClock float64
+	waiting      int
+	teams        map[string]*team
+	// unstarted holds the jobs of which nothing was taken, started the others.
+	unstarted, started heap[*teamNode]
 }
 
 // team is a flow of the first level.
 type team struct {
-	name    string
-	weight  float64
-	virtual float64
-	waiting int
-	parked  bool
-	// charged is the virtual time of the caller that was served last.
-	charged float64
-	callers map[string]*caller
-	fresh   teamSide
-	opened  teamSide
+	name        string
+	weight      float64
+	virtualTime float64
+	waiting     int
+	paused      bool
+	// callerVirtualTime is the virtual time of the caller that was served last.
+	callerVirtualTime float64
+	callers           map[string]*caller
+	unstarted         teamNode
+	started           teamNode
 }
 
 // caller is a flow of the second level.
 type caller struct {
-	team    *team
-	virtual float64
-	waiting int
-	fresh   callerSide
-	opened  callerSide
+	team        *team
+	virtualTime float64
+	waiting     int
+	unstarted   callerNode
+	started     callerNode
 }
 
 // New makes an empty queue; step is the ageing step of one task.
-func New(step time.Duration) *Queue {
-	return &Queue{step: step, teams: make(map[string]*team)}
+func New(ageingStep time.Duration) *Queue {
+	return &Queue{ageingStep: ageingStep, teams: make(map[string]*team)}
 }
 
 // Len returns the number of waiting tasks.
@@ -91,7 +91,7 @@
 // Backlog returns the waiting tasks of a team, and its part of the weights of
 // all teams that wait, itself included.
 func (q *Queue) Backlog(name string, weight float64) (waiting int, part float64) {
-	weight = orOne(weight)
+	weight = weightOrOne(weight)
 	total := weight
 	for n, t := range q.teams {
 		if n != name && t.waiting > 0 {
@@ -110,15 +110,15 @@
 		return
 	}
 	if !j.queued {
-		j.caller = q.find(j)
+		j.caller = q.callerOf(j)
 	}
 	c := j.caller
 	t := c.team
 	if t.waiting == 0 {
-		t.virtual = max(t.virtual, q.clock)
+		t.virtualTime = max(t.virtualTime, q.virtualClock)
 	}
 	if c.waiting == 0 {
-		c.virtual = max(c.virtual, t.charged)
+		c.virtualTime = max(c.virtualTime, t.callerVirtualTime)
 	}
 	j.waiting += n
 	c.waiting += n
@@ -129,20 +129,20 @@
 	}
 }
 
-func (q *Queue) find(j *Job) *caller {
+func (q *Queue) callerOf(j *Job) *caller {
 	t := q.teams[j.Team]
 	if t == nil {
-		t = &team{name: j.Team, virtual: q.clock, callers: make(map[string]*caller)}
-		t.fresh.team = t
-		t.opened.team = t
+		t = &team{name: j.Team, virtualTime: q.virtualClock, callers: make(map[string]*caller)}
+		t.unstarted.team = t
+		t.started.team = t
 		q.teams[j.Team] = t
 	}
-	t.weight = orOne(j.Weight)
+	t.weight = weightOrOne(j.Weight)
 	c := t.callers[j.Caller]
 	if c == nil {
-		c = &caller{team: t, virtual: t.charged}
-		c.fresh.caller = c
-		c.opened.caller = c
+		c = &caller{team: t, virtualTime: t.callerVirtualTime}
+		c.unstarted.caller = c
+		c.started.caller = c
 		t.callers[j.Caller] = c
 	}
 	return c
@@ -159,15 +159,15 @@
 	if j.caller == nil {
 		return 0
 	}
-	q.count(j, -n)
+	q.addWaiting(j, -n)
 	if j.queued {
-		j.caller.side(j.opened).drop()
+		j.caller.node(j.started).noteRemoved()
 	}
-	q.forget(j.caller)
+	q.forgetIdle(j.caller)
 	return n
 }
 
-func (q *Queue) count(j *Job, n int) {
+func (q *Queue) addWaiting(j *Job, n int) {
 	j.waiting += n
 	j.caller.waiting += n
 	j.caller.team.waiting += n
@@ -176,24 +176,24 @@
 
 // Top returns the job whose task goes next, or nil. With openedOnly, jobs of
 // which nothing was taken yet are passed over.
-func (q *Queue) Top(openedOnly bool) *Job {
-	a := top(&q.opened)
-	if openedOnly {
-		return a
+func (q *Queue) Top(startedOnly bool) *Job {
+	started := top(&q.started)
+	if startedOnly {
+		return started
 	}
-	b := top(&q.fresh)
-	if a == nil || (b != nil && b.precedes(a)) {
-		return b
+	unstarted := top(&q.unstarted)
+	if started == nil || (unstarted != nil && unstarted.precedes(started)) {
+		return unstarted
 	}
-	return a
+	return started
 }
 
 func (j *Job) precedes(o *Job) bool {
 	if j.caller.team != o.caller.team {
-		return j.caller.team.virtual < o.caller.team.virtual
+		return j.caller.team.virtualTime < o.caller.team.virtualTime
 	}
 	if j.caller != o.caller {
-		return j.caller.virtual < o.caller.virtual
+		return j.caller.virtualTime < o.caller.virtualTime
 	}
 	return j.before(o)
 }
@@ -203,57 +203,57 @@
 func (q *Queue) Take(j *Job, cost float64) {
 	c := j.caller
 	t := c.team
-	q.clock = max(q.clock, t.virtual)
-	t.charged = max(t.charged, c.virtual)
-	t.virtual += cost / t.weight
-	c.virtual += cost
-	q.count(j, -1)
-	side := c.side(j.opened)
+	q.virtualClock = max(q.virtualClock, t.virtualTime)
+	t.callerVirtualTime = max(t.callerVirtualTime, c.virtualTime)
+	t.virtualTime += cost / t.weight
+	c.virtualTime += cost
+	q.addWaiting(j, -1)
+	side := c.node(j.started)
 	side.jobs.pop()
 	j.queued = false
-	j.opened = true
+	j.started = true
 	if j.waiting > 0 {
 		q.push(j)
 	}
-	q.forget(c)
+	q.forgetIdle(c)
 }
 
-// forget drops a caller, or a team, that owes nothing. Without it a queue
+// forgetIdle drops a caller, or a team, that owes nothing. Without it a queue
 // would remember every caller it ever saw.
-func (q *Queue) forget(c *caller) {
+func (q *Queue) forgetIdle(c *caller) {
 	t := c.team
-	if t.waiting > 0 || len(t.callers) <= keptFlows && len(q.teams) <= keptFlows {
+	if t.waiting > 0 || len(t.callers) <= maxIdleFlows && len(q.teams) <= maxIdleFlows {
 		return
 	}
 	for n, o := range t.callers {
-		if o.waiting == 0 && o.virtual <= t.charged {
+		if o.waiting == 0 && o.virtualTime <= t.callerVirtualTime {
 			delete(t.callers, n)
 		}
 	}
-	if len(q.teams) > keptFlows && t.virtual <= q.clock && !t.parked {
+	if len(q.teams) > maxIdleFlows && t.virtualTime <= q.virtualClock && !t.paused {
 		delete(q.teams, t.name)
 	}
 }
 
-// Park holds a team back until Unpark; its tasks stay.
-func (q *Queue) Park(name string) {
+// Pause holds a team back until Unpark; its tasks stay.
+func (q *Queue) Pause(name string) {
 	if t := q.teams[name]; t != nil {
-		t.parked = true
+		t.paused = true
 	}
 }
 
-// Unpark lets a team go on.
-func (q *Queue) Unpark(name string) {
+// Resume lets a team go on.
+func (q *Queue) Resume(name string) {
 	t := q.teams[name]
-	if t == nil || !t.parked {
+	if t == nil || !t.paused {
 		return
 	}
-	t.parked = false
-	q.enter(&t.fresh, false)
-	q.enter(&t.opened, true)
+	t.paused = false
+	q.pushTeam(&t.unstarted, false)
+	q.pushTeam(&t.started, true)
 }
 
-func orOne(weight float64) float64 {
+func weightOrOne(weight float64) float64 {
 	if weight <= 0 {
 		return 1
 	}
--- a/dispatch/queue/side.go
+++ b/dispatch/queue/side.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// keptFlows is how many teams, and callers of a team, are remembered while
+// maxIdleFlows is how many teams, and callers of a team, are remembered while
 // they have nothing waiting.
-const keptFlows = 1024
+const maxIdleFlows = 1024
 
-// teamSide is a team's place in the heap of fresh or of opened jobs. Its key
+// teamNode is a team's place in the heap of fresh or of opened jobs. Its key
 // is the virtual time at which it was placed; virtual times only grow, so a
 // stale key is always too small, surfaces early and is then put right.
-type teamSide struct {
+type teamNode struct {
 	team    *team
 	key     float64
 	queued  bool
-	callers heap[*callerSide]
+	callers heap[*callerNode]
 }
 
-func (s *teamSide) before(o *teamSide) bool { return s.key < o.key }
+func (s *teamNode) before(o *teamNode) bool { return s.key < o.key }
 
-// callerSide is the same for a caller.
-type callerSide struct {
+// callerNode is the same for a caller.
+type callerNode struct {
 	caller  *caller
 	key     float64
 	queued  bool
@@ -27,53 +27,53 @@
 	jobs    heap[*Job]
 }
 
-func (s *callerSide) before(o *callerSide) bool { return s.key < o.key }
+func (s *callerNode) before(o *callerNode) bool { return s.key < o.key }
 
-func (t *team) side(opened bool) *teamSide {
-	if opened {
-		return &t.opened
+func (t *team) node(started bool) *teamNode {
+	if started {
+		return &t.started
 	}
-	return &t.fresh
+	return &t.unstarted
 }
 
-func (c *caller) side(opened bool) *callerSide {
-	if opened {
-		return &c.opened
+func (c *caller) node(started bool) *callerNode {
+	if started {
+		return &c.started
 	}
-	return &c.fresh
+	return &c.unstarted
 }
 
 // push places the job by its present number of waiting tasks.
 func (q *Queue) push(j *Job) {
-	j.key = j.Arrived.Add(q.step * time.Duration(j.waiting))
+	j.key = j.Arrived.Add(q.ageingStep * time.Duration(j.waiting))
 	j.queued = true
 	c := j.caller
-	cs := c.side(j.opened)
+	cs := c.node(j.started)
 	cs.jobs.push(j)
-	ts := c.team.side(j.opened)
+	ts := c.team.node(j.started)
 	if !cs.queued {
 		cs.queued = true
-		cs.key = c.virtual
+		cs.key = c.virtualTime
 		ts.callers.push(cs)
 	}
-	q.enter(ts, j.opened)
+	q.pushTeam(ts, j.started)
 }
 
-func (q *Queue) enter(ts *teamSide, opened bool) {
-	if ts.queued || ts.team.parked || len(ts.callers) == 0 {
+func (q *Queue) pushTeam(ts *teamNode, started bool) {
+	if ts.queued || ts.team.paused || len(ts.callers) == 0 {
 		return
 	}
 	ts.queued = true
-	ts.key = ts.team.virtual
-	if opened {
-		q.opened.push(ts)
+	ts.key = ts.team.virtualTime
+	if started {
+		q.started.push(ts)
 		return
 	}
-	q.fresh.push(ts)
+	q.unstarted.push(ts)
 }
 
-// drop notes that one of the side's jobs was removed.
-func (s *callerSide) drop() {
+// noteRemoved notes that one of the side's jobs was removed.
+func (s *callerNode) noteRemoved() {
 	s.removed++
 	if s.removed <= len(s.jobs)/2 {
 		return
@@ -91,16 +91,16 @@
 }
 
 // top returns the first job of a heap of teams, and tidies what it meets.
-func top(h *heap[*teamSide]) *Job {
+func top(h *heap[*teamNode]) *Job {
 	for len(*h) > 0 {
 		ts := (*h)[0]
 		j := ts.top()
 		switch {
-		case j == nil || ts.team.parked:
+		case j == nil || ts.team.paused:
 			ts.queued = false
 			h.pop()
-		case ts.key < ts.team.virtual:
-			ts.key = ts.team.virtual
+		case ts.key < ts.team.virtualTime:
+			ts.key = ts.team.virtualTime
 			h.down(0)
 		default:
 			return j
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (s *teamSide) top() *Job {
+func (s *teamNode) top() *Job {
 	for len(s.callers) > 0 {
 		cs := s.callers[0]
 		j := cs.top()
@@ -117,8 +117,8 @@
 		case j == nil:
 			cs.queued = false
 			s.callers.pop()
-		case cs.key < cs.caller.virtual:
-			cs.key = cs.caller.virtual
+		case cs.key < cs.caller.virtualTime:
+			cs.key = cs.caller.virtualTime
 			s.callers.down(0)
 		default:
 			return j
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (s *callerSide) top() *Job {
+func (s *callerNode) top() *Job {
 	for len(s.jobs) > 0 {
 		if j := s.jobs[0]; !j.removed {
 			return j
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -7,9 +7,9 @@
 
 // report is a result for the tasks from to to-1.
 type report struct {
-	done     func(index int, r Result)
+	done     func(index int, result Result)
 	from, to int
-	r        Result
+	result   Result
 }
 
 // reports hands results to the owners of the jobs, in a goroutine of its own.
@@ -19,18 +19,18 @@
 // each other, and every caller for both. The list is bounded because new work
 // is refused while it is long, and each task is reported once.
 type reports struct {
-	mu    sync.Mutex
-	list  []report
-	tasks int
-	ready chan struct{}
+	mu           sync.Mutex
+	pending      []report
+	pendingTasks int
+	ready        chan struct{}
 }
 
 func newReports() reports { return reports{ready: make(chan struct{}, 1)} }
 
 func (s *reports) add(r report) {
 	s.mu.Lock()
-	s.list = append(s.list, r)
-	s.tasks += r.to - r.from
+	s.pending = append(s.pending, r)
+	s.pendingTasks += r.to - r.from
 	s.mu.Unlock()
 	select {
 	case s.ready <- struct{}{}:
@@ -42,7 +42,7 @@
 func (s *reports) len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tasks
+	return s.pendingTasks
 }
 
 // run hands over results until ctx ends.
@@ -55,10 +55,10 @@
 		}
 		for _, r := range s.take() {
 			for i := r.from; i < r.to; i++ {
-				r.done(i, r.r)
+				r.done(i, r.result)
 			}
 			s.mu.Lock()
-			s.tasks -= r.to - r.from
+			s.pendingTasks -= r.to - r.from
 			s.mu.Unlock()
 		}
 	}
@@ -67,7 +67,7 @@
 func (s *reports) take() []report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.list
-	s.list = nil
+	list := s.pending
+	s.pending = nil
 	return list
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -15,10 +15,10 @@
 // request is a submission, or a cancellation when b is nil. Both go through
 // one ring, so that a cancellation never overtakes its submission.
 type request struct {
-	b      *Batch
-	job    string
-	claim  *atomic.Bool
-	answer chan error
+	batch   *Batch
+	job     string
+	claimed *atomic.Bool
+	answer  chan error
 }
 
 // Submit takes all tasks of the batch, or refuses it whole. It never waits
@@ -29,7 +29,7 @@
 // waiting submitter, who says "not run". Without it a submission that was
 // refused for the time-out may be taken later, and a "not run" would be false.
 func (d *Dispatcher) Submit(b Batch) error {
-	r := request{b: &b, claim: new(atomic.Bool), answer: make(chan error, 1)}
+	r := request{batch: &b, claimed: new(atomic.Bool), answer: make(chan error, 1)}
 	select {
 	case d.requests <- r:
 	default:
@@ -41,11 +41,11 @@
 	case err := <-r.answer:
 		return err
 	case <-d.stopped:
-		if r.claim.CompareAndSwap(false, true) {
+		if r.claimed.CompareAndSwap(false, true) {
 			return refusal.New(refusal.Stopping, "")
 		}
 	case <-t.C:
-		if r.claim.CompareAndSwap(false, true) {
+		if r.claimed.CompareAndSwap(false, true) {
 			return refusal.New(refusal.Overloaded, "the queue does not answer").After(time.Second)
 		}
 	}
@@ -61,56 +61,56 @@
 	}
 }
 
-// take works on a request and on all that wait behind it, so that a wave of
+// handleRequests works on a request and on all that wait behind it, so that a wave of
 // cancellations ends before the next task of one of them is placed.
-func (d *Dispatcher) take(r request) {
-	d.serve(r)
-	for range ring {
+func (d *Dispatcher) handleRequests(r request) {
+	d.handleRequest(r)
+	for range requestBuffer {
 		select {
 		case r = <-d.requests:
-			d.serve(r)
+			d.handleRequest(r)
 		default:
 			return
 		}
 	}
 }
 
-// serve works on one request. A submission whose submitter has given up is left
+// handleRequest works on one request. A submission whose submitter has given up is left
 // alone.
-func (d *Dispatcher) serve(r request) {
+func (d *Dispatcher) handleRequest(r request) {
 	switch {
-	case r.b == nil:
-		d.p.Cancel(r.job)
-	case r.claim.CompareAndSwap(false, true):
-		r.answer <- d.admit(r.b)
+	case r.batch == nil:
+		d.planner.Cancel(r.job)
+	case r.claimed.CompareAndSwap(false, true):
+		r.answer <- d.admit(r.batch)
 	}
 }
 
 func (d *Dispatcher) admit(b *Batch) error {
 	now := d.clock.Now()
-	d.p.Allow(d.dir.MayPlace(now))
+	d.planner.SetMayPlace(d.dir.MayPlace(now))
 	if d.reports.len() > d.cfg.QueuedTasks {
 		return refusal.New(refusal.Overloaded, "results wait to be taken").After(time.Second)
 	}
-	err := d.p.Submit(now, plan.Job{
-		ID:      b.Job,
-		Kind:    b.Kind,
-		Caller:  b.Caller,
-		Team:    b.Team,
-		Expires: b.Expires,
-		Request: b.Request,
-		Guest:   b.Guest,
-		Tasks:   len(b.Tasks),
+	err := d.planner.Submit(now, plan.Job{
+		ID:       b.Job,
+		Kind:     b.Kind,
+		Caller:   b.Caller,
+		Team:     b.Team,
+		Expires:  b.Expires,
+		Request:  b.Request,
+		FromPeer: b.FromPeer,
+		Tasks:    len(b.Tasks),
 	})
 	if err == nil {
 		d.batches[b.Job] = &batch{*b, len(b.Tasks)}
 		return nil
 	}
-	d.m.Count(meter.JobsRefused, 1)
+	d.metrics.Count(meter.JobsRefused, 1)
 	var r *refusal.Refusal
-	if errors.As(err, &r) && r.Code == refusal.Overloaded && now.Sub(d.complain) > quiet {
-		d.complain = now
-		event.QueueFull.Log(d.log, "waiting", d.p.Waiting(), "reason", r.Sentence)
+	if errors.As(err, &r) && r.Code == refusal.Overloaded && now.Sub(d.queueFullLoggedAt) > queueFullLogInterval {
+		d.queueFullLoggedAt = now
+		event.QueueFull.Log(d.log, "waiting", d.planner.Waiting(), "reason", r.Sentence)
 	}
 	return err
 }
--- a/dispatch/world.go
+++ b/dispatch/world.go
@@ -10,26 +10,26 @@
 	"snipehub.example/roster"
 )
 
-// look brings the tables and members into force that the directory has now, if
-// they have changed: applying them costs a look at every backend server.
-func (d *Dispatcher) look(now time.Time) {
-	d.looked = now
+// refreshCluster brings the tables and members into force that the directory has now, if
+// they have changed: applying them costs a refreshCluster at every backend server.
+func (d *Dispatcher) refreshCluster(now time.Time) {
+	d.membersReadAt = now
 	known := d.dir.Members(now)
 	m, live := d.members(known)
-	d.canReceive(known)
-	w := plan.World{
+	d.setPeers(known)
+	w := plan.Cluster{
 		Tables:      d.dir.State(),
 		Members:     m,
 		Dispatchers: live,
 		MayPlace:    d.dir.MayPlace(now),
 		Usable:      func(a netip.AddrPort) bool { return d.dir.Usable(d.clock.Now(), a) },
 	}
-	same := w.Tables == d.world.Tables && live == d.world.Dispatchers && maps.Equal(m.Sizes, d.world.Members.Sizes)
-	if same {
+	unchanged := w.Tables == d.cluster.Tables && live == d.cluster.Dispatchers && maps.Equal(m.Sizes, d.cluster.Members.Sizes)
+	if unchanged {
 		return
 	}
-	d.world = w
-	d.p.SetWorld(now, w)
+	d.cluster = w
+	d.planner.SetCluster(now, w)
 }
 
 // members returns who divides the slots of this data centre, and how many
