--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,12 +1,11 @@
 // Package dispatch places tasks on backend servers.
 //
-// Tasks wait in queues and get a backend server only when a connection of this
-// dispatcher and a slot of the server are free (late binding). What starts when
-// and where is decided in package plan, which is a plain value; this package is
-// the shell around it. One goroutine owns the planner and never waits for
-// anybody; the attempts run in goroutines of their own, at most as many as there
-// are connections; one more goroutine tells the owners of jobs what became of
-// their tasks.
+// Tasks wait in queues and are bound to a backend server only when a connection of this
+// dispatcher and a slot of the server are free (late binding). Package plan decides what
+// starts when and where, as a deterministic state machine without I/O; this package is
+// its driver. One goroutine owns the planner and never blocks. Each attempt runs in a
+// goroutine of its own, at most one per connection. A further goroutine reports results
+// to the owners of the jobs.
 package dispatch
 
 import (
@@ -37,12 +36,12 @@
 	Expires time.Time
 	// Type is the content type of the tasks' bodies.
 	Type string
-	// Request tells that this is one request passed through and not a job:
-	// whatever status the backend server answers goes to the caller, and a
-	// route may allow it to be repeated.
+	// Request is set if this is a single request passed through rather than a job: any
+	// status that the backend server answers goes to the caller, and the route may allow
+	// the request to be repeated.
 	Request bool
-	// FromPeer tells that this is one task that a peer has handed over; Job is
-	// then the id of the attempt.
+	// FromPeer is set if this is one task that a peer has handed over; Job is then the id
+	// of the attempt.
 	FromPeer bool
 	Tasks    [][]byte
 	// Done is called once for each task, from any goroutine.
@@ -55,25 +54,25 @@
 	Done   bool
 	Answer []byte
 	Error  string
-	// Status and Type are the backend server's, set when it answered.
+	// Status and Type are those of the backend server's answer, if it answered.
 	Status int
 	Type   string
 }
 
-// Directory is what placing needs to know of the world.
+// Directory provides the cluster state that placing depends on.
 type Directory interface {
 	// State returns the tables in force.
 	State() *tables.State
-	// Usable tells whether new work may go to a backend server: false when
-	// the VM list says that it is leaving, or while it is held back after a
-	// move from one half to the other.
+	// Usable reports whether new work may go to a backend server. It is false if the VM
+	// list says that the server is leaving, or while the server is held back after a move
+	// from one half to the other.
 	Usable(now time.Time, server netip.AddrPort) bool
-	// MayPlace is false while this process must not start anything: it alone
-	// is cut off and its tables are stale, or it was frozen and has not yet
-	// confirmed them.
+	// MayPlace reports whether this process may start tasks. It is false if this process
+	// alone is cut off and its tables are stale, or if it was suspended and has not yet
+	// confirmed its tables.
 	MayPlace(now time.Time) bool
-	// Members returns the dispatchers that are not gone, of all data centres,
-	// this process included.
+	// Members returns the dispatchers of all data centres that are not gone, including
+	// this process.
 	Members(now time.Time) []roster.Known
 }
 
@@ -82,36 +81,37 @@
 	Deliver(ctx context.Context, a delivery.Attempt) delivery.Outcome
 }
 
-// metricSink is what the dispatcher tells the metricSink.
+// metricSink receives the dispatcher's metrics.
 type metricSink interface {
 	Count(name meter.Name, n int64)
 	Gauge(name meter.Name, v float64)
 }
 
-// Config sets the bounds of a dispatcher.
+// Config configures a dispatcher.
 type Config struct {
 	plan.Config
-	// Self names this process among Directory.Members.
+	// Self identifies this process among Directory.Members.
 	Self roster.Member
 }
 
 const (
-	// tickInterval is how often time works on the planner.
+	// tickInterval is the interval between two calls of the planner's Tick.
 	tickInterval = 50 * time.Millisecond
-	// membersInterval is how often the members are looked at. Their list is copied and
-	// sorted, so looking with each period cost an idle process 74 µs a second for
-	// each member: a third of a core at the 4,600 members of the letter's size.
-	// Heartbeats bring news of a member once a second at the most.
+	// membersInterval is the interval between two reads of the member list. Each read
+	// copies and sorts the list: reading it every tickInterval cost an idle process 74 µs
+	// a second per member, a third of a core at the target size of 4,600 members. A
+	// member's heartbeat changes its entry at most once a second.
 	membersInterval = 500 * time.Millisecond
-	// requestBuffer is how many submissions and cancellations wait for the planner.
+	// requestBuffer is the number of submissions and cancellations that can wait for the
+	// planner.
 	requestBuffer = 1024
-	// submitTimeout is how long a submission waits for the planner.
+	// submitTimeout is the longest time that a submission waits for the planner.
 	submitTimeout = 2 * time.Second
-	// queueFullLogInterval is the least time between two log lines about a full queue.
+	// queueFullLogInterval is the shortest time between two log lines about a full queue.
 	queueFullLogInterval = 10 * time.Second
 )
 
-// Dispatcher is the shell around the planner. It is a suture service.
+// Dispatcher drives the planner. It is a suture service.
 type Dispatcher struct {
 	cfg       Config
 	deliverer taskDeliverer
@@ -130,7 +130,7 @@
 
 	planner *plan.Planner
 	cluster plan.Cluster
-	// membersReadAt is when the members were last membersReadAt at.
+	// membersReadAt is when the member list was last read.
 	membersReadAt     time.Time
 	batches           map[string]*batch
 	sender            sender
@@ -146,17 +146,18 @@
 	unfinished int
 }
 
-// plannerEvent is the outcome of an attempt, or what a peer tells of its room.
+// plannerEvent is the outcome of an attempt or, if peer is set, a peer's report of its
+// free slots.
 type plannerEvent struct {
 	attemptID uint64
 	outcome   delivery.Outcome
-	// handedOver tells that the attempt was a peer's, who counts it.
+	// handedOver is set if the attempt was handed to a peer, which counts its outcome.
 	handedOver bool
 	peer       string
 	free       int
 }
 
-// New makes a dispatcher.
+// New returns a dispatcher; Serve runs it.
 func New(cfg Config, c taskDeliverer, dir Directory, ticks *clock.Service, log *slog.Logger, m metricSink) *Dispatcher {
 	return &Dispatcher{
 		cfg:           cfg,
@@ -177,10 +178,10 @@
 	}
 }
 
-// Free returns how many more tasks could start now.
+// Free returns how many more tasks could start now, as of the last tick.
 func (d *Dispatcher) Free() int { return int(d.free.Load()) }
 
-// Wake tells that the tables have changed.
+// Wake notifies the dispatcher that the tables have changed.
 func (d *Dispatcher) Wake() {
 	select {
 	case d.wake <- struct{}{}:
@@ -248,7 +249,7 @@
 	d.metrics.Gauge(meter.HandedTasks, float64(d.planner.HandedOver()))
 }
 
-// runActions asks the planner what to do, and does it.
+// runActions asks the planner for its decisions and carries them out.
 func (d *Dispatcher) runActions(ctx context.Context) {
 	now := d.clock.Now()
 	d.planner.SetMayPlace(d.dir.MayPlace(now))
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -22,10 +22,10 @@
 	"snipehub.example/ticket"
 )
 
-// fakeDirectory is one backend server with two slots, and nobody else.
+// fakeDirectory has one backend server with two slots and no other dispatchers.
 type fakeDirectory struct {
 	state *tables.State
-	// cutOff tells that nothing may be placed.
+	// cutOff is set while nothing may be placed.
 	cutOff *atomic.Bool
 }
 
@@ -34,7 +34,7 @@
 func (w fakeDirectory) MayPlace(time.Time) bool               { return !w.cutOff.Load() }
 func (w fakeDirectory) Members(time.Time) []roster.Known      { return nil }
 
-// fakeDeliverer does each task in a second and counts the starts.
+// fakeDeliverer completes each task after a second and records the starts.
 type fakeDeliverer struct {
 	mu     sync.Mutex
 	starts []string
@@ -73,7 +73,7 @@
 	return New(cfg, h, fakeDirectory{st, new(atomic.Bool)}, ticks, slog.New(slog.DiscardHandler), m), h, ticks
 }
 
-// serve runs the dispatcher and its clock until the test's end.
+// serve runs the dispatcher and its clock until the end of the test.
 func serve(t *testing.T, d *Dispatcher, ticks *clock.Service) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -90,14 +90,14 @@
 	return Batch{Job: id, Kind: "price", Caller: "x", Expires: time.Now().Add(time.Hour), Tasks: make([][]byte, n), Done: done}
 }
 
-// An owner holds its lock while it submits, and takes the same lock when a task
-// has ended. Were the two told by one goroutine, both would wait for ever, and
-// so would every caller of the process.
+// An owner holds its lock while it submits and takes the same lock in Done. If one
+// goroutine served both, they would deadlock, and every caller of the process with them.
 func TestDoneDoesNotBlockSubmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, ticks := newDispatcher(t)
 		serve(t, d, ticks)
-		// A channel as the lock: synctest does not see a wait for a mutex.
+		// The lock is a channel because synctest does not treat a wait for a mutex as
+		// blocked.
 		lock := make(chan struct{}, 1)
 		ended := 0
 		done := func(int, Result) {
@@ -122,9 +122,8 @@
 	})
 }
 
-// A process has just confirmed its tables, and tells the balancer that it is
-// ready. A caller who comes in the same moment must not be told that the process
-// is cut off, because the planner last looked before.
+// A process reports ready right after it has confirmed its tables. A submission at that
+// moment must not be refused as cut off because the planner last checked earlier.
 func TestReadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, ticks := newDispatcher(t)
@@ -139,16 +138,15 @@
 		}
 		barred.Store(true)
 		if d.Submit(newBatch("second", 1, func(int, Result) {})) == nil {
-			t.Error("taken while nothing may be placed")
+			t.Error("accepted while nothing may be placed")
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// The planner does not run for a while, as after a freeze. The submitter gets a
-// "not run" after a bounded time, and the submission that is still in the ring
-// must not be taken when the planner runs again: the caller may have submitted
-// the same order under a new identity.
+// The planner does not run for a while, as after a suspension. The submitter gets "not
+// run" within submitTimeout, and the submission that is still queued must not start
+// later: the caller may have submitted the same order again under a new identity.
 func TestTimedOutSubmissionNeverStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, h, ticks := newDispatcher(t)
@@ -166,8 +164,8 @@
 	})
 }
 
-// More submissions come at once than the ring holds while the planner does not
-// run. None may wait for ever.
+// While the planner does not run, more submissions arrive than the channel holds. None of
+// them may block for ever.
 func TestFullRingRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, _ := newDispatcher(t)
@@ -175,7 +173,7 @@
 		for range 2 * requestBuffer {
 			waiting.Go(func() {
 				if d.Submit(newBatch("x", 1, func(int, Result) {})) == nil {
-					t.Error("taken without a planner")
+					t.Error("accepted without a planner")
 				}
 			})
 		}
@@ -183,8 +181,8 @@
 	})
 }
 
-// A caller cancels a job of ten tasks when two have started. The two end, the
-// others are told as not run and never start.
+// A job of ten tasks is cancelled when two have started. Those two end; the others are
+// reported as not run and never start.
 func TestCancelledTasksNeverStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, h, ticks := newDispatcher(t)
--- a/dispatch/hand.go
+++ b/dispatch/hand.go
@@ -10,7 +10,7 @@
 	"snipehub.example/roster"
 )
 
-// HandoverTask is a task on its way to a peer.
+// HandoverTask is a task to be handed over to a peer.
 type HandoverTask struct {
 	Job            string
 	Index, Attempt int
@@ -21,24 +21,24 @@
 	Expires        time.Time
 }
 
-// sender hands tasks over to a peer. Send returns when all have an outcome.
+// sender hands tasks over to a peer. Send returns once every task has an outcome.
 type sender interface {
 	Send(ctx context.Context, to roster.Known, tasks []HandoverTask, done func(i int, o delivery.Outcome), room func(free int))
 }
 
 const (
-	// maxHandovers is how many batches may be with peers at once.
+	// maxHandovers bounds the batches that are with peers at once.
 	maxHandovers = 256
-	// maxHandoverBytes bounds the bodies of one batch, so that a message between
-	// dispatchers stays small.
+	// maxHandoverBytes bounds the bodies of one batch, to keep messages between
+	// dispatchers small. A batch holds at least one task.
 	maxHandoverBytes = 512 << 10
 )
 
-// SetSender tells who carries hand-overs. It is called before Serve; without
-// it, or with a policy that does not hand over, all tasks stay here.
+// SetSender sets the sender for handovers. It must be called before Serve. Without a
+// sender, or with a policy that does not hand over, every task stays on this dispatcher.
 func (d *Dispatcher) SetSender(s sender) { d.sender = s }
 
-// sendHandover sends the batches that the planner asks for.
+// sendHandover sends the tasks of h to its peer, split into batches.
 func (d *Dispatcher) sendHandover(ctx context.Context, h plan.Handover) {
 	to, ok := d.peers[h.Peer]
 	for len(h.Items) > 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// fittingTasks returns how many of the items go into one batch.
+// fittingTasks returns how many of the first items fit into one batch.
 func (d *Dispatcher) fittingTasks(items []plan.HandoverItem) int {
 	bytes := 0
 	for i, it := range items {
@@ -103,7 +103,7 @@
 	return out
 }
 
-// returnTasks gives tasks back to the planner that were not sent to anybody.
+// returnTasks reports tasks that were not sent to any peer as not run.
 func (d *Dispatcher) returnTasks(items []plan.HandoverItem) {
 	now := d.clock.Now()
 	for _, it := range items {
@@ -111,7 +111,7 @@
 	}
 }
 
-// setPeers tells the planner which peers may take tasks.
+// setPeers passes the live dispatchers to the planner as possible receivers of tasks.
 func (d *Dispatcher) setPeers(known []roster.Known) {
 	if d.sender == nil {
 		return
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// report is a result for the tasks from to to-1.
+// report is a result that applies to the tasks from through to-1.
 type report struct {
 	done     func(index int, result Result)
 	from, to int
 	result   Result
 }
 
-// reports hands results to the owners of the jobs, in a goroutine of its own.
+// reports calls Done of the jobs' owners in a goroutine of its own.
 //
-// An owner takes its lock in Done, and may hold it while it waits for Submit.
-// Were Done called by the goroutine that answers Submit, the two would wait for
-// each other, and every caller for both. The list is bounded because new work
-// is refused while it is long, and each task is reported once.
+// An owner locks its mutex in Done and may hold it while it waits for Submit. If the
+// goroutine that answers Submit called Done, the two would deadlock, and every caller
+// with them. The list is bounded: new work is refused while it is long, and each task is
+// reported once.
 type reports struct {
 	mu           sync.Mutex
 	pending      []report
@@ -38,14 +38,14 @@
 	}
 }
 
-// len returns the number of tasks whose result was not yet handed over.
+// len returns the number of tasks whose result is not yet delivered.
 func (s *reports) len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pendingTasks
 }
 
-// run hands over results until ctx ends.
+// run delivers results until ctx ends.
 func (s *reports) run(ctx context.Context) {
 	for {
 		select {
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -12,8 +12,8 @@
 	"snipehub.example/refusal"
 )
 
-// request is a submission, or a cancellation when b is nil. Both go through
-// one ring, so that a cancellation never overtakes its submission.
+// request is a submission or, if batch is nil, a cancellation. Both go through one
+// channel, so that a cancellation never overtakes its submission.
 type request struct {
 	batch   *Batch
 	job     string
@@ -21,13 +21,13 @@
 	answer  chan error
 }
 
-// Submit takes all tasks of the batch, or refuses it whole. It never waits
-// longer than submitTimeout.
+// Submit accepts all tasks of the batch or refuses it as a whole. It waits for
+// submitTimeout at most.
 //
-// The planner may be late (the process was frozen, a service restarts). Whoever
-// sets claim first decides: the planner, which then answers at once, or the
-// waiting submitter, who says "not run". Without it a submission that was
-// refused for the time-out may be taken later, and a "not run" would be false.
+// The planner may be late, because the process was suspended or a service restarts.
+// Whoever sets claimed first decides: the planner, which then answers at once, or the
+// waiting submitter, which returns "not run". Without this flag the planner could accept
+// a submission after its time-out had been reported as "not run".
 func (d *Dispatcher) Submit(b Batch) error {
 	r := request{batch: &b, claimed: new(atomic.Bool), answer: make(chan error, 1)}
 	select {
@@ -52,8 +52,8 @@
 	return <-r.answer
 }
 
-// Cancel drops the tasks of a job that have not started. It waits only for a
-// place in the ring; the planner empties the ring without waiting for anybody.
+// Cancel drops the tasks of a job that have not started. It blocks only while the request
+// channel is full; the planner empties that without blocking.
 func (d *Dispatcher) Cancel(job string) {
 	select {
 	case d.requests <- request{job: job}:
@@ -61,8 +61,8 @@
 	}
 }
 
-// handleRequests works on a request and on all that wait behind it, so that a wave of
-// cancellations ends before the next task of one of them is placed.
+// handleRequests handles a request and those queued behind it, so that a wave of
+// cancellations is complete before the next task of a cancelled job is placed.
 func (d *Dispatcher) handleRequests(r request) {
 	d.handleRequest(r)
 	for range requestBuffer {
@@ -75,8 +75,8 @@
 	}
 }
 
-// handleRequest works on one request. A submission whose submitter has given up is left
-// alone.
+// handleRequest handles one request. A submission whose submitter has given up is
+// ignored.
 func (d *Dispatcher) handleRequest(r request) {
 	switch {
 	case r.batch == nil:
--- a/dispatch/world.go
+++ b/dispatch/world.go
@@ -10,8 +10,8 @@
 	"snipehub.example/roster"
 )
 
-// refreshCluster brings the tables and members into force that the directory has now, if
-// they have changed: applying them costs a refreshCluster at every backend server.
+// refreshCluster applies the directory's tables and members if they have changed.
+// Applying them visits every backend server.
 func (d *Dispatcher) refreshCluster(now time.Time) {
 	d.membersReadAt = now
 	known := d.dir.Members(now)
@@ -32,9 +32,9 @@
 	d.planner.SetCluster(now, w)
 }
 
-// members returns who divides the slots of this data centre, and how many
-// dispatchers are live in all. One that is suspect or leaving gets no part: its
-// slots would stand idle.
+// members returns the dispatchers that divide the slots of this data centre, and the
+// number of live dispatchers in all data centres. A member that is suspect or leaving
+// gets no share, because its slots would stay idle.
 func (d *Dispatcher) members(known []roster.Known) (pool.Members, int) {
 	self := d.cfg.Self.Owner.String()
 	out := pool.Members{Self: self, Sizes: map[string]int{self: d.cfg.Connections}}
@@ -51,8 +51,8 @@
 	return out, live
 }
 
-// size is the relative size of a member; one that does not tell counts as
-// large as this one.
+// size returns the relative size of a member: its connections or, if it reports none,
+// own.
 func size(k roster.Known, own int) int {
 	if k.Connections > 0 {
 		return k.Connections
