--- a/dispatch/pool/fleet.go
+++ b/dispatch/pool/fleet.go
@@ -9,12 +9,12 @@
 	"snipehub.example/tables"
 )
 
-// Limiter says how many of a server's slots this dispatcher may use.
+// Limiter decides how many of a server's slots this dispatcher may use.
 type Limiter interface {
 	Limit(server netip.AddrPort, slots int, among Members) int
 }
 
-// Fleet is all backend servers of this data centre.
+// Fleet is the set of backend servers of this data centre.
 type Fleet struct {
 	dataCenter      string
 	limiter         Limiter
@@ -23,7 +23,7 @@
 	members Members
 	servers map[key]*Server
 	pools   map[string]*Pool
-	// byAddress is the servers by address.
+	// byAddress holds the servers sorted by address.
 	byAddress      []*Server
 	busyServers    []*Server
 	backingOff     []*Server
@@ -37,14 +37,14 @@
 type HealthChange struct {
 	Server  netip.AddrPort
 	Ejected bool
-	// LimitReached tells that the server should be set aside, but that too large a
-	// part of its pool is already.
+	// LimitReached is set if the server should be ejected, but the largest allowed share
+	// of its pool already is.
 	LimitReached bool
 	Reason       Reason
 }
 
-// New makes an empty fleet. Of each pool at most asideShare, from 0 to 1, is
-// set aside at once.
+// New returns an empty fleet. At most maxEjectedShare, from 0 to 1, of each pool is
+// ejected at a time.
 func New(dataCenter string, limiter Limiter, maxEjectedShare float64) *Fleet {
 	return &Fleet{
 		dataCenter:      dataCenter,
@@ -55,17 +55,17 @@
 	}
 }
 
-// Pool returns a pool, or nil when it has no servers here.
+// Pool returns the pool with the given name, or nil if it has no servers here.
 func (f *Fleet) Pool(name string) *Pool { return f.pools[name] }
 
-// HealthChanges returns what has changed since the last call.
+// HealthChanges returns the changes since the last call.
 func (f *Fleet) HealthChanges() []HealthChange {
 	n := f.healthChanges
 	f.healthChanges = nil
 	return n
 }
 
-// Apply brings the tables and the members into force.
+// Apply brings new tables and members into force.
 func (f *Fleet) Apply(now time.Time, st *tables.State, m Members) {
 	membersChanged := m.Self != f.members.Self || !maps.Equal(m.Sizes, f.members.Sizes)
 	f.members = m
@@ -78,7 +78,7 @@
 			f.forgetIfGone(s)
 		}
 	}
-	// In a fixed order, so that two runs with one seed are the same.
+	// The order is fixed, so that two runs with the same seed are identical.
 	for _, a := range slices.SortedFunc(maps.Keys(wanted), netip.AddrPort.Compare) {
 		r := wanted[a]
 		s := f.servers[a]
@@ -123,15 +123,15 @@
 }
 
 func (f *Fleet) leavePools(s *Server) {
-	for _, t := range s.memberships {
-		if t.index >= 0 {
-			t.pool.free.remove(t)
+	for _, ms := range s.memberships {
+		if ms.index >= 0 {
+			ms.pool.free.remove(ms)
 		}
 	}
 	s.memberships = nil
 }
 
-// countServers sets the counts of the pools, and drops pools without servers.
+// countServers recomputes the totals of the pools and drops pools without servers.
 func (f *Fleet) countServers() {
 	best := make(map[*Pool]*Server)
 	for _, p := range f.pools {
@@ -140,8 +140,8 @@
 		p.limit = 0
 	}
 	for _, s := range f.servers {
-		for _, t := range s.memberships {
-			p := t.pool
+		for _, ms := range s.memberships {
+			p := ms.pool
 			p.servers++
 			p.limit += s.limit
 			if s.Ejected() {
@@ -157,10 +157,9 @@
 			delete(f.pools, name)
 		}
 	}
-	// Where the slots of a whole pool are fewer than the dispatchers, a
-	// dispatcher may get none, and its callers' tasks would wait for ever. It
-	// then uses one slot of the server that its own hash prefers; a collision
-	// there costs a refusal.
+	// If a pool has fewer slots than there are dispatchers, a dispatcher may get none, and
+	// its callers' tasks would wait for ever. It then uses one slot of the server that its
+	// own hash prefers; a collision there costs a refusal.
 	for p, s := range best {
 		if s.limit == 0 {
 			s.limit = 1
@@ -176,14 +175,15 @@
 	return Score(s.Address, f.members.Self) > Score(o.Address, f.members.Self)
 }
 
-// forgetIfGone forgets a server that the tables no longer have, once its tasks ended.
+// forgetIfGone drops a server that is no longer in the tables once its tasks have ended.
 func (f *Fleet) forgetIfGone(s *Server) {
 	if len(s.memberships) == 0 && s.busy == 0 {
 		delete(f.servers, s.Address)
 	}
 }
 
-// updateFree puts the server into the lists of those with room, or takes it out.
+// updateFree recomputes the server's free slots, and adds it to or removes it from the
+// free lists of its pools.
 func (f *Fleet) updateFree(now time.Time, s *Server) {
 	free := 0
 	if !s.leaving && s.healthState == stateInUse {
@@ -193,18 +193,18 @@
 	s.freeSlots = free
 	hasRoom := free > 0 && !now.Before(s.backoffUntil)
 	class := s.class()
-	for _, t := range s.memberships {
-		if t.index >= 0 && (!hasRoom || t.class != class) {
-			t.pool.free.remove(t)
+	for _, ms := range s.memberships {
+		if ms.index >= 0 && (!hasRoom || ms.class != class) {
+			ms.pool.free.remove(ms)
 		}
-		if t.index < 0 && hasRoom {
-			t.pool.free.add(t, class)
+		if ms.index < 0 && hasRoom {
+			ms.pool.free.add(ms, class)
 		}
 	}
 }
 
-// Probe returns a server of the pool that is due to be tried with one task, or
-// nil: one that is set aside, or one that was slow and has been unused for long.
+// Probe returns a server of the pool that is due for a probe with one task, or nil. It is
+// either ejected, or was slow and has been unused for a long time.
 func (p *Pool) Probe() *Server {
 	for len(p.probes) > 0 {
 		s := p.probes[0]
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// BackOff keeps a server without tasks until the given time.
+// BackOff keeps new tasks off a server until the given time.
 func (f *Fleet) BackOff(now time.Time, s *Server, until time.Time) {
 	s.backoffUntil = until
 	f.trackBackoff(s)
@@ -230,7 +230,7 @@
 	}
 }
 
-// Start notes that a task starts on the server.
+// Start records that a task starts on the server.
 func (f *Fleet) Start(now time.Time, s *Server) {
 	s.probeDue = false
 	if s.healthState == stateEjected {
@@ -248,16 +248,16 @@
 	f.updateFree(now, s)
 }
 
-// End notes that a task has ended there after the time given.
-func (f *Fleet) End(now time.Time, s *Server, v Verdict, took time.Duration, u *ServiceTime) {
+// End records that a task has ended on the server after the given time.
+func (f *Fleet) End(now time.Time, s *Server, v Verdict, took time.Duration, t *ServiceTime) {
 	s.busy--
 	s.lastProgress = now
 	if s.busy == 0 {
 		f.removeBusy(s)
 	}
-	usual := u.Mean()
+	usual := t.Mean()
 	if v == Good {
-		u.learn(took, s)
+		t.learn(took, s)
 	}
 	switch s.healthState {
 	case stateProbing:
@@ -288,18 +288,18 @@
 		return
 	}
 	s.restore()
-	for _, t := range s.memberships {
-		t.pool.ejectedCount--
+	for _, ms := range s.memberships {
+		ms.pool.ejectedCount--
 	}
 	f.healthChanges = append(f.healthChanges, HealthChange{Server: s.Address})
 }
 
-// eject sets a server aside unless too much of a pool is already. Without
-// the bound a fault that all servers share, such as a kind of task that fails
-// everywhere, would empty the pool.
+// eject ejects a server, unless the largest allowed share of one of its pools is ejected
+// already. Without that bound a fault that all servers share, such as a kind of task that
+// fails everywhere, would empty the pool.
 func (f *Fleet) eject(now time.Time, s *Server, ejectReason Reason) {
-	for _, t := range s.memberships {
-		if float64(t.pool.ejectedCount+1) > f.maxEjectedShare*float64(t.pool.servers) {
+	for _, ms := range s.memberships {
+		if float64(ms.pool.ejectedCount+1) > f.maxEjectedShare*float64(ms.pool.servers) {
 			if s.failuresInRow == ejectAfterFailures {
 				f.healthChanges = append(f.healthChanges, HealthChange{Server: s.Address, LimitReached: true, Reason: ejectReason})
 			}
@@ -308,15 +308,15 @@
 	}
 	s.ejectReason = ejectReason
 	s.markEjected(now)
-	for _, t := range s.memberships {
-		t.pool.ejectedCount++
+	for _, ms := range s.memberships {
+		ms.pool.ejectedCount++
 	}
 	f.ejectedServers = append(f.ejectedServers, s)
 	f.healthChanges = append(f.healthChanges, HealthChange{Server: s.Address, Ejected: true, Reason: ejectReason})
 }
 
-// Tick looks for stalls, ends rests and makes probes due; usual is the longest
-// usual service time of the kinds in use.
+// Tick detects stalled servers, ends backoffs and schedules probes; usual is the longest
+// mean service time of the kinds in use.
 func (f *Fleet) Tick(now time.Time, usual time.Duration) {
 	for _, s := range f.busyServers {
 		if s.healthState == stateInUse && s.stalled(now, usual) {
@@ -339,7 +339,8 @@
 	f.probeUnused(now)
 }
 
-// probeUnused adds the servers that were slow and probeUnused for long to the probes.
+// probeUnused schedules probes for servers that were slow and have been unused for a long
+// time.
 func (f *Fleet) probeUnused(now time.Time) {
 	if now.Sub(f.lastUnusedScan) < unusedScanInterval {
 		return
@@ -350,21 +351,22 @@
 			continue
 		}
 		s.probeDue = true
-		for _, t := range s.memberships {
-			t.pool.probes = append(t.pool.probes, s)
+		for _, ms := range s.memberships {
+			ms.pool.probes = append(ms.pool.probes, s)
 		}
 	}
 }
 
-// probeEjected lists the servers whose probe is probeEjected.
+// probeEjected rebuilds the pools' probe lists with the ejected servers whose probe is
+// due.
 func (f *Fleet) probeEjected(now time.Time) {
 	for _, p := range f.pools {
 		p.probes = p.probes[:0]
 	}
 	kept := f.ejectedServers[:0]
 	for _, s := range f.ejectedServers {
-		// One that is in no pool stays in the list while tasks are there: its row may
-		// come back before they end, and without a probe it would be aside for good.
+		// A server that is in no pool stays in the list while it has tasks: its row may
+		// come back before they end, and without a probe it would stay ejected for good.
 		if !s.Ejected() || f.servers[s.Address] != s {
 			continue
 		}
@@ -373,14 +375,14 @@
 		if !s.probeDue {
 			continue
 		}
-		for _, t := range s.memberships {
-			t.pool.probes = append(t.pool.probes, s)
+		for _, ms := range s.memberships {
+			ms.pool.probes = append(ms.pool.probes, s)
 		}
 	}
 	clear(f.ejectedServers[len(kept):])
 	f.ejectedServers = kept
 }
 
-// FreeSlots returns how many more tasks this dispatcher may start by the limits of
-// its servers.
+// FreeSlots returns how many more tasks this dispatcher may start by the limits of its
+// servers.
 func (f *Fleet) FreeSlots() int { return f.freeSlots }
--- a/dispatch/pool/fleet_test.go
+++ b/dispatch/pool/fleet_test.go
@@ -9,7 +9,7 @@
 	"snipehub.example/tables"
 )
 
-// allSlots gives this dispatcher every slot.
+// allSlots is a Limiter that gives this dispatcher every slot.
 type allSlots struct{}
 
 func (allSlots) Limit(_ netip.AddrPort, slots int, _ Members) int { return slots }
@@ -18,7 +18,7 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:9000", i))
 }
 
-// tablesWith returns tables tablesWith a pool of the servers given.
+// tablesWith returns tables with one pool of the given servers.
 func tablesWith(t *testing.T, servers ...int) *tables.State {
 	t.Helper()
 	rows := tables.Rows{Pools: []tables.Pool{{Name: "quick", Half: "north"}}}
@@ -32,47 +32,47 @@
 	return st
 }
 
-// A backend server freezes and is set aside. Its operator takes it out of the tables, starts
-// it again and puts it back, all within the lease of the task that it froze with. It must be
-// tried again: it would else stay aside here for as long as this process runs, a part of the
-// pool that operators see in the tables and nobody uses.
+// A backend server freezes and is ejected. Its operator removes it from the tables,
+// restarts it and adds it again, all within the lease of a task that was on it. The
+// server must still be probed; otherwise it stays ejected here for the lifetime of this
+// process, although the tables list it.
 func TestServerThatComesBackIsTried(t *testing.T) {
 	now := time.Unix(1000, 0)
 	advance := func(d time.Duration) time.Time { now = now.Add(d); return now }
-	m := Members{Self: "a", Sizes: map[string]int{"a": 1}}
+	members := Members{Self: "a", Sizes: map[string]int{"a": 1}}
 	f := New("dc1", allSlots{}, 0.5)
-	f.Apply(now, tablesWith(t, 1, 2, 3), m)
+	f.Apply(now, tablesWith(t, 1, 2, 3), members)
 	s := f.servers[address(1)]
 	f.Start(now, s)
 	f.Tick(advance(2*minStallTime), time.Millisecond)
 	if !s.Ejected() {
-		t.Fatal("not set aside")
+		t.Fatal("not ejected")
 	}
-	f.Apply(advance(time.Second), tablesWith(t, 2, 3), m)
+	f.Apply(advance(time.Second), tablesWith(t, 2, 3), members)
 	f.Tick(advance(time.Second), time.Millisecond)
-	f.Apply(advance(time.Second), tablesWith(t, 1, 2, 3), m)
+	f.Apply(advance(time.Second), tablesWith(t, 1, 2, 3), members)
 	f.End(advance(time.Second), s, Bad, 5*time.Second, &ServiceTime{})
 	f.Tick(advance(maxProbeInterval), time.Millisecond)
 	if got := f.Pool("quick").Probe(); got != s {
-		t.Errorf("probe %v, want the server that is set aside", got)
+		t.Errorf("probe %v, want the ejected server", got)
 	}
 }
 
-// A server that was set aside is taken out of the tables for good. Nothing of it is kept
-// once its tasks have ended, however many come and go.
+// An ejected server is removed from the tables for good. Nothing of it is kept once its
+// tasks have ended, so that memory does not grow with the servers that come and go.
 func TestServerThatWentIsForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := Members{Self: "a", Sizes: map[string]int{"a": 1}}
+	members := Members{Self: "a", Sizes: map[string]int{"a": 1}}
 	f := New("dc1", allSlots{}, 0.5)
-	f.Apply(now, tablesWith(t, 1, 2, 3), m)
+	f.Apply(now, tablesWith(t, 1, 2, 3), members)
 	s := f.servers[address(1)]
 	f.Start(now, s)
 	now = now.Add(2 * minStallTime)
 	f.Tick(now, time.Millisecond)
-	f.Apply(now, tablesWith(t, 2, 3), m)
+	f.Apply(now, tablesWith(t, 2, 3), members)
 	f.End(now, s, Bad, time.Second, &ServiceTime{})
 	f.Tick(now, time.Millisecond)
 	if len(f.ejectedServers) > 0 || len(f.servers) != 2 {
-		t.Errorf("%d away, %d servers", len(f.ejectedServers), len(f.servers))
+		t.Errorf("%d ejected, %d servers", len(f.ejectedServers), len(f.servers))
 	}
 }
--- a/dispatch/pool/health.go
+++ b/dispatch/pool/health.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// healthState says whether a server gets tasks.
+// healthState decides whether a server gets tasks.
 type healthState int
 
 const (
 	stateInUse healthState = iota
-	// stateEjected gets none until its next probe is due.
+	// stateEjected means that the server gets no tasks until its next probe is due.
 	stateEjected
-	// stateProbing has one task that tells whether the server is well again.
+	// stateProbing means that one task is under way to find out whether the server has
+	// recovered.
 	stateProbing
 )
 
-// Verdict is what became of a task, as far as the server is judged by it.
+// Verdict is the outcome of a task as evidence of the server's health.
 type Verdict int
 
 // The verdicts.
 const (
 	// Good means that the task was done.
 	Good Verdict = iota + 1
-	// Bad means that it failed, was lost, or that nobody listened.
+	// Bad means that the task failed or was lost, or that no connection could be made.
 	Bad
-	// Rejected means that the server refused it.
+	// Rejected means that the server refused the task.
 	Rejected
-	// Neutral says nothing about the server.
+	// Neutral means that the outcome says nothing about the server.
 	Neutral
 )
 
-// Reason is the reason for which a server is set aside.
+// Reason is why a server is ejected.
 type Reason string
 
-// The reasons.
+// The reasons for an ejection.
 const (
 	Failing  Reason = "it fails what it starts"
 	Refusing Reason = "it refuses everything"
@@ -40,37 +41,38 @@
 )
 
 const (
-	// ejectAfterFailures is how many tasks in a row fail before a server is set
-	// aside, refusalsOut how many refusals in a row.
+	// A server is ejected after ejectAfterFailures failed tasks, or ejectAfterRefusals
+	// refusals, in a row.
 	ejectAfterFailures = 3
 	ejectAfterRefusals = 12
-	// ejectSlowness is how many times slower than usual is too slow.
+	// ejectSlowness is the slowness, as a multiple of the usual service time, above which
+	// a server is ejected.
 	ejectSlowness = 5
-	// failureWeight is the weight of one more outcome in the share of failures.
+	// failureWeight is the weight of a new outcome in the moving average of failures.
 	failureWeight = 0.2
 
-	// retestAfter is after how long an unused server that was slow is tried with
-	// one task, and unusedSlow what counts as slow there.
+	// A server with a slowness above retestSlowness that has been unused for retestAfter
+	// gets one task as a test.
 	retestAfter    = 20 * time.Second
 	retestSlowness = 1.2
-	// unusedScanInterval is how often unused servers are looked for.
+	// unusedScanInterval is the interval between two scans for unused servers.
 	unusedScanInterval = time.Second
 
 	minRefusalBackoff = 20 * time.Millisecond
 	maxRefusalBackoff = time.Second
 	minProbeInterval  = time.Second
 	maxProbeInterval  = 30 * time.Second
-	// stallFactor times the usual service time without any end is a stall when
-	// one task is there. With more tasks it takes less, because it is ever less
-	// likely that all of them are long, but never under stallFloor times the
-	// usual time, nor under stallLeast.
+	// A server with one task is stalled if nothing has ended there for stallFactor times
+	// the usual service time. With n tasks the factor is divided by n, because it is less
+	// likely that all of them are long, but it is never below minStallFactor, nor the time
+	// below minStallTime.
 	stallFactor    = 20
 	minStallFactor = 3
 	minStallTime   = time.Second
 )
 
-// judge takes the verdict on a task and says whether the server is to be set
-// aside, and why.
+// judge updates the server's health with the verdict on a task, and reports whether the
+// server is to be ejected, and why.
 func (s *Server) judge(now time.Time, v Verdict) (Reason, bool) {
 	switch v {
 	case Good:
@@ -93,15 +95,15 @@
 	return "", false
 }
 
-// refusalBackoff is how long a server that refused is left alone. Without it a full
-// server is asked again for every task that waits, and each asking is a wasted
+// refusalBackoff returns how long a server that refused gets no tasks. Without it a full
+// server would be asked again for every waiting task, and each attempt is a wasted
 // message.
 func (s *Server) refusalBackoff() time.Duration {
 	d := minRefusalBackoff << min(s.refusalsInRow-1, 6)
 	return min(d, maxRefusalBackoff)
 }
 
-// markEjected sets the server aside until its next probe. The time between probes
+// markEjected ejects the server until its next probe. The interval between probes
 // doubles, so that a server that stays bad costs ever fewer tasks.
 func (s *Server) markEjected(now time.Time) {
 	s.probeInterval = min(max(s.probeInterval*2, minProbeInterval), maxProbeInterval)
@@ -109,8 +111,7 @@
 	s.probeAt = now.Add(s.probeInterval)
 }
 
-// restore takes the server into use again, with what was learned about its speed
-// forgotten.
+// restore puts the server back into use and forgets what was learned about its speed.
 func (s *Server) restore() {
 	s.healthState = stateInUse
 	s.probeInterval = 0
@@ -121,16 +122,16 @@
 	s.slowness = average{}
 }
 
-// needsRetest tells whether what was learned of the server's speed should be tried
-// again. A server that is slow for a while gets no tasks while faster ones are
-// free; without a trial nobody would ever learn that it is well again.
+// needsRetest reports whether the learned slowness of an idle server is old enough to be
+// tested again. A slow server gets no tasks while faster ones are free, so without a test
+// its recovery would go unnoticed.
 func (s *Server) needsRetest(now time.Time) bool {
 	return s.healthState == stateInUse && s.busy == 0 && s.Slowness() > retestSlowness && now.Sub(s.lastProgress) > retestAfter
 }
 
-// stalled tells whether tasks are there and none has ended for too long. A
-// frozen server answers nothing; without this it is noticed only when the lease
-// of a task runs out, and until then holds connections that others need.
+// stalled reports whether the server has tasks and none has ended for too long. A frozen
+// server answers nothing. Without this check it would be detected only when the lease of
+// a task runs out, and would hold connections until then.
 func (s *Server) stalled(now time.Time, usual time.Duration) bool {
 	if s.busy == 0 {
 		return false
--- a/dispatch/pool/pool.go
+++ b/dispatch/pool/pool.go
@@ -1,9 +1,9 @@
-// Package pool knows the backend servers that this dispatcher may speak to:
-// how many tasks it has on each, how fast each is, and which are set aside.
+// Package pool tracks the backend servers that this dispatcher may use: how many tasks it
+// has on each, how fast each is, and which are ejected.
 //
-// Servers with room stand in lists by class of speed, so that finding one costs
-// the same for ten servers and for thousands. Everything is a plain value that
-// is told the time; nothing here is safe for several goroutines.
+// Servers with free slots are kept in lists by speed class, so that finding one takes the
+// same time for ten servers as for thousands. The package is a deterministic state
+// machine without I/O: the caller passes the time in. It is not safe for concurrent use.
 package pool
 
 import (
@@ -14,14 +14,14 @@
 	"snipehub.example/tables"
 )
 
-// Members is the dispatchers that divide a server's slots.
+// Members is the set of dispatchers that divide the servers' slots.
 type Members struct {
 	Self string
-	// Sizes gives each member's relative size by its name, Self included.
+	// Sizes maps each member's name, including Self, to its relative size.
 	Sizes map[string]int
 }
 
-// Score is the rendezvous hash of a server and a member.
+// Score returns the rendezvous hash of a server and a member.
 func Score(server netip.AddrPort, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -32,29 +32,29 @@
 	return d.Sum64()
 }
 
-// Pool is the servers of one row of the pools table in this data centre.
+// Pool is one row of the pools table, with its servers in this data centre.
 type Pool struct {
 	Name string
 	free FreeServers
-	// servers counts all, ejectedCount those set ejectedCount.
+	// servers counts all servers, ejectedCount the ejected ones among them.
 	servers, ejectedCount int
 	limit                 int
 	probes                []*Server
 }
 
-// FreeServers returns the servers with room.
+// FreeServers returns the servers with free slots.
 func (p *Pool) FreeServers() *FreeServers { return &p.free }
 
-// Servers returns how many servers the pool has here.
+// Servers returns the number of servers that the pool has in this data centre.
 func (p *Pool) Servers() int { return p.servers }
 
-// Limit returns the sum of the tasks that this dispatcher may have there.
+// Limit returns how many tasks this dispatcher may have on the pool's servers in total.
 func (p *Pool) Limit() int { return p.limit }
 
-// Ejected returns how many of them are set aside.
+// Ejected returns how many servers of the pool are ejected.
 func (p *Pool) Ejected() int { return p.ejectedCount }
 
-// Membership is a server's membership of a pool.
+// Membership is a server as a member of one pool.
 type Membership struct {
 	Server *Server
 	pool   *Pool
@@ -62,16 +62,16 @@
 	index  int
 }
 
-// FreeServers is the servers with room, by class of speed.
+// FreeServers is the set of servers with free slots, by speed class.
 type FreeServers struct {
 	classes [classes][]*Membership
 	n       int
 }
 
-// Len returns how many servers have room.
+// Len returns the number of servers with free slots.
 func (f *FreeServers) Len() int { return f.n }
 
-// At returns the i-th server with room, fastest class first.
+// At returns the i-th server with free slots, fastest class first.
 func (f *FreeServers) At(i int) *Membership {
 	for _, c := range f.classes {
 		if i < len(c) {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Fastest returns the servers with room of the fastest class that has any.
+// Fastest returns the servers with free slots of the fastest class that has any.
 func (f *FreeServers) Fastest() []*Membership {
 	for _, c := range f.classes {
 		if len(c) > 0 {
@@ -92,28 +92,28 @@
 	return nil
 }
 
-func (f *FreeServers) add(s *Membership, class int) {
-	s.class = class
-	s.index = len(f.classes[class])
-	f.classes[class] = append(f.classes[class], s)
+func (f *FreeServers) add(ms *Membership, class int) {
+	ms.class = class
+	ms.index = len(f.classes[class])
+	f.classes[class] = append(f.classes[class], ms)
 	f.n++
 }
 
-func (f *FreeServers) remove(s *Membership) {
-	list := f.classes[s.class]
+func (f *FreeServers) remove(ms *Membership) {
+	list := f.classes[ms.class]
 	last := list[len(list)-1]
-	list[s.index] = last
-	last.index = s.index
+	list[ms.index] = last
+	last.index = ms.index
 	list[len(list)-1] = nil
-	f.classes[s.class] = list[:len(list)-1]
-	s.index = -1
+	f.classes[ms.class] = list[:len(list)-1]
+	ms.index = -1
 	f.n--
 }
 
 // key identifies a server.
 type key = netip.AddrPort
 
-// row is what the tables say about a server here.
+// row is the tables' entry for a server in this data centre, over all pools.
 type row struct {
 	slots   int
 	leaving bool
--- a/dispatch/pool/server.go
+++ b/dispatch/pool/server.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// classes is the number of classes of speed; each spans a factor of
-	// classFactor, and the middle one holds servers of average speed.
+	// classes is the number of speed classes. Each spans a factor of the square root of 2,
+	// and the middle one holds servers of usual speed.
 	classes     = 17
 	middleClass = classes / 2
 
-	// warmupSamples is after how many samples an average stops being a plain mean and
-	// starts to forget.
+	// warmupSamples is the number of samples after which an average turns from a plain
+	// mean into an exponentially weighted one.
 	warmupSamples = 64
 
-	// maxSlowness bounds the learned slowness, and 1/maxSlowness from below.
+	// The learned slowness is kept between 1/maxSlowness and maxSlowness.
 	maxSlowness = 64
 )
 
@@ -41,17 +41,17 @@
 	limit   int
 	leaving bool
 	busy    int
-	// freeSlots is what the server adds to its fleet's freeSlots.
+	// freeSlots is the server's part of Fleet.freeSlots.
 	freeSlots   int
 	memberships []*Membership
-	// busyIndex is the server's place in the list of those with tasks, or -1.
+	// busyIndex is the server's index in Fleet.busyServers, or -1.
 	busyIndex int
 
 	slowness    average
 	failureRate float64
 
-	// window is how many tasks the server has shown to take from this
-	// dispatcher, as long as it is below limit; 0 means that it never refused.
+	// window is how many tasks the server has shown to accept from this dispatcher, if
+	// that is below limit; 0 means that it has never refused.
 	window float64
 
 	failuresInRow int
@@ -62,18 +62,19 @@
 	healthState   healthState
 	ejectReason   Reason
 	probeAt       time.Time
-	// probeDue tells that the next task is a trial; it is for one task only.
+	// probeDue is set if the server's next task is to be a probe; it holds for one task
+	// only.
 	probeDue      bool
 	probeInterval time.Duration
 }
 
-// Busy returns how many of this dispatcher's tasks are there.
+// Busy returns the number of this dispatcher's tasks on the server.
 func (s *Server) Busy() int { return s.busy }
 
-// Limit returns how many tasks this dispatcher may have there.
+// Limit returns how many tasks this dispatcher may have on the server.
 func (s *Server) Limit() int { return s.limit }
 
-// Ejected tells whether the server is set aside.
+// Ejected reports whether the server is ejected or being probed.
 func (s *Server) Ejected() bool { return s.healthState != stateInUse }
 
 // Slowness returns the server's service time as a multiple of the usual one.
@@ -84,8 +85,8 @@
 	return s.slowness.value
 }
 
-// maxTasks is how many tasks may be there at once: the limit, or what the server has
-// shown to take.
+// maxTasks returns how many tasks may be on the server at once: the limit, or the window
+// if that is smaller.
 func (s *Server) maxTasks() int {
 	if s.window == 0 || s.window >= float64(s.limit) {
 		return s.limit
@@ -93,11 +94,10 @@
 	return int(s.window)
 }
 
-// shrinkWindow takes a refusal into account, widen a task that was done: the window
-// falls to what was there when the server refused, and grows by one for each
-// round of tasks that it does. Where other dispatchers use the server too, own
-// counts alone say that there is room, and every task that is tried there is a
-// wasted message.
+// shrinkWindow sets the window to the number of tasks that were on the server when it
+// refused, growWindow extends it by one for each round of completed tasks. If other
+// dispatchers use the server too, this dispatcher's own count shows free slots that are
+// taken, and each attempt to use one is a wasted message.
 func (s *Server) shrinkWindow() { s.window = max(float64(s.busy), 1) }
 
 func (s *Server) growWindow() {
@@ -106,15 +106,16 @@
 	}
 }
 
-// Load says how late the next task would end there, in no particular unit:
-// the learned slowness, more for each task that is there already, and more for
-// recent failures.
+// Load estimates how late the next task would end on the server, in an arbitrary unit:
+// the learned slowness, increased for each task that is already there and for recent
+// failures.
 func (s *Server) Load() float64 {
 	used := float64(s.busy) / float64(max(s.limit, 1))
 	return s.Slowness() * (1 + used) * (1 + failurePenalty*s.failureRate)
 }
 
-// failurePenalty is by how much a server that always fails looks slower.
+// failurePenalty is how much slower a server that always fails looks: by failurePenalty
+// times its own service time.
 const failurePenalty = 4
 
 func (s *Server) class() int {
@@ -123,33 +124,32 @@
 	return min(max(c, 0), classes-1)
 }
 
-// learn takes a service time as a multiple of the usual one.
+// learn records a service time, given as a multiple of the usual one.
 func (s *Server) learn(ratio float64) {
 	s.slowness.add(min(max(ratio, 1.0/maxSlowness), maxSlowness))
 }
 
-// ServiceTime is the learned service time of a kind, corrected by the slowness of the
-// servers on which it ran.
+// ServiceTime is the learned service time of a kind of task, corrected for the slowness
+// of the servers on which it ran.
 //
-// Time of a kind on a server is taken as the product of the two. An average for
-// each pair would need every pair to be seen often; with thousands of servers
-// most never would.
+// The service time of a kind on a server is modeled as the product of the two. A separate
+// average for each pair would need samples of every pair; with thousands of servers most
+// would never get any.
 type ServiceTime struct{ mean average }
 
-// Known tells whether enough tasks were seen to rely on the mean.
-func (u *ServiceTime) Known() bool { return u.mean.n >= warmupSamples }
+// Known reports whether there are enough samples to rely on the mean.
+func (t *ServiceTime) Known() bool { return t.mean.n >= warmupSamples }
 
-// Mean returns the service time on a server of usual speed, or 0 while nothing
-// is known.
-func (u *ServiceTime) Mean() time.Duration { return time.Duration(u.mean.value) }
+// Mean returns the service time on a server of usual speed, or 0 without samples.
+func (t *ServiceTime) Mean() time.Duration { return time.Duration(t.mean.value) }
 
-// discount makes the next sample count as much as all before it.
+// discount makes the next sample count as much as all earlier ones together.
 func (a *average) discount() { a.n = min(a.n, 1) }
 
-func (u *ServiceTime) learn(d time.Duration, s *Server) {
+func (t *ServiceTime) learn(d time.Duration, s *Server) {
 	slowness := s.Slowness()
-	if u.mean.n > 0 && u.mean.value > 0 {
-		s.learn(float64(d) / u.mean.value)
+	if t.mean.n > 0 && t.mean.value > 0 {
+		s.learn(float64(d) / t.mean.value)
 	}
-	u.mean.add(float64(d) / slowness)
+	t.mean.add(float64(d) / slowness)
 }
