--- a/dispatch/plan/cost_test.go
+++ b/dispatch/plan/cost_test.go
@@ -8,8 +8,8 @@
 	"snipehub.example/delivery"
 )
 
-// BenchmarkTask measures the planner's own work for a task, from its place in a
-// queue to its end: one start and one end, with everything that they bring.
+// BenchmarkTask measures the planner's work for one task, from the queue to the end: one
+// start and one end, with everything that they cause.
 func BenchmarkTask(b *testing.B) {
 	tests := []struct{ workers, callers, queued int }{
 		{48, 1, 1000},
@@ -50,7 +50,7 @@
 	}
 }
 
-// loaded is a planner with tasks waiting in jobs of ten.
+// loaded returns a planner with queued tasks in jobs of ten.
 func loaded(b *testing.B, workers, callers, queued int) (*Planner, time.Time) {
 	cfg := config("share")
 	cfg.QueuedTasks = 2 * queued
@@ -65,7 +65,7 @@
 	return p, epoch
 }
 
-// BenchmarkCancel measures the cancellation of a waiting job of one task in a
+// BenchmarkCancel measures the cancellation of a waiting job of one task, as part of a
 // wave over the whole queue.
 func BenchmarkCancel(b *testing.B) {
 	for _, queued := range []int{1000, 10_000, 100_000, 1_000_000} {
@@ -86,7 +86,7 @@
 	}
 }
 
-// BenchmarkTick measures the work that time does, 20 times a second.
+// BenchmarkTick measures Tick at 20 calls a second.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{48, 400, 3000, 13000} {
 		b.Run(fmt.Sprint("workers", workers), func(b *testing.B) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// BenchmarkWorld measures what a change of the tables or the members costs.
+// BenchmarkWorld measures SetCluster with changed members.
 func BenchmarkWorld(b *testing.B) {
 	for _, workers := range []int{48, 400, 3000, 13000} {
 		for _, members := range []int{1, 16, 100} {
--- a/dispatch/plan/end.go
+++ b/dispatch/plan/end.go
@@ -8,13 +8,13 @@
 	"snipehub.example/refusal"
 )
 
-// AttemptEnded takes the outcome of an attempt.
-func (p *Planner) AttemptEnded(now time.Time, number uint64, o delivery.Outcome) {
-	f := p.activeAttempts[number]
+// AttemptEnded handles the outcome of an attempt.
+func (p *Planner) AttemptEnded(now time.Time, attemptID uint64, o delivery.Outcome) {
+	f := p.activeAttempts[attemptID]
 	if f == nil {
 		return
 	}
-	delete(p.activeAttempts, number)
+	delete(p.activeAttempts, attemptID)
 	js := f.js
 	if o.Kind != delivery.NotRun {
 		js.poolQueue.drainRate.endedTasks++
@@ -33,8 +33,8 @@
 	p.endTasks(js, f.task, f.task+1, ran(js, o), o, o.Reason)
 }
 
-// verdict is how an outcome counts for its backend server. A refusal counts
-// for less than a failure: where dispatchers' views differ it is nobody's fault.
+// verdict returns how an outcome counts for its backend server. A refusal weighs less
+// than a failure: it may only mean that two dispatchers' views differ.
 func verdict(o delivery.Outcome) pool.Verdict {
 	switch {
 	case o.Kind == delivery.Done:
@@ -59,11 +59,11 @@
 	return refusal.RanUnknown
 }
 
-// retry queues the task once more when that is safe and worth it.
+// retry queues the task again if that is safe and allowed, and reports whether it did.
 //
-// Only a proved "not run" is safe. The outcome of a single request may also be
-// unknown when its route says that it may be repeated; a task of a job never,
-// because a part of an order may have run.
+// Only a proven "not run" is safe. The outcome of a single request may also be unknown if
+// its route declares it repeatable, but never that of a job's task, because a part of the
+// job may have run.
 func (p *Planner) retry(now time.Time, f *activeAttempt, o delivery.Outcome) bool {
 	js := f.js
 	safe := o.Kind == delivery.NotRun
@@ -88,7 +88,7 @@
 	js.tried[f.task] = t
 	p.waiting++
 	if f.peer != nil && o.Kind == delivery.NotRun {
-		// No backend server was troubled, so the retry budget is not asked.
+		// No backend server had any work with it, so it costs no retry budget.
 		js.retries = append(js.retries, f.task)
 		js.poolQueue.Add(js.queueJob, 1)
 		return true
@@ -98,9 +98,9 @@
 	return true
 }
 
-// releaseRetries puts tasks that may be tried again into their queues, as far as the
-// retry budget goes. Without the budget, a pool that refuses everything gets
-// each task as often as attempts allow, at the moment when it can bear it least.
+// releaseRetries moves tasks that wait for the retry budget back into their queues, as
+// far as the budget goes. Without the budget, a pool that refuses everything would get
+// each task as often as Attempts allows, just when it is overloaded.
 func (p *Planner) releaseRetries() {
 	n := 0
 	for _, js := range p.budgetQueue {
@@ -119,7 +119,7 @@
 	p.budgetQueue = append(p.budgetQueue[:0], p.budgetQueue[n:]...)
 }
 
-// endTasks reports tasks as ended, and forgets the work after its last.
+// endTasks reports tasks as ended and drops the job after its last one.
 func (p *Planner) endTasks(js *jobState, from, to int, r refusal.Ran, o delivery.Outcome, reason string) {
 	p.actions.Ends = append(p.actions.Ends, End{Job: js.job.ID, From: from, To: to, Ran: r, Outcome: o, Reason: reason})
 	js.unfinished -= to - from
@@ -132,16 +132,15 @@
 	p.forgetIfIdle(js.team)
 }
 
-// Cancel ends the tasks of a job that have not started; those under way go on.
-// Its cost does not depend on the number of waiting tasks, apart from those that
-// wait to be tried again.
+// Cancel ends the tasks of a job that have not started; running ones go on. Its cost does
+// not depend on the number of waiting tasks, except those that wait for a retry.
 func (p *Planner) Cancel(id string) {
 	if js := p.jobs[id]; js != nil {
 		p.stop(js, "cancelled")
 	}
 }
 
-// stop ends the waiting tasks of the work as not run.
+// stop ends the job's waiting tasks as not run.
 func (p *Planner) stop(js *jobState, reason string) {
 	if js.stopped {
 		return
--- a/dispatch/plan/expiry.go
+++ b/dispatch/plan/expiry.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// expiries is the jobs by their deadline. It implements heap.Interface.
+// expiries is a heap of jobs by deadline. It implements heap.Interface.
 type expiries []*jobState
 
 func (e expiries) Len() int           { return len(e) }
@@ -14,14 +14,14 @@
 	e[j].expiryIndex = j
 }
 
-// Push adds x, a *work, at the end.
+// Push appends x, a *jobState.
 func (e *expiries) Push(x any) {
 	js := x.(*jobState)
 	js.expiryIndex = len(*e)
 	*e = append(*e, js)
 }
 
-// Pop removes the last.
+// Pop removes and returns the last element.
 func (e *expiries) Pop() any {
 	last := len(*e) - 1
 	js := (*e)[last]
--- a/dispatch/plan/guard.go
+++ b/dispatch/plan/guard.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// retryBudgetBurst is how many retries may come at once.
+	// retryBudgetBurst is the most retries that the budget can hold.
 	retryBudgetBurst = 20
-	// retryBudgetRefill is the retries a second that are allowed without any
-	// first attempts, so that the last tasks of a lull are tried again too.
+	// retryBudgetRefill is the number of retries a second that are allowed without first
+	// attempts, so that the last tasks before an idle period are retried too.
 	retryBudgetRefill = 2
 
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// retryBudget allows retries as a share of first attempts.
+// retryBudget is a token bucket that allows retries as a share of first attempts.
 type retryBudget struct {
 	share  float64
 	tokens float64
@@ -40,7 +40,7 @@
 	return true
 }
 
-// drainRate learns how many tasks of a pool end in a second while tasks wait.
+// drainRate measures how many tasks of a pool end in a second while tasks wait.
 type drainRate struct {
 	perSecond   float64
 	endedTasks  int
@@ -53,8 +53,8 @@
 	drainWeight = 0.3
 )
 
-// tick closes a window. Only windows with tasks waiting from end to end count:
-// in the others the rate is that of the callers.
+// tick closes a window if it is due. Only windows in which tasks wait throughout count:
+// in the others, the rate is that at which callers submit.
 func (d *drainRate) tick(now time.Time, waiting bool) {
 	if now.Sub(d.windowStart) < drainWindow {
 		d.backlogged = d.backlogged && waiting
@@ -72,8 +72,8 @@
 	d.backlogged = waiting
 }
 
-// Submit takes all tasks of the job, or refuses it whole; then nothing of it is
-// ever started.
+// Submit accepts all tasks of the job or refuses it as a whole, in which case none of
+// them ever starts.
 func (p *Planner) Submit(now time.Time, j Job) error {
 	route, err := p.admit(now, j)
 	if err != nil {
@@ -82,7 +82,7 @@
 	t := p.team(j)
 	js := &jobState{job: j, poolQueue: p.poolQueue(route.Pool), team: t, unfinished: j.Tasks, expiryIndex: -1}
 	js.queueJob = &queue.Job{Team: t.name, Caller: j.Caller, Weight: t.weight, Arrived: now, Owner: js}
-	// A job of one task is never partly started and needs no slot.
+	// A job of one task is never partly started and needs no job slot.
 	js.queueJob.SetStarted(j.Tasks == 1)
 	t.jobs++
 	p.jobs[j.ID] = js
@@ -130,65 +130,65 @@
 	return route, nil
 }
 
-// learnedTimeFactor is by how much learned times are trusted when work is called hopeless:
-// a wrong "hopeless" turns away work that could be done.
+// learnedTimeFactor scales down learned service times when deciding that work cannot meet
+// its deadline: a wrong decision refuses work that could be done.
 const learnedTimeFactor = 0.5
 
-// maxWaitShare is the largest part of a job's time that it may be expected to wait.
-// The rest covers its tasks' own time, the error of the learned rate, and the
-// slowest of its tasks; a job that ends late has held slots for nothing.
+// maxWaitShare is the largest share of a job's remaining time that it may be expected to
+// take. The rest covers the error of the learned rate and the slowest task; a job that
+// ends after its deadline has used slots for nothing.
 const maxWaitShare = 0.5
 
-// minDuration returns the shortest time in which the job could be done if all slots
-// of its pool, in every data centre, were free.
+// minDuration returns the shortest time that the job could take if all slots of its pool,
+// in every data centre, were free.
 func (p *Planner) minDuration(name string, j Job) time.Duration {
-	u := p.serviceTime(j.Kind)
+	st := p.serviceTime(j.Kind)
 	slots := p.poolSummary(name).slots
-	if !u.Known() || slots == 0 {
+	if !st.Known() || slots == 0 {
 		return 0
 	}
 	rounds := (j.Tasks + slots - 1) / slots
-	return time.Duration(learnedTimeFactor * float64(rounds) * float64(u.Mean()))
+	return time.Duration(learnedTimeFactor * float64(rounds) * float64(st.Mean()))
 }
 
-// tooLate tells that a task of the work can't end in time any more. Starting
-// it would hold a slot for an answer that nobody waits for; under overload
-// that is how goodput falls when the offered load rises.
+// tooLate reports whether a task of the job can no longer end before its deadline.
+// Starting it would use a slot for a result that nobody waits for. Under overload this is
+// what makes goodput fall as the offered load rises.
 func (p *Planner) tooLate(now time.Time, js *jobState) bool {
 	minTime := time.Duration(0)
-	if u := p.serviceTime(js.job.Kind); u.Known() {
-		minTime = time.Duration(learnedTimeFactor * float64(u.Mean()))
+	if st := p.serviceTime(js.job.Kind); st.Known() {
+		minTime = time.Duration(learnedTimeFactor * float64(st.Mean()))
 	}
 	return !now.Add(minTime).Before(js.job.Expires)
 }
 
-// expectedWait returns the expected expectedWait of the job's first task behind what waits:
-// behind its own team's tasks at the team's part of the drain rate, or behind
-// everything, whichever is shorter.
+// expectedWait returns how long the job's first task is expected to wait: behind its own
+// team's tasks, at the team's share of the drain rate, or behind all tasks, whichever is
+// shorter.
 func (p *Planner) expectedWait(name string, j Job) time.Duration {
-	l := p.poolQueue(name)
-	rate := l.drainRate.perSecond
+	pq := p.poolQueue(name)
+	rate := pq.drainRate.perSecond
 	if rate <= 0 {
 		return 0
 	}
 	t := p.team(j)
 	defer p.forgetIfIdle(t)
-	own, part := l.Backlog(t.name, t.weight)
-	behind := min(float64(own)/part, float64(l.Len()))
+	own, part := pq.Backlog(t.name, t.weight)
+	behind := min(float64(own)/part, float64(pq.Len()))
 	return time.Duration(behind / rate * float64(time.Second))
 }
 
-// quotaWait returns how long a team's tasks wait for its own quota, as far as
-// service times are known.
+// quotaWait returns how long the job's tasks wait for the team's quota, or 0 while the
+// service time of their kind is unknown.
 func (p *Planner) quotaWait(j Job) time.Duration {
 	t := p.team(j)
 	defer p.forgetIfIdle(t)
-	u := p.serviceTime(j.Kind)
-	if t.quotaShare == 0 || !u.Known() {
+	st := p.serviceTime(j.Kind)
+	if t.quotaShare == 0 || !st.Known() {
 		return 0
 	}
 	own, _ := p.poolQueue(p.poolOf(j)).Backlog(t.name, t.weight)
-	return u.Mean() * time.Duration(own) / time.Duration(t.quotaShare)
+	return st.Mean() * time.Duration(own) / time.Duration(t.quotaShare)
 }
 
 func (p *Planner) poolOf(j Job) string {
@@ -196,16 +196,15 @@
 	return r.Pool
 }
 
-// ownDuration returns the time that the job's own tasks take at the drain rate, or at
-// the rate of all connections when that is higher, with the doubt that is due to
-// a learned rate. Without the second, a rate that was learned while servers were
-// sick turns ownDuration away for ever: what is refused does not wait, and only waiting
-// tasks teach a new rate.
+// ownDuration returns how long the job's own tasks take at the drain rate or, if that is
+// higher, at the rate that all connections reach, scaled by learnedTimeFactor. Without
+// the second rate, one learned while servers were failing would refuse work for ever:
+// refused tasks do not wait, and the rate is only updated while tasks wait.
 func (p *Planner) ownDuration(name string, j Job) time.Duration {
 	rate := p.poolQueue(name).drainRate.perSecond
-	u := p.serviceTime(j.Kind)
-	if here := p.fleet.Pool(name); here != nil && u.Known() {
-		rate = max(rate, float64(min(here.Limit(), p.cfg.Connections))/u.Mean().Seconds())
+	st := p.serviceTime(j.Kind)
+	if here := p.fleet.Pool(name); here != nil && st.Known() {
+		rate = max(rate, float64(min(here.Limit(), p.cfg.Connections))/st.Mean().Seconds())
 	}
 	if rate <= 0 {
 		return 0
@@ -213,8 +212,8 @@
 	return time.Duration(learnedTimeFactor * float64(j.Tasks) / rate * float64(time.Second))
 }
 
-// retryAfter spreads the callers that were refused together, who would
-// otherwise come back together.
+// retryAfter returns a random time between d, within its bounds, and twice that, so that
+// callers refused together do not retry together.
 func (p *Planner) retryAfter(d time.Duration) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter)
 	return d + time.Duration(p.rnd.Int64N(int64(d)))
--- a/dispatch/plan/guard_test.go
+++ b/dispatch/plan/guard_test.go
@@ -13,8 +13,8 @@
 	"snipehub.example/tables"
 )
 
-// busyPlanner has learned that a task takes 100 ms and 40 end in a second, and
-// has waiting tasks of the caller "x".
+// busyPlanner returns a planner that has learned a service time of 100 ms and a rate of
+// 40 tasks a second, and that has the given number of waiting tasks of caller "x".
 func busyPlanner(t *testing.T, waiting int) (*Planner, time.Time) {
 	t.Helper()
 	p := planner(config("share"), state(t, 1, 4))
@@ -41,9 +41,9 @@
 	return p, now
 }
 
-// Work that can't be done, or not in time, is refused when it comes and not
-// when its time is over: the caller can still go elsewhere. Each refusal is a true
-// "not run".
+// Work that cannot be done, or not in time, is refused on submission rather than at its
+// deadline, while the caller can still send it to another dispatcher. Each refusal is a
+// true "not run".
 func TestRefusals(t *testing.T) {
 	hour := time.Hour
 	tests := []struct {
@@ -54,7 +54,7 @@
 		left    time.Duration
 		want    refusal.Code
 	}{
-		{"taken", 10, nil, Job{Kind: "price", Tasks: 1}, hour, ""},
+		{"accepted", 10, nil, Job{Kind: "price", Tasks: 1}, hour, ""},
 		{"no route", 10, nil, Job{Kind: "none", Tasks: 1}, hour, refusal.NoRoute},
 		{"no tasks", 10, nil, Job{Kind: "price"}, hour, refusal.BadRequest},
 		{"no server", 10, func(p *Planner, now time.Time) { p.SetCluster(now, clusterState(state(t, 0, 1))) }, Job{Kind: "price", Tasks: 1}, hour, refusal.NoServer},
@@ -92,13 +92,14 @@
 				t.Fatalf("%v, want %q", err, tt.want)
 			}
 			if r != nil && (r.Ran != refusal.RanNo || r.Code == refusal.Overloaded && r.RetryAfterMS == 0) {
-				t.Errorf("ran %s, come back after %d ms", r.Ran, r.RetryAfterMS)
+				t.Errorf("ran %s, retry after %d ms", r.Ran, r.RetryAfterMS)
 			}
 		})
 	}
 }
 
-// startsOf counts the first n starts by job prefix, with one ending for each.
+// startsOf counts the first n starts by the name that it derives from the job, and ends
+// each of them at once.
 func startsOf(p *Planner, n int, name func(job string) string) map[string]int {
 	out := make(map[string]int)
 	now := epoch
@@ -115,9 +116,9 @@
 	return out
 }
 
-// Two teams fill the queue, one of three times the weight, and the lighter one
-// with fifty times as many tasks. Without shares the one that sends more gets
-// more, and the other's callers wait behind all of it.
+// Two teams fill the queue. The one with a third of the weight has fifty times as many
+// tasks. Without weighted shares it would get more starts, and the other team's callers
+// would wait behind its backlog.
 func TestWeightedShare(t *testing.T) {
 	p := planner(config("share"), state(t, 1, 1, tables.Team{Name: "red", Weight: 3}, tables.Team{Name: "blue", Weight: 1}))
 	for i := range 50 {
@@ -130,9 +131,9 @@
 	}
 }
 
-// A caller's small check comes after its job of 1,300 tasks, and must not wait
-// for it; but a stream of small ones must not hold the large one up for ever
-// either.
+// A caller submits a single task after its job of 1,300 tasks and must not wait for that
+// job. A stream of single tasks, on the other hand, must not delay the large job for
+// ever.
 func TestSmallBeforeLarge(t *testing.T) {
 	p := planner(config("share"), state(t, 1, 1))
 	_ = p.Submit(epoch, Job{ID: "large", Kind: "price", Caller: "x", Tasks: 1300, Expires: epoch.Add(time.Hour)})
@@ -143,12 +144,12 @@
 	late := epoch.Add(20 * time.Second)
 	_ = p.Submit(late, Job{ID: "late", Kind: "price", Caller: "x", Tasks: 1, Expires: late.Add(time.Hour)})
 	if got := startsOf(p, 1, func(job string) string { return job }); got["large"] != 1 {
-		t.Errorf("a job that came 20 s later goes first: %v", got)
+		t.Errorf("a job that arrived 20 s later goes first: %v", got)
 	}
 }
 
-// A team has a quota over the whole system, and two dispatchers serve it. Each
-// keeps to its part without asking the other.
+// A team has a quota for the whole system, which two dispatchers serve. Each keeps to its
+// share without asking the other.
 func TestQuota(t *testing.T) {
 	p := planner(config("share"), state(t, 4, 4, tables.Team{Name: "red", Quota: 6}))
 	w := p.cluster
@@ -167,8 +168,8 @@
 	}
 }
 
-// Two large jobs have the two job slots. Another large one waits for a slot, and
-// a job of one task does not, because it is never partly started.
+// Two large jobs hold the two job slots. Another large job waits for a slot; a job of one
+// task does not, because it is never partly started.
 func TestJobSlots(t *testing.T) {
 	cfg := config("share")
 	cfg.JobSlots = 2
@@ -186,8 +187,8 @@
 	}
 }
 
-// Callers cancel 100,000 waiting jobs at once. None of them starts, all end as
-// not run, and the jobs of others go on.
+// Callers cancel 100,000 waiting jobs at once. None of them starts, all end as not run,
+// and other jobs go on.
 func TestCancellationWave(t *testing.T) {
 	const n = 100_000
 	p := planner(config("share"), state(t, 1, 1))
@@ -205,8 +206,8 @@
 	}
 }
 
-// A task comes to its turn when its deadline is nearer than the time that it
-// takes. Started, it would hold a slot for an answer that nobody waits for.
+// A task reaches the head of the queue when its deadline is nearer than its service time.
+// If it were started, it would use a slot for a result that nobody waits for.
 func TestTooLate(t *testing.T) {
 	p, now := busyPlanner(t, 4)
 	var a Actions
@@ -225,9 +226,9 @@
 	}
 }
 
-// A pool was slow while tasks waited, and is well again. The rate that was
-// learned then must not turn work away: what is refused never waits, and only
-// waiting tasks teach a new rate.
+// A pool was slow while tasks waited and has recovered. The rate learned then must not
+// keep work out: refused tasks do not wait, and the rate is only updated while tasks
+// wait.
 func TestOldRateIsForgotten(t *testing.T) {
 	p, now := busyPlanner(t, 1)
 	p.poolQueue("quick").drainRate.perSecond = 0.1
@@ -248,9 +249,9 @@
 	}
 }
 
-// The servers of a pool all stand in another data centre. A dispatcher does not
-// speak to them, but it has a peer there; without one the job could only wait for
-// its end.
+// All servers of a pool are in another data centre. A dispatcher does not call them
+// itself, but a peer there can. Without such a peer the job would only wait for its
+// deadline, so it is refused.
 func TestForeignPool(t *testing.T) {
 	st := state(t, 2, 4)
 	cfg := config("hand")
@@ -272,10 +273,10 @@
 	}
 }
 
-// A peer's task is taken, and then the last server leaves. It waits or ends here;
-// handed on, it could go round between dispatchers, each of which believes that
-// another one has it.
-func TestGuestIsNotHandedOn(t *testing.T) {
+// A task is accepted from a peer, and then the last server leaves. The task waits or ends
+// here. If it were handed over again, it could circulate between dispatchers, each of
+// which believes that another one has it.
+func TestPeerTaskIsNotHandedOn(t *testing.T) {
 	st := state(t, 1, 1)
 	p := planner(config("hand"), st)
 	j := Job{ID: "guest", Kind: "price", Caller: "x", FromPeer: true, Tasks: 1, Expires: epoch.Add(time.Minute)}
--- a/dispatch/plan/hand.go
+++ b/dispatch/plan/hand.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// maxHandoverTasks bounds one hand-over.
+	// maxHandoverTasks bounds the tasks of one handover.
 	maxHandoverTasks = 256
-	// maxHandoverTries is how often a task is handed over; after that it waits here.
+	// maxHandoverTries is how often a task is handed over before it waits for a server of
+	// this dispatcher.
 	maxHandoverTries = 2
 )
 
-// peer is a dispatcher that may take tasks over.
+// peer is a dispatcher that may receive tasks.
 type peer struct {
 	Peer
-	// credit is how many more tasks it should have room for: what it last
-	// reported, less what was handed to it since, and more for what came back.
+	// credit is the estimate of the peer's free slots: the last report, less the tasks
+	// handed over since.
 	credit int
 	listed bool
 }
@@ -27,7 +28,7 @@
 	list   []*peer
 }
 
-// SetPeers tells who may take tasks over now.
+// SetPeers sets the dispatchers that may receive tasks.
 func (p *Planner) SetPeers(listed []Peer) {
 	ps := &p.peers
 	if ps.byName == nil {
@@ -55,15 +56,15 @@
 	}
 }
 
-// PeerReported takes the room that a peer tells with an answer. Heartbeats alone are
-// up to a second old, in which a peer fills up several times.
+// PeerReported records the free slots that a peer returned with an answer. Heartbeats
+// alone are up to a second old, a time in which a peer can fill up several times.
 func (p *Planner) PeerReported(name string, freeSlots int) {
 	if e := p.peers.byName[name]; e != nil {
 		e.credit = freeSlots
 	}
 }
 
-// anyIn tells whether there is a peer in one of the data centres.
+// anyIn reports whether there is a peer in one of the data centres.
 func (ps *peers) anyIn(centers map[string]bool) bool {
 	for _, e := range ps.list {
 		if centers[e.DataCenter] {
@@ -73,32 +74,32 @@
 	return false
 }
 
-// handOver gives the tasks that this dispatcher can't start soon to peers that
-// report room.
+// handOver hands over tasks that this dispatcher cannot start soon to peers with free
+// slots.
 func (p *Planner) handOver(now time.Time) {
 	if p.waiting == 0 || !p.cluster.MayPlace || !p.cfg.Policy.HandsOver() {
 		return
 	}
-	for _, l := range p.poolQueues {
-		for p.handOverFrom(now, l) {
+	for _, pq := range p.poolQueues {
+		for p.handOverFrom(now, pq) {
 		}
 	}
 }
 
-// handOverFrom hands one batch over and tells whether it did.
-func (p *Planner) handOverFrom(now time.Time, l *poolQueue) bool {
-	surplus := l.Len() - p.startableSoon(l)
+// handOverFrom hands over one batch and reports whether there was one.
+func (p *Planner) handOverFrom(now time.Time, pq *poolQueue) bool {
+	surplus := pq.Len() - p.startableSoon(pq)
 	if surplus < p.cfg.HandLeast {
 		return false
 	}
-	to := p.receiver(p.poolSummary(l.pool).dataCenters)
+	to := p.receiver(p.poolSummary(pq.pool).dataCenters)
 	if to == nil {
 		return false
 	}
 	h := Handover{Peer: to.Name}
 	for n := min(surplus, max(to.credit/2, p.cfg.HandLeast), maxHandoverTasks); len(h.Items) < n; {
-		js := p.topJob(l)
-		if js == nil || !p.mayHandOver(js) || p.tooLate(now, js) || !p.routedTo(js, l) {
+		js := p.topJob(pq)
+		if js == nil || !p.mayHandOver(js) || p.tooLate(now, js) || !p.routedTo(js, pq) {
 			break
 		}
 		f := &activeAttempt{js: js, peer: to, startedAt: now}
@@ -114,7 +115,7 @@
 	return true
 }
 
-// mayHandOver tells whether the next task of the work may be handed over.
+// mayHandOver reports whether the job's next task may be handed over.
 func (p *Planner) mayHandOver(js *jobState) bool {
 	if js.job.FromPeer {
 		return false
@@ -123,15 +124,15 @@
 	return n == 0 || js.tried[js.retries[n-1]].peers < maxHandoverTries
 }
 
-func (p *Planner) routedTo(js *jobState, l *poolQueue) bool {
+func (p *Planner) routedTo(js *jobState, pq *poolQueue) bool {
 	r, ok := p.cluster.Tables.Route(js.job.Kind)
-	return ok && r.Pool == l.pool
+	return ok && r.Pool == pq.pool
 }
 
-// startableSoon returns how many tasks of the queue this dispatcher will probably start
-// itself before HandAfter is over.
-func (p *Planner) startableSoon(l *poolQueue) int {
-	if p.fleet.Pool(l.pool) == nil {
+// startableSoon returns how many tasks of the queue this dispatcher is expected to start
+// itself within HandAfter.
+func (p *Planner) startableSoon(pq *poolQueue) int {
+	if p.fleet.Pool(pq.pool) == nil {
 		return 0
 	}
 	usual := p.longest()
@@ -141,9 +142,9 @@
 	return int(float64(p.running) * float64(p.cfg.HandAfter) / float64(usual))
 }
 
-// receiver returns the better of two peers with room in the data centres
-// given, one of this data centre if there is any. Two choices and not the best:
-// everybody reads the same reports, and all would turn to the same peer.
+// receiver returns the better of two random peers with credit in the given data centres,
+// preferring peers of this data centre. Taking the best one would send every dispatcher
+// to the same peer, since all read the same reports.
 func (p *Planner) receiver(centers map[string]bool) *peer {
 	var near, far []*peer
 	for _, e := range p.peers.list {
@@ -170,8 +171,8 @@
 	return a
 }
 
-// handoverEnded takes the answer of a peer into account. One that refuses is asked
-// again only after its next report.
+// handoverEnded handles a peer's outcome. A peer that refuses gets no more tasks until
+// its next report.
 func (p *Planner) handoverEnded(e *peer, o delivery.Outcome) {
 	p.handedOver--
 	if o.Kind == delivery.NotRun {
--- a/dispatch/plan/health_test.go
+++ b/dispatch/plan/health_test.go
@@ -7,26 +7,26 @@
 	"snipehub.example/delivery"
 )
 
-// faultBetween is a worker's answer while it is faultBetween: o after d.
+// faultBetween returns a worker fault: between the two times the worker answers o after d.
 func faultBetween(from, to time.Time, d time.Duration, o delivery.Outcome) func(time.Time) (time.Duration, delivery.Outcome, bool) {
 	return func(now time.Time) (time.Duration, delivery.Outcome, bool) {
 		return d, o, !now.Before(from) && now.Before(to)
 	}
 }
 
-// One of ten servers gets sick for twenty seconds, in each of the ways in which
-// servers do. Left in use, it draws in work faster than the well ones (what
-// fails at once is free at once), or holds connections until the leases end;
-// callers see jobs fail for as long as it lasts. It must get only a trial task now
-// and then, and its full part of the work again after it is well.
+// One of ten servers fails for twenty seconds, in each of several ways. If it stayed in
+// use, it would attract work faster than the others, because a failed task frees its slot
+// at once, or would hold connections until the leases end; jobs would fail all the while.
+// It must get only a probe now and then, and its full share of the work after it has
+// recovered.
 func TestSickServer(t *testing.T) {
 	tests := []struct {
 		name  string
 		after time.Duration
 		o     delivery.Outcome
-		// most is how many tasks may start there in the 20 s: those under way
-		// until it is seen, and the trials.
-		most int
+		// maxStarts is how many tasks may start there in the 20 s: those that start before the
+		// fault is detected, and the probes.
+		maxStarts int
 	}{
 		{"fails all it starts", time.Millisecond, delivery.Outcome{Kind: delivery.Ran, Cause: delivery.Status, Status: 500}, 12},
 		{"resets", 50 * time.Millisecond, delivery.Outcome{Kind: delivery.Unknown, Cause: delivery.Broken}, 12},
@@ -44,21 +44,21 @@
 			s.run(5 * time.Second)
 			before := w.starts
 			s.run(20 * time.Second)
-			if n := w.starts - before; n > tt.most {
-				t.Errorf("%d tasks started on the sick server, want at most %d", n, tt.most)
+			if n := w.starts - before; n > tt.maxStarts {
+				t.Errorf("%d tasks started on the failing server, want at most %d", n, tt.maxStarts)
 			}
 			s.run(20 * time.Second)
 			before = w.starts
 			s.run(15 * time.Second)
 			if n := w.starts - before; n < 100 {
-				t.Errorf("%d tasks started on the server after it was well again", n)
+				t.Errorf("%d tasks started on the server after it had recovered", n)
 			}
 		})
 	}
 }
 
-// A kind of request fails on every server, for a fault of its own. Each server
-// looks sick; were all set aside, the other kinds would have none.
+// A kind of request fails on every server because of a fault of its own. Every server
+// looks bad, but if all were ejected, the other kinds of request would have none.
 func TestAsideIsBounded(t *testing.T) {
 	s := newSim(1, config("share"), 1, state(t, 10, 4), 1)
 	for _, w := range s.workers {
@@ -68,14 +68,14 @@
 	for range 100 {
 		s.run(100 * time.Millisecond)
 		if n := s.planners[0].fleet.Pool("quick").Ejected(); n > 3 {
-			t.Fatalf("%d of 10 servers are set aside, want at most 3", n)
+			t.Fatalf("%d of 10 servers are ejected, want at most 3", n)
 		}
 	}
 }
 
-// No server can be reached for a while. Each task is free to be tried
-// elsewhere, and without a budget all are, again and again: the servers get many
-// times the load at the moment when they come up.
+// No server can be reached for a while. Each failed task may be retried, and without a
+// budget all would be, again and again, so that the servers would get many times the load
+// just as they recover.
 func TestNoRetryStorm(t *testing.T) {
 	cfg := config("share")
 	cfg.Attempts = 10
@@ -92,13 +92,13 @@
 	}
 	s.run(2 * time.Minute)
 	if s.done == 0 || len(s.jobs) > 0 {
-		t.Errorf("%d jobs done after it, %d still there", s.done, len(s.jobs))
+		t.Errorf("%d jobs done afterwards, %d left", s.done, len(s.jobs))
 	}
 }
 
-// Jobs come in at twice the rate at which tasks can end. A queue that takes all
-// of them fills with work that ends too late, goodput falls towards nothing, and
-// the queue outlives the burst.
+// Jobs arrive at twice the rate at which tasks can end. A queue that accepts all of them
+// fills with work that ends too late: goodput falls towards zero, and the queue outlasts
+// the burst.
 func TestOverload(t *testing.T) {
 	goodput := func(load float64) (*sim, float64) {
 		s := newSim(1, config("share"), 4, state(t, 8, 16), 1)
@@ -123,9 +123,8 @@
 	}
 }
 
-// A server with many slots freezes. Nothing fails, and until the first lease
-// ends it looks like one that is at work on long tasks; each task that goes there
-// is lost to its caller.
+// A server with many slots freezes. Nothing fails, and until the first lease ends the
+// server looks busy with long tasks; each task that is sent to it is lost.
 func TestFrozenServer(t *testing.T) {
 	s := newSim(1, config("random"), 1, state(t, 10, 64), 1)
 	w := s.workers[address(0)]
--- a/dispatch/plan/place.go
+++ b/dispatch/plan/place.go
@@ -7,12 +7,12 @@
 	"snipehub.example/tables"
 )
 
-// unusableBackoff is how long a server is left alone that the VM list calls leaving
-// or that is held back after a move, before it is looked at again.
+// unusableBackoff is how long a server gets no tasks after Cluster.Usable has rejected
+// it, because it is leaving or held back after a move.
 const unusableBackoff = 200 * time.Millisecond
 
-// place starts tasks while a connection, a task and a server with room are
-// there.
+// place starts tasks as long as there are a connection, a waiting task and a server with
+// a free slot.
 func (p *Planner) place(now time.Time) {
 	if !p.cluster.MayPlace {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-// placeNext serves the pools in turn.
+// placeNext places one task, serving the pools in round-robin order.
 func (p *Planner) placeNext(now time.Time) bool {
 	for range p.poolQueues {
 		p.lastServed = (p.lastServed + 1) % len(p.poolQueues)
@@ -32,17 +32,17 @@
 	return false
 }
 
-func (p *Planner) placeFrom(now time.Time, l *poolQueue) bool {
-	servers := p.fleet.Pool(l.pool)
-	if l.Len() == 0 || servers == nil {
+func (p *Planner) placeFrom(now time.Time, pq *poolQueue) bool {
+	servers := p.fleet.Pool(pq.pool)
+	if pq.Len() == 0 || servers == nil {
 		return false
 	}
-	js := p.topJob(l)
+	js := p.topJob(pq)
 	if js == nil {
 		return false
 	}
 	route, ok := p.cluster.Tables.Route(js.job.Kind)
-	if !ok || route.Pool != l.pool {
+	if !ok || route.Pool != pq.pool {
 		p.reroute(now, js)
 		return true
 	}
@@ -58,14 +58,14 @@
 	return true
 }
 
-// topJob returns the work whose task goes next. When all job slots are taken it is
-// one that has a slot, if any of those can go on; no connection stands idle for
-// want of a slot.
-func (p *Planner) topJob(l *poolQueue) *jobState {
+// topJob returns the job whose task goes next. If all job slots are taken, it prefers a
+// job that has one. If no such job can go on, it returns another one, so that no
+// connection stays idle for lack of a job slot.
+func (p *Planner) topJob(pq *poolQueue) *jobState {
 	full := p.cfg.JobSlots > 0 && p.jobSlotsUsed >= p.cfg.JobSlots
-	j := l.Top(full)
+	j := pq.Top(full)
 	if j == nil && full {
-		j = l.Top(false)
+		j = pq.Top(false)
 	}
 	if j == nil {
 		return nil
@@ -73,9 +73,8 @@
 	return j.Owner.(*jobState)
 }
 
-// choose returns a server for the next task of the pool. A server that was set
-// aside and is due for a probe goes first: with the others free, nothing else
-// would ever bring it back.
+// choose returns a server for the next task of the pool, or nil. An ejected server that
+// is due for a probe goes first: while others are free, nothing else would restore it.
 func (p *Planner) choose(now time.Time, servers *pool.Pool) *pool.Server {
 	if s := servers.Probe(); s != nil && p.cluster.Usable(s.Address) {
 		return s
@@ -115,8 +114,8 @@
 	})
 }
 
-// takeTask moves the next task of a work from its queue into flight, and returns
-// the number of the attempt.
+// takeTask moves the next task of f's job from its queue to the active attempts, and
+// returns the number of earlier attempts of the task.
 func (p *Planner) takeTask(f *activeAttempt) int {
 	js := f.js
 	f.task = js.popTask()
@@ -132,7 +131,7 @@
 	return attempt
 }
 
-// setJobSlot gives the work a job setJobSlot or takes it back.
+// setJobSlot gives the job a job slot or releases it.
 func (p *Planner) setJobSlot(js *jobState, has bool) {
 	switch {
 	case has && !js.hasJobSlot:
@@ -143,7 +142,7 @@
 	js.hasJobSlot = has
 }
 
-// popTask takes the task of the work that goes next.
+// popTask returns the job's next task, a retry if there is one.
 func (js *jobState) popTask() int {
 	if n := len(js.retries); n > 0 {
 		task := js.retries[n-1]
@@ -154,13 +153,13 @@
 	return js.nextTask - 1
 }
 
-// cost is what a start charges its team and caller with, in seconds.
+// cost returns what a start is charged to its team and caller, in seconds.
 func (p *Planner) cost(js *jobState) float64 {
-	if u := p.serviceTime(js.job.Kind); u.Known() {
-		return u.Mean().Seconds()
+	if st := p.serviceTime(js.job.Kind); st.Known() {
+		return st.Mean().Seconds()
 	}
 	return defaultCost.Seconds()
 }
 
-// defaultCost stands for the service time of a kind of which nothing is known.
+// defaultCost is the service time assumed for a kind that has too few samples.
 const defaultCost = 200 * time.Millisecond
--- a/dispatch/plan/plan.go
+++ b/dispatch/plan/plan.go
@@ -1,15 +1,15 @@
-// Package plan decides which task starts when and on which backend server, and
-// which work is refused.
+// Package plan decides which task starts when and on which backend server, and which work
+// is refused.
 //
-// It is a plain value: events with the time go in, actions come out, and there
-// is no goroutine, socket, lock or clock inside; randomness is passed in. So a
-// test, or any bench, can drive it through years of load in seconds, and two
-// runs with one seed are the same.
+// It is a deterministic state machine without I/O: events with their times go in, actions
+// come out, and there is no goroutine, socket, lock or clock inside; the source of
+// randomness is passed in. A test or benchmark can therefore simulate years of load in
+// seconds, and two runs with the same seed are identical.
 //
-// The rules that nothing here may break: a task is on at most one backend server
-// at a time; only a proved "not run" is tried again (and an unknown outcome of a
-// request whose route calls it repeatable); every admitted task ends exactly
-// once; what ends as "not run" never starts afterwards.
+// It keeps these invariants: a task is on at most one backend server at a time; only a
+// proven "not run" is retried, or an unknown outcome of a request whose route is
+// repeatable; every admitted task ends exactly once; and a task that ended as "not run"
+// never starts afterwards.
 package plan
 
 import (
@@ -25,50 +25,50 @@
 	"snipehub.example/tables"
 )
 
-// Config sets the bounds of a planner.
+// Config configures a planner.
 type Config struct {
 	DataCenter string
 	Policy     policy.Policy
-	// Connections is how many attempts run at once.
+	// Connections is the number of attempts that may run at once on backend servers.
 	Connections int
-	// JobSlots is how many jobs are partly started at once: some tasks have
-	// been, others wait. 0 means no limit.
+	// JobSlots is the number of jobs that may be partly started at once, with some tasks
+	// started and others waiting. 0 means no limit.
 	JobSlots int
 	// QueuedTasks bounds the waiting tasks.
 	QueuedTasks int
-	// Attempts bounds the attempts of one task.
+	// Attempts bounds the attempts of one task on backend servers.
 	Attempts int
-	// TaskTimeout is the lease of an attempt where the route names none.
+	// TaskTimeout is the lease of an attempt whose route sets no timeout.
 	TaskTimeout time.Duration
-	// MaxWait is the longest expected wait at which work is still taken.
+	// MaxWait is the longest expected wait at which work is still accepted.
 	MaxWait time.Duration
-	// RetryBudget is the share of first attempts that may be repeated.
+	// RetryBudget is the number of retries allowed per first attempt.
 	RetryBudget float64
-	// HandAfter is the wait that a task is left to rather than handed over: a
-	// connection that frees within it is as near as a peer.
+	// HandAfter is the expected wait up to which a task stays here rather than being
+	// handed over: a connection that becomes free within it is as near as a peer.
 	HandAfter time.Duration
-	// HandLeast is the fewest tasks that are worth a hand-over.
+	// HandLeast is the smallest number of tasks that is worth a handover.
 	HandLeast int
-	// AsideShare is the largest part of a pool that is set aside.
+	// AsideShare is the largest share of a pool's servers that may be ejected.
 	AsideShare float64
 }
 
-// Job is the tasks of one submission.
+// Job is one submission: a number of tasks with common attributes.
 type Job struct {
 	ID      string
 	Kind    string
 	Caller  string
 	Team    string
 	Expires time.Time
-	// Request tells that this is one request passed through.
+	// Request is set if this is a single request passed through rather than a job.
 	Request bool
-	// FromPeer tells that this is one task which a peer has handed over: it is
-	// tried once, and not handed on.
+	// FromPeer is set if this is one task that a peer has handed over: it is tried once
+	// and not handed over again.
 	FromPeer bool
 	Tasks    int
 }
 
-// Start asks the shell to run an attempt and to report it by Ended.
+// Start tells the driver to run an attempt and to report its outcome to AttemptEnded.
 type Start struct {
 	AttemptID uint64
 	Job       string
@@ -78,7 +78,7 @@
 	Expires   time.Time
 }
 
-// HandoverItem is a task in a hand-over.
+// HandoverItem is one task of a handover.
 type HandoverItem struct {
 	AttemptID uint64
 	Job       string
@@ -87,35 +87,34 @@
 	Expires   time.Time
 }
 
-// Handover asks the shell to hand tasks over to a peer, and to report what became
-// of each by Ended: "not run" only when the peer said so, or certainly did not
-// get it.
+// Handover tells the driver to hand tasks over to a peer and to report the outcome of
+// each to AttemptEnded. The outcome is "not run" only if the peer said so or certainly
+// did not get the task.
 type Handover struct {
 	Peer  string
 	Items []HandoverItem
 }
 
-// Peer is another dispatcher as the roster last heard of it.
+// Peer is another dispatcher, as last reported by the roster.
 type Peer struct {
 	Name       string
 	DataCenter string
-	// Report numbers the heartbeat that Free comes from.
+	// Report is the number of the heartbeat that Free comes from.
 	Report uint64
 	Free   int
 }
 
-// End says that the tasks From to To-1 of a job have ended.
+// End reports that the tasks From through To-1 of a job have ended.
 type End struct {
 	Job      string
 	From, To int
 	Ran      refusal.Ran
-	// Outcome is the last attempt's; its kind is 0 when there was none.
+	// Outcome is that of the last attempt; its kind is 0 if there was none.
 	Outcome delivery.Outcome
 	Reason  string
 }
 
-// Actions is what the shell is to do. The slices are used again by the next
-// Take.
+// Actions tells the driver what to do. The slices are reused by the next Decide.
 type Actions struct {
 	Starts        []Start
 	Ends          []End
@@ -123,19 +122,19 @@
 	HealthChanges []pool.HealthChange
 }
 
-// Cluster is what a planner knows of its surroundings.
+// Cluster is the state of the system that a planner depends on.
 type Cluster struct {
 	Tables  *tables.State
 	Members pool.Members
-	// Dispatchers is how many are live in the whole system.
+	// Dispatchers is the number of live dispatchers in all data centres.
 	Dispatchers int
-	// Usable tells whether new work may go to a server now.
+	// Usable reports whether new work may go to a server now.
 	Usable func(server netip.AddrPort) bool
-	// MayPlace is false while nothing may be started.
+	// MayPlace is false while no task may start.
 	MayPlace bool
 }
 
-// Planner is the decisions of one dispatcher.
+// Planner decides for one dispatcher.
 type Planner struct {
 	cfg     Config
 	rnd     *rand.Rand
@@ -152,7 +151,7 @@
 	activeAttempts map[uint64]*activeAttempt
 	teams          map[string]*team
 	retryBudget    retryBudget
-	// budgetQueue has an entry for each task that waits for the retry budget.
+	// budgetQueue has one entry for each task that waits for the retry budget.
 	budgetQueue []*jobState
 
 	attempts     uint64
@@ -171,56 +170,56 @@
 	queueJob  *queue.Job
 	poolQueue *poolQueue
 	team      *team
-	// nextTask is the first task that was never tried; retries are those that may
-	// be tried again, and tried tells how often they were.
+	// nextTask is the first task that was never tried, retries are tasks that are queued
+	// again, and tried counts the tries of each task that did not run.
 	nextTask int
 	retries  []int
 	tried    map[int]taskTries
-	// awaitingBudget is the tasks that wait for the retry budget.
+	// awaitingBudget holds the tasks that wait for the retry budget.
 	awaitingBudget []int
 	unfinished     int
-	// hasJobSlot tells that it has a job hasJobSlot.
+	// hasJobSlot is set while the job holds a job slot.
 	hasJobSlot bool
-	// stopped tells that no more tasks are started.
+	// stopped is set if no more tasks of the job are to start.
 	stopped bool
-	// mayHaveRun tells that an attempt of a repeatable request has an unknown
-	// outcome, after which no later refusal makes it "not run".
+	// mayHaveRun is set if an attempt of a request had an unknown outcome; no later
+	// refusal makes the request "not run" again.
 	mayHaveRun  bool
 	expiryIndex int
 }
 
-// taskTries counts what was done about a task that did not run.
+// taskTries counts the tries of a task that did not run.
 type taskTries struct {
-	// attempts is that of the next attempt.
+	// attempts is the number of tries so far, and so the number of the next one.
 	attempts int
-	// servers counts the attempts on backend servers of this dispatcher,
-	// peers the hand-overs.
+	// servers counts the attempts on backend servers of this dispatcher, peers the
+	// handovers.
 	servers, peers int
 }
 
-// activeAttempt is an attempt under way.
+// activeAttempt is an attempt under way, here or at a peer.
 type activeAttempt struct {
 	js   *jobState
 	task int
-	// server is nil when the task was handed to peer.
+	// server is nil if the task was handed over to peer.
 	server    *pool.Server
 	peer      *peer
 	startedAt time.Time
 }
 
-// poolQueue is the queue of a pool.
+// poolQueue is the queue of one pool.
 type poolQueue struct {
 	*queue.Queue
 	pool      string
 	drainRate drainRate
 }
 
-// ageingStep is by how much each waiting task of a job puts it behind smaller
-// ones of its caller: the largest job of today, 1,300 tasks, is passed by those
-// that arrive in the 13 s after it.
+// ageingStep is how far each waiting task of a job puts it behind smaller jobs of the
+// same caller. The largest job, of 1,300 tasks, is overtaken only by jobs that arrive
+// within 13 s after it.
 const ageingStep = 10 * time.Millisecond
 
-// New makes a planner that knows no tables yet.
+// New returns a planner that has no tables yet.
 func New(cfg Config, rnd *rand.Rand) *Planner {
 	return &Planner{
 		cfg:            cfg,
@@ -237,7 +236,7 @@
 	}
 }
 
-// Decide places what can be placed and moves the actions into a.
+// Decide places what can be placed and moves the resulting actions into a.
 func (p *Planner) Decide(now time.Time, a *Actions) {
 	p.place(now)
 	p.handOver(now)
@@ -254,10 +253,10 @@
 	p.actions.HealthChanges = p.actions.HealthChanges[:0]
 }
 
-// Waiting returns the number of tasks that wait.
+// Waiting returns the number of waiting tasks.
 func (p *Planner) Waiting() int { return p.waiting }
 
-// Running returns the number of attempts under way.
+// Running returns the number of attempts under way on backend servers.
 func (p *Planner) Running() int { return p.running }
 
 // HandedOver returns the number of tasks that are with peers.
@@ -269,10 +268,10 @@
 }
 
 func (p *Planner) serviceTime(name string) *pool.ServiceTime {
-	u := p.serviceTimes[name]
-	if u == nil {
-		u = &pool.ServiceTime{}
-		p.serviceTimes[name] = u
+	st := p.serviceTimes[name]
+	if st == nil {
+		st = &pool.ServiceTime{}
+		p.serviceTimes[name] = st
 	}
-	return u
+	return st
 }
--- a/dispatch/plan/plan_test.go
+++ b/dispatch/plan/plan_test.go
@@ -20,8 +20,8 @@
 	"snipehub.example/tables"
 )
 
-// TestMain fixes the seed, so that a run's verdict is always the same. A long
-// run: go test ./dispatch/plan -run Oracle -rapid.seed=0 -rapid.checks=100000.
+// TestMain fixes the seed, so that the result of a run is reproducible. For a long run:
+// go test ./dispatch/plan -run Oracle -rapid.seed=0 -rapid.checks=100000.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "1000")
@@ -35,7 +35,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
 }
 
-// state is tables with one pool of n servers, in dc1.
+// state returns tables with one pool of n servers, in dc1.
 func state(t testing.TB, n, slots int, teams ...tables.Team) *tables.State {
 	t.Helper()
 	r := tables.Rows{
@@ -78,8 +78,8 @@
 	}
 }
 
-// model is the oracle: what a task may do, told without any of the planner's
-// means.
+// model is the oracle: it tracks what each task may do, independently of the planner's
+// own state.
 type model struct {
 	p              *Planner
 	cfg            Config
@@ -90,7 +90,8 @@
 	activeAttempts map[uint64]Start
 	busy           map[netip.AddrPort]int
 	out            Actions
-	// peerFree is what the peer has told of its free slots, less what it got.
+	// peerFree is the number of free slots that the peer reported, less the tasks it got
+	// since.
 	peerFree int
 	report   uint64
 }
@@ -125,8 +126,8 @@
 	}
 }
 
-// handed checks a hand-over: each item is an attempt like a start, but on no
-// server of this dispatcher.
+// handed checks a handover: each item is an attempt like a start, but on no server of
+// this dispatcher.
 func (m *model) handed(t *rapid.T, h Handover) {
 	if len(h.Items) > m.peerFree {
 		t.Fatalf("%d tasks handed over, room for %d", len(h.Items), m.peerFree)
@@ -134,7 +135,7 @@
 	m.peerFree -= len(h.Items)
 	for _, it := range h.Items {
 		if m.jobs[it.Job].FromPeer {
-			t.Fatalf("%s was handed on", it.Job)
+			t.Fatalf("%s was handed over again", it.Job)
 		}
 		m.start(t, Start{AttemptID: it.AttemptID, Job: it.Job, Task: it.Task, Attempt: it.Attempt, Expires: it.Expires})
 	}
@@ -205,7 +206,7 @@
 		return
 	}
 	if j.Kind == "none" || !m.now.Before(j.Expires) {
-		t.Fatal("a job that can't run was taken")
+		t.Fatal("a job that can't run was accepted")
 	}
 	m.jobs[j.ID] = &modelJob{
 		Job: j, running: make([]bool, j.Tasks), ended: make([]bool, j.Tasks),
@@ -279,7 +280,7 @@
 	m.p.SetPeers([]Peer{{Name: "b", DataCenter: "dc1", Report: m.report, Free: m.peerFree}})
 }
 
-// drain ends everything, and nothing may be left.
+// drain ends everything under way and checks that nothing is left.
 func (m *model) drain(t *rapid.T) {
 	for len(m.activeAttempts) > 0 {
 		first := slices.Min(slices.Collect(maps.Keys(m.activeAttempts)))
@@ -301,10 +302,10 @@
 	}
 }
 
-// TestOracle drives a planner through submissions, cancellations, outcomes,
-// passing time and changes of the tables, against a model that knows only what
-// a task may do: never on two servers, never after its end, never over slots or
-// connections, and exactly one end for each.
+// TestOracle drives a planner through submissions, cancellations, outcomes, passing time
+// and changes of the tables, and compares it with a model of what a task may do: a task
+// is never on two servers, never starts after its end, ends exactly once, and never
+// exceeds the slots or connections.
 func TestOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config(rapid.SampledFrom([]string{"random", "two", "share", "hand"}).Draw(t, "policy"))
@@ -331,7 +332,7 @@
 	})
 }
 
-// zeroT stands for a testing.TB that is never failed.
+// zeroT is a testing.TB for helpers that are not expected to fail.
 type zeroT struct{ testing.TB }
 
 func (zeroT) Helper() {}
--- a/dispatch/plan/sim_test.go
+++ b/dispatch/plan/sim_test.go
@@ -14,8 +14,8 @@
 	"snipehub.example/tables"
 )
 
-// sim drives planners and workers through virtual time: a loop over timed
-// functions, with no network and no processes.
+// sim drives planners and workers through virtual time. It is an event loop over timed
+// functions, without a network or processes.
 type sim struct {
 	rnd      *rand.Rand
 	now      time.Time
@@ -36,8 +36,8 @@
 type simWorker struct {
 	slots, busy int
 	speed       float64
-	// fault, when set, answers in place of the worker after some time; a
-	// false return leaves the task to the worker.
+	// fault, if set, answers in place of the worker after some time. If it returns false,
+	// the worker handles the task itself.
 	fault  func(now time.Time) (time.Duration, delivery.Outcome, bool)
 	starts int
 }
@@ -48,7 +48,7 @@
 	service     []time.Duration
 	unfinished  int
 	failed      bool
-	// reportBack takes the outcome of a task that was handed over.
+	// reportBack returns the outcome of a task from a peer to that peer.
 	reportBack func(o delivery.Outcome)
 }
 
@@ -80,7 +80,7 @@
 	simTick    = 50 * time.Millisecond
 )
 
-// newSim makes planners that share the servers of st; speeds go round.
+// newSim makes planners that share the servers of st, which take the speeds in turn.
 func newSim(seed uint64, cfg Config, planners int, st *tables.State, speeds ...float64) *sim {
 	s := &sim{
 		rnd: rand.New(rand.NewPCG(seed, 7)), now: epoch,
@@ -109,7 +109,7 @@
 	heap.Push(&s.queue, timed{s.now.Add(d), s.lastID, do})
 }
 
-// run lets time pass.
+// run advances the virtual time by d.
 func (s *sim) run(d time.Duration) {
 	s.until = s.now.Add(d)
 	for _, p := range s.planners {
@@ -147,7 +147,7 @@
 	}
 }
 
-// heartbeat tells every planner what room the others have.
+// heartbeat reports every planner's free slots to the others.
 func (s *sim) heartbeat() {
 	s.heartbeats++
 	for i, p := range s.planners {
@@ -164,7 +164,7 @@
 	}
 }
 
-// handOver puts the tasks at the peer, as its guests.
+// handOver submits the tasks to the receiving planner.
 func (s *sim) handOver(p *Planner, h Handover) {
 	to := s.planners[0]
 	for i, o := range s.planners {
@@ -253,8 +253,8 @@
 	s.responseRatios = append(s.responseRatios, float64(s.now.Sub(j.submittedAt))/float64(ideal))
 }
 
-// service draws a service time on a server of speed 1: 50 ms to 1 s, and one in
-// a hundred of 3 s.
+// service draws the service time on a server of speed 1: 50 ms plus an exponential time
+// with a mean of 100 ms, or 3 s for one task in a hundred.
 func (s *sim) service() time.Duration {
 	if s.rnd.IntN(100) == 0 {
 		return 3 * time.Second
@@ -280,8 +280,8 @@
 	return true
 }
 
-// offer submits jobs of the given sizes at random planners, as a Poisson
-// process of the given rate of tasks a second, for d.
+// offer submits jobs of the given sizes to random planners, as a Poisson process with the
+// given rate of tasks a second, for d.
 func (s *sim) offer(rate float64, d, timeout time.Duration, sizes ...int) {
 	mean := 0
 	for _, n := range sizes {
--- a/dispatch/plan/trial_test.go
+++ b/dispatch/plan/trial_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkTrial compares the policies in the virtual time of sim: 16
-// dispatchers of 64 connections, 16 workers of 64 slots and three speeds, jobs
-// of 1 to 100 tasks. It measures the decisions, not the system.
+// BenchmarkTrial compares the policies in virtual time: 16 dispatchers of 64 connections,
+// 16 workers of 64 slots and three speeds, jobs of 1 to 100 tasks. It measures the
+// decisions, not the system.
 func BenchmarkTrial(b *testing.B) {
 	tests := []struct {
 		name   string
@@ -58,7 +58,7 @@
 	b.ReportMetric(float64(s.refused), "refused")
 }
 
-// simMean is the mean of sim.service.
+// simMean is the mean of sim.service in seconds.
 const simMean = 0.99*0.150 + 0.01*3
 
 func trial(b *testing.B, cfg Config, load int) *sim {
--- a/dispatch/plan/world.go
+++ b/dispatch/plan/world.go
@@ -6,11 +6,11 @@
 	"snipehub.example/dispatch/queue"
 )
 
-// team is what the planner knows of a team with jobs here.
+// team is the planner's state of a team that has jobs here.
 type team struct {
 	name   string
 	weight float64
-	// quotaShare is how many of its tasks this dispatcher may run at once; 0 means
+	// quotaShare is how many of the team's tasks this dispatcher may run at once; 0 means
 	// no limit.
 	quotaShare int
 	running    int
@@ -38,39 +38,39 @@
 	p.dropUnusedQueues()
 }
 
-// dropUnusedQueues forgets the lines of pools that are no more.
+// dropUnusedQueues drops the queues of pools that no longer exist.
 func (p *Planner) dropUnusedQueues() {
 	kept := p.poolQueues[:0]
-	for _, l := range p.poolQueues {
-		if l.Len() > 0 || len(p.cluster.Tables.Servers(l.pool)) > 0 {
-			kept = append(kept, l)
+	for _, pq := range p.poolQueues {
+		if pq.Len() > 0 || len(p.cluster.Tables.Servers(pq.pool)) > 0 {
+			kept = append(kept, pq)
 			continue
 		}
-		delete(p.byPool, l.pool)
+		delete(p.byPool, pq.pool)
 	}
 	clear(p.poolQueues[len(kept):])
 	p.poolQueues = kept
 }
 
 func (p *Planner) poolQueue(name string) *poolQueue {
-	l := p.byPool[name]
-	if l == nil {
-		l = &poolQueue{Queue: queue.New(ageingStep), pool: name}
-		p.byPool[name] = l
-		p.poolQueues = append(p.poolQueues, l)
+	pq := p.byPool[name]
+	if pq == nil {
+		pq = &poolQueue{Queue: queue.New(ageingStep), pool: name}
+		p.byPool[name] = pq
+		p.poolQueues = append(p.poolQueues, pq)
 	}
-	return l
+	return pq
 }
 
-// poolSummary is what the tables say of a pool over all data centres.
+// poolSummary summarizes a pool over all data centres.
 type poolSummary struct {
 	slots int
-	// dataCenters is the data centres in which it has usable servers.
+	// dataCenters is the set of data centres in which the pool has usable servers.
 	dataCenters map[string]bool
 }
 
-// poolSummary looks at a pool's servers once for each version of the tables; a look
-// for each job would cost as much as the pool has servers.
+// poolSummary computes the summary once for each version of the tables: computing it for
+// each job would cost time in proportion to the pool's servers.
 func (p *Planner) poolSummary(name string) poolSummary {
 	r, ok := p.poolSummaries[name]
 	if ok {
@@ -87,14 +87,14 @@
 	return r
 }
 
-// reachable tells whether any server of the pool may be used by this dispatcher,
-// or by one to whom it can give work.
+// reachable reports whether this dispatcher, or a peer that it can hand work over to, may
+// use any server of the pool.
 func (p *Planner) reachable(name string) bool {
 	r := p.poolSummary(name)
 	return r.dataCenters[p.cfg.DataCenter] || p.cfg.Policy.HandsOver() && p.peers.anyIn(r.dataCenters)
 }
 
-// reroute moves what waits of the work to the pool that its kind goes to now.
+// reroute moves the job's waiting tasks to the pool of its kind's current route.
 func (p *Planner) reroute(now time.Time, js *jobState) {
 	route, ok := p.cluster.Tables.Route(js.job.Kind)
 	if !ok {
@@ -110,7 +110,7 @@
 	p.countRunning(js.team, 0)
 }
 
-// team finds the team of a job. A caller without a team is a team of its own.
+// team returns the team of a job. A caller without a team is a team of its own.
 func (p *Planner) team(j Job) *team {
 	name := j.Team
 	if name == "" {
@@ -134,32 +134,32 @@
 	}
 }
 
-// forgetIfIdle drops a team that has nothing here any more.
+// forgetIfIdle drops a team without jobs and running tasks.
 func (p *Planner) forgetIfIdle(t *team) {
 	if t.jobs == 0 && t.running == 0 {
 		delete(p.teams, t.name)
 	}
 }
 
-// countRunning counts a start or an end of a team's task, and holds the team back
-// while its part of the countRunning is used up.
+// countRunning adds n to the team's running tasks, and pauses the team in the queues
+// while its share of the quota is used up.
 func (p *Planner) countRunning(t *team, n int) {
 	t.running += n
 	if n != 0 && t.quotaShare == 0 {
 		return
 	}
 	full := t.quotaShare > 0 && t.running >= t.quotaShare
-	for _, l := range p.poolQueues {
+	for _, pq := range p.poolQueues {
 		if full {
-			l.Pause(t.name)
+			pq.Pause(t.name)
 		} else {
-			l.Resume(t.name)
+			pq.Resume(t.name)
 		}
 	}
 }
 
-// Tick ends what has expired and lets time work on the rest. It is to be
-// called several times a second.
+// Tick ends expired jobs and advances everything else that depends on time. The driver
+// calls it several times a second.
 func (p *Planner) Tick(now time.Time) {
 	if p.lastTick.IsZero() {
 		p.lastTick = now
@@ -172,20 +172,20 @@
 		p.stop(js, "its time is over")
 	}
 	p.releaseRetries()
-	for _, l := range p.poolQueues {
-		l.drainRate.tick(now, l.Len() > 0)
+	for _, pq := range p.poolQueues {
+		pq.drainRate.tick(now, pq.Len() > 0)
 	}
 	p.fleet.Tick(now, p.longest())
 }
 
-// longest returns the longest usual service time of the kinds in use.
+// longest returns the longest mean service time of the kinds in use.
 func (p *Planner) longest() time.Duration {
 	var d time.Duration
-	for _, u := range p.serviceTimes {
-		d = max(d, u.Mean())
+	for _, st := range p.serviceTimes {
+		d = max(d, st.Mean())
 	}
 	return d
 }
 
-// SetMayPlace tells whether tasks may be started from now on.
+// SetMayPlace sets whether tasks may start from now on.
 func (p *Planner) SetMayPlace(ok bool) { p.cluster.MayPlace = ok }
