--- a/dispatch/queue/heap.go
+++ b/dispatch/queue/heap.go
@@ -1,9 +1,9 @@
 package queue
 
-// orderable is what a heap holds: values that know their order.
+// orderable is the constraint on the elements of a heap.
 type orderable[T any] interface{ before(o T) bool }
 
-// heap is a binary heap with the first value at index 0.
+// heap is a binary heap with the smallest element at index 0.
 type heap[T orderable[T]] []T
 
 func (h *heap[T]) push(v T) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// rebuild restores the order after any change.
+// rebuild restores the heap order after arbitrary changes.
 func (h heap[T]) rebuild() {
 	for i := len(h)/2 - 1; i >= 0; i-- {
 		h.down(i)
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -1,19 +1,19 @@
 // Package queue orders the waiting tasks of one pool.
 //
-// Teams share by weighted fair queueing (start-time fair queueing: each team
-// has a virtual time that its starts advance by their cost over its weight, and
-// the smallest goes first), the callers of a team share it evenly in the same
-// way, and among the jobs of a caller the one with the fewest waiting tasks
-// goes first. A job of n tasks counts as if it had arrived n ageing steps
-// later than it did, which is the whole of the ageing: it is passed only by jobs
-// that arrive within that time, so none is starved.
+// Teams share the pool by weighted fair queueing, in its form of start-time fair
+// queueing: each start advances the team's virtual time by the task's cost divided by the
+// team's weight, and the team with the smallest virtual time goes first. The callers of a
+// team share its part evenly in the same way. Among the jobs of a caller, the one with
+// the fewest waiting tasks goes first. A job of n waiting tasks is ordered as if it had
+// arrived n ageing steps later than it did. Only jobs that arrive within that time can
+// overtake it, so none is starved.
 //
-// Taking, adding and charging cost the logarithm of the numbers of teams,
-// callers and jobs, and nothing that depends on the number of tasks. Removing a
-// job only marks it; marked jobs are dropped when they surface, or all at once
-// when they outnumber the others.
+// Adding and taking tasks costs time logarithmic in the numbers of teams, callers and
+// jobs, apart from the removal of idle callers, and does not depend on the number of
+// tasks. Removing a job only marks it; marked jobs are dropped when they reach the top of
+// the heap, or all at once when they outnumber the others.
 //
-// A Queue is a plain value without locks and without a clock.
+// A Queue has no lock and no clock.
 package queue
 
 import "time"
@@ -21,11 +21,11 @@
 // Job is the waiting part of a job. Its owner keeps the tasks themselves.
 type Job struct {
 	Team, Caller string
-	// Weight is the team's; 0 counts as 1.
+	// Weight is the weight of the job's team; 0 counts as 1.
 	Weight float64
 	// Arrived is when the job was submitted.
 	Arrived time.Time
-	// Owner is whatever the job belongs to; the queue does not look at it.
+	// Owner is the caller's own data for the job; the queue does not use it.
 	Owner any
 
 	waiting int
@@ -36,28 +36,29 @@
 	caller  *caller
 }
 
-// Waiting returns how many tasks of the job wait.
+// Waiting returns the number of waiting tasks of the job.
 func (j *Job) Waiting() int { return j.waiting }
 
-// Started tells whether a task of the job has been taken.
+// Started reports whether a task of the job has been taken.
 func (j *Job) Started() bool { return j.started }
 
-// SetStarted marks a job, before it is added, as one of which a task was taken.
+// SetStarted sets, before the job is added, whether a task of it has been taken.
 func (j *Job) SetStarted(started bool) { j.started = started }
 
 func (j *Job) before(o *Job) bool { return j.key.Before(o.key) }
 
-// Queue is the waiting tasks of one pool.
+// Queue holds the waiting tasks of one pool.
 type Queue struct {
 	ageingStep   time.Duration
 	virtualClock float64
 	waiting      int
 	teams        map[string]*team
-	// unstarted holds the jobs of which nothing was taken, started the others.
+	// unstarted orders the teams by their jobs of which no task was taken, started by the
+	// others.
 	unstarted, started heap[*teamNode]
 }
 
-// team is a flow of the first level.
+// team is a flow of the first level of fair queueing.
 type team struct {
 	name        string
 	weight      float64
@@ -71,7 +72,7 @@
 	started           teamNode
 }
 
-// caller is a flow of the second level.
+// caller is a flow of the second level of fair queueing.
 type caller struct {
 	team        *team
 	virtualTime float64
@@ -80,7 +81,7 @@
 	started     callerNode
 }
 
-// New makes an empty queue; step is the ageing step of one task.
+// New returns an empty queue; ageingStep is the delay in the order for each waiting task.
 func New(ageingStep time.Duration) *Queue {
 	return &Queue{ageingStep: ageingStep, teams: make(map[string]*team)}
 }
@@ -88,8 +89,8 @@
 // Len returns the number of waiting tasks.
 func (q *Queue) Len() int { return q.waiting }
 
-// Backlog returns the waiting tasks of a team, and its part of the weights of
-// all teams that wait, itself included.
+// Backlog returns the number of waiting tasks of a team, and its part of the total weight
+// of all teams with waiting tasks, itself included.
 func (q *Queue) Backlog(name string, weight float64) (waiting int, part float64) {
 	weight = weightOrOne(weight)
 	total := weight
@@ -104,7 +105,7 @@
 	return waiting, weight / total
 }
 
-// Add puts n more tasks of the job into the queue.
+// Add adds n waiting tasks to the job.
 func (q *Queue) Add(j *Job, n int) {
 	if j.removed || n <= 0 {
 		return
@@ -148,8 +149,8 @@
 	return c
 }
 
-// Remove takes all waiting tasks of the job out and returns their number. The
-// job can't be added again.
+// Remove removes all waiting tasks of the job and returns their number. The job cannot be
+// added again.
 func (q *Queue) Remove(j *Job) int {
 	n := j.waiting
 	if j.removed {
@@ -174,8 +175,8 @@
 	q.waiting += n
 }
 
-// Top returns the job whose task goes next, or nil. With openedOnly, jobs of
-// which nothing was taken yet are passed over.
+// Top returns the job whose task goes next, or nil. If startedOnly is set, it skips jobs
+// of which no task was taken yet.
 func (q *Queue) Top(startedOnly bool) *Job {
 	started := top(&q.started)
 	if startedOnly {
@@ -198,8 +199,8 @@
 	return j.before(o)
 }
 
-// Take takes one task of the job that Top returned, and charges its team and
-// caller with the cost, which is in any unit that is the same for all tasks.
+// Take takes one task of the job that Top returned and charges the cost to its team and
+// caller. The unit of cost is arbitrary, but the same for all tasks.
 func (q *Queue) Take(j *Job, cost float64) {
 	c := j.caller
 	t := c.team
@@ -208,8 +209,8 @@
 	t.virtualTime += cost / t.weight
 	c.virtualTime += cost
 	q.addWaiting(j, -1)
-	side := c.node(j.started)
-	side.jobs.pop()
+	node := c.node(j.started)
+	node.jobs.pop()
 	j.queued = false
 	j.started = true
 	if j.waiting > 0 {
@@ -218,8 +219,8 @@
 	q.forgetIdle(c)
 }
 
-// forgetIdle drops a caller, or a team, that owes nothing. Without it a queue
-// would remember every caller it ever saw.
+// forgetIdle drops callers, and a team, that have no waiting tasks and whose virtual time
+// is not ahead of the others'. Without it the queue would keep every caller it ever saw.
 func (q *Queue) forgetIdle(c *caller) {
 	t := c.team
 	if t.waiting > 0 || len(t.callers) <= maxIdleFlows && len(q.teams) <= maxIdleFlows {
@@ -235,14 +236,14 @@
 	}
 }
 
-// Pause holds a team back until Unpark; its tasks stay.
+// Pause keeps the team's tasks in the queue and skips them until Resume.
 func (q *Queue) Pause(name string) {
 	if t := q.teams[name]; t != nil {
 		t.paused = true
 	}
 }
 
-// Resume lets a team go on.
+// Resume ends a pause.
 func (q *Queue) Resume(name string) {
 	t := q.teams[name]
 	if t == nil || !t.paused {
--- a/dispatch/queue/side.go
+++ b/dispatch/queue/side.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// maxIdleFlows is how many teams, and callers of a team, are remembered while
-// they have nothing waiting.
+// maxIdleFlows is how many teams, and callers of a team, are kept while they have no
+// waiting tasks.
 const maxIdleFlows = 1024
 
-// teamNode is a team's place in the heap of fresh or of opened jobs. Its key
-// is the virtual time at which it was placed; virtual times only grow, so a
-// stale key is always too small, surfaces early and is then put right.
+// teamNode is a team's node in the heap of unstarted or of started jobs. Its key is the
+// team's virtual time when it was pushed. Virtual times only grow, so a stale key is too
+// small: the node reaches the top too early, and its key is then corrected.
 type teamNode struct {
 	team    *team
 	key     float64
@@ -16,9 +16,9 @@
 	callers heap[*callerNode]
 }
 
-func (s *teamNode) before(o *teamNode) bool { return s.key < o.key }
+func (n *teamNode) before(o *teamNode) bool { return n.key < o.key }
 
-// callerNode is the same for a caller.
+// callerNode is the corresponding node of a caller.
 type callerNode struct {
 	caller  *caller
 	key     float64
@@ -27,7 +27,7 @@
 	jobs    heap[*Job]
 }
 
-func (s *callerNode) before(o *callerNode) bool { return s.key < o.key }
+func (n *callerNode) before(o *callerNode) bool { return n.key < o.key }
 
 func (t *team) node(started bool) *teamNode {
 	if started {
@@ -43,64 +43,66 @@
 	return &c.unstarted
 }
 
-// push places the job by its present number of waiting tasks.
+// push inserts the job with a key from its current number of waiting tasks.
 func (q *Queue) push(j *Job) {
 	j.key = j.Arrived.Add(q.ageingStep * time.Duration(j.waiting))
 	j.queued = true
 	c := j.caller
-	cs := c.node(j.started)
-	cs.jobs.push(j)
-	ts := c.team.node(j.started)
-	if !cs.queued {
-		cs.queued = true
-		cs.key = c.virtualTime
-		ts.callers.push(cs)
+	cn := c.node(j.started)
+	cn.jobs.push(j)
+	tn := c.team.node(j.started)
+	if !cn.queued {
+		cn.queued = true
+		cn.key = c.virtualTime
+		tn.callers.push(cn)
 	}
-	q.pushTeam(ts, j.started)
+	q.pushTeam(tn, j.started)
 }
 
-func (q *Queue) pushTeam(ts *teamNode, started bool) {
-	if ts.queued || ts.team.paused || len(ts.callers) == 0 {
+func (q *Queue) pushTeam(tn *teamNode, started bool) {
+	if tn.queued || tn.team.paused || len(tn.callers) == 0 {
 		return
 	}
-	ts.queued = true
-	ts.key = ts.team.virtualTime
+	tn.queued = true
+	tn.key = tn.team.virtualTime
 	if started {
-		q.started.push(ts)
+		q.started.push(tn)
 		return
 	}
-	q.unstarted.push(ts)
+	q.unstarted.push(tn)
 }
 
-// noteRemoved notes that one of the side's jobs was removed.
-func (s *callerNode) noteRemoved() {
-	s.removed++
-	if s.removed <= len(s.jobs)/2 {
+// noteRemoved counts a removed job of the node, and drops all removed jobs once they are
+// more than half.
+func (n *callerNode) noteRemoved() {
+	n.removed++
+	if n.removed <= len(n.jobs)/2 {
 		return
 	}
-	kept := s.jobs[:0]
-	for _, j := range s.jobs {
+	kept := n.jobs[:0]
+	for _, j := range n.jobs {
 		if !j.removed {
 			kept = append(kept, j)
 		}
 	}
-	clear(s.jobs[len(kept):])
-	s.jobs = kept
-	s.jobs.rebuild()
-	s.removed = 0
+	clear(n.jobs[len(kept):])
+	n.jobs = kept
+	n.jobs.rebuild()
+	n.removed = 0
 }
 
-// top returns the first job of a heap of teams, and tidies what it meets.
+// top returns the first job in a heap of teams. On the way it drops empty and paused
+// nodes and corrects stale keys.
 func top(h *heap[*teamNode]) *Job {
 	for len(*h) > 0 {
-		ts := (*h)[0]
-		j := ts.top()
+		tn := (*h)[0]
+		j := tn.top()
 		switch {
-		case j == nil || ts.team.paused:
-			ts.queued = false
+		case j == nil || tn.team.paused:
+			tn.queued = false
 			h.pop()
-		case ts.key < ts.team.virtualTime:
-			ts.key = ts.team.virtualTime
+		case tn.key < tn.team.virtualTime:
+			tn.key = tn.team.virtualTime
 			h.down(0)
 		default:
 			return j
@@ -109,17 +111,17 @@
 	return nil
 }
 
-func (s *teamNode) top() *Job {
-	for len(s.callers) > 0 {
-		cs := s.callers[0]
-		j := cs.top()
+func (n *teamNode) top() *Job {
+	for len(n.callers) > 0 {
+		cn := n.callers[0]
+		j := cn.top()
 		switch {
 		case j == nil:
-			cs.queued = false
-			s.callers.pop()
-		case cs.key < cs.caller.virtualTime:
-			cs.key = cs.caller.virtualTime
-			s.callers.down(0)
+			cn.queued = false
+			n.callers.pop()
+		case cn.key < cn.caller.virtualTime:
+			cn.key = cn.caller.virtualTime
+			n.callers.down(0)
 		default:
 			return j
 		}
@@ -127,13 +129,13 @@
 	return nil
 }
 
-func (s *callerNode) top() *Job {
-	for len(s.jobs) > 0 {
-		if j := s.jobs[0]; !j.removed {
+func (n *callerNode) top() *Job {
+	for len(n.jobs) > 0 {
+		if j := n.jobs[0]; !j.removed {
 			return j
 		}
-		s.removed--
-		s.jobs.pop()
+		n.removed--
+		n.jobs.pop()
 	}
 	return nil
 }
