--- a/dispatch/hand.go
+++ b/dispatch/hand.go
@@ -23,7 +23,7 @@
 
 // sender hands tasks over to a peer. Send returns once every task has an outcome.
 type sender interface {
-	Send(ctx context.Context, to roster.Known, tasks []HandoverTask, done func(i int, o delivery.Outcome), room func(free int))
+	Send(ctx context.Context, to roster.Known, tasks []HandoverTask, done func(i int, o delivery.Outcome), reportFree func(free int))
 }
 
 const (
--- a/dispatch/handover/handover_test.go
+++ b/dispatch/handover/handover_test.go
@@ -23,28 +23,28 @@
 	to   = ticket.Owner{DataCenter: "dc1", VM: "b", Process: "p", Incarnation: 1}
 )
 
-// fakeDispatcher is a receiver's dispatcher: tasks take a second, and every start is
+// fakeDispatcher is the receiver's dispatcher: each task takes a second, and starts are
 // counted.
 type fakeDispatcher struct {
 	mu     sync.Mutex
 	starts map[string]int
 	err    error
-	// turnedDown is a task for which there is no room.
+	// turnedDown is the id of a task that is refused.
 	turnedDown string
 }
 
-func (p *fakeDispatcher) Free() int { return 7 }
+func (d *fakeDispatcher) Free() int { return 7 }
 
-func (p *fakeDispatcher) Submit(b dispatch.Batch) error {
-	if p.err != nil {
-		return p.err
+func (d *fakeDispatcher) Submit(b dispatch.Batch) error {
+	if d.err != nil {
+		return d.err
 	}
-	if b.Job == p.turnedDown {
+	if b.Job == d.turnedDown {
 		return refusal.New(refusal.Overloaded, "")
 	}
-	p.mu.Lock()
-	p.starts[b.Job]++
-	p.mu.Unlock()
+	d.mu.Lock()
+	d.starts[b.Job]++
+	d.mu.Unlock()
 	time.AfterFunc(time.Second, func() {
 		b.Done(0, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 200, Answer: b.Tasks[0]})
 	})
@@ -53,8 +53,8 @@
 
 var errLost = errors.New("lost")
 
-// fakeNetwork is a network between a sender and a receiver. Each ask goes through fault,
-// which says what happens to it.
+// fakeNetwork connects a sender with a receiver. For each ask, fault decides what happens
+// to it.
 type fakeNetwork struct {
 	r     *Receiver
 	fault func(n int, a Ask) fate
@@ -74,36 +74,36 @@
 	restarted
 )
 
-func (w *fakeNetwork) Gone(ticket.Owner) bool { return w.gone }
+func (net *fakeNetwork) Gone(ticket.Owner) bool { return net.gone }
 
-func (w *fakeNetwork) Ask(ctx context.Context, _ roster.Known, a Ask) (Answer, error) {
-	w.asks++
+func (net *fakeNetwork) Ask(ctx context.Context, _ roster.Known, a Ask) (Answer, error) {
+	net.asks++
 	a = throughJSON(a)
-	w.sent = append(w.sent, a)
-	switch w.fault(w.asks, a) {
+	net.sent = append(net.sent, a)
+	switch net.fault(net.asks, a) {
 	case notSent:
 		return Answer{}, fmt.Errorf("%w: refused", ErrNotSent)
 	case askLost:
 		return Answer{}, errLost
 	case answerLost:
-		_, _ = w.r.Handle(ctx, a)
+		_, _ = net.r.Handle(ctx, a)
 		return Answer{}, errLost
 	case twice:
-		go func() { _, _ = w.r.Handle(ctx, a) }()
+		go func() { _, _ = net.r.Handle(ctx, a) }()
 	case restarted:
 		next := to
 		next.Incarnation++
-		w.r = NewReceiver(next, w.r.dispatcher, time.Now)
+		net.r = NewReceiver(next, net.r.dispatcher, time.Now)
 	}
-	return w.r.Handle(ctx, a)
+	return net.r.Handle(ctx, a)
 }
 
-// throughJSON sends the ask through its form on the wire.
+// throughJSON returns the ask as the receiver decodes it.
 func throughJSON(a Ask) Ask {
 	b, err := json.Marshal(a)
 	var out Ask
 	if err != nil || json.Unmarshal(b, &out) != nil {
-		panic("an ask that is no JSON")
+		panic("ask does not survive JSON")
 	}
 	return out
 }
@@ -116,9 +116,8 @@
 	return out
 }
 
-// A batch on its way to a peer meets every fault of the way. Whatever happens,
-// each task starts at most once, each gets one outcome, and "not run" is said
-// only of a task that never starts.
+// A batch meets every fault of the network. In each case every task starts at most once
+// and gets one outcome, and "not run" is reported only for a task that never starts.
 func TestFaults(t *testing.T) {
 	always := func(f fate) func(int, Ask) fate { return func(int, Ask) fate { return f } }
 	first := func(f fate) func(int, Ask) fate {
@@ -164,16 +163,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				place := &fakeDispatcher{starts: make(map[string]int), err: tt.err}
-				w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: tt.fault, gone: tt.gone}
+				dispatcher := &fakeDispatcher{starts: make(map[string]int), err: tt.err}
+				net := &fakeNetwork{r: NewReceiver(to, dispatcher, time.Now), fault: tt.fault, gone: tt.gone}
 				began := time.Now()
-				send(t, NewSender(from, w, time.Now), tt.want)
+				send(t, NewSender(from, net, time.Now), tt.want)
 				if took := time.Since(began); tt.gone && took > time.Second {
-					t.Errorf("a peer that is gone was waited for %v", took)
+					t.Errorf("waited %v for a peer that is gone", took)
 				}
 				time.Sleep(time.Minute)
 				for i := range 3 {
-					if n := place.starts[fmt.Sprintf("job/%d/0", i)]; n != tt.starts {
+					if n := dispatcher.starts[fmt.Sprintf("job/%d/0", i)]; n != tt.starts {
 						t.Errorf("task %d started %d times, want %d", i, n, tt.starts)
 					}
 				}
@@ -198,37 +197,37 @@
 	}
 }
 
-// A copy of an ask stays behind on the way and arrives when its batch is long
-// over and another one has followed. The receiver has forgotten the batch by
-// then; were it taken for a new one, every task would run twice.
+// A duplicate of an ask is delayed and arrives when its batch has long ended and another
+// one has followed. The receiver has forgotten the batch by then; if it treated the ask
+// as new, every task would run twice.
 func TestLateCopy(t *testing.T) {
 	for _, err := range []error{nil, refusal.New(refusal.Overloaded, "")} {
 		synctest.Test(t, func(t *testing.T) {
-			place := &fakeDispatcher{starts: make(map[string]int), err: err}
-			w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
+			dispatcher := &fakeDispatcher{starts: make(map[string]int), err: err}
+			net := &fakeNetwork{r: NewReceiver(to, dispatcher, time.Now), fault: func(int, Ask) fate { return arrives }}
 			want := delivery.Done
 			if err != nil {
 				want = delivery.NotRun
 			}
-			s := NewSender(from, w, time.Now)
+			s := NewSender(from, net, time.Now)
 			send(t, s, want)
-			late := w.sent[0]
-			started := place.starts["job/0/0"]
-			place.err = nil
+			late := net.sent[0]
+			started := dispatcher.starts["job/0/0"]
+			dispatcher.err = nil
 			s.Send(t.Context(), roster.Known{Member: roster.Member{Owner: to}},
 				[]dispatch.HandoverTask{{Job: "next", Kind: "price", Expires: time.Now().Add(time.Second)}}, func(int, delivery.Outcome) {}, func(int) {})
-			a, _ := w.r.Handle(t.Context(), late)
-			if a.State != Forgotten || place.starts["job/0/0"] != started {
-				t.Errorf("state %s, %d starts, want %d", a.State, place.starts["job/0/0"], started)
+			a, _ := net.r.Handle(t.Context(), late)
+			if a.State != Forgotten || dispatcher.starts["job/0/0"] != started {
+				t.Errorf("state %s, %d starts, want %d", a.State, dispatcher.starts["job/0/0"], started)
 			}
 			time.Sleep(time.Minute)
 		})
 	}
 }
 
-// A backend server answers a task with an error status. Its caller reads in the job's answer
-// what went wrong; without the reason, the task of a job that was handed over would have
-// failed for nothing, while the same task on a backend server of the owner names the status.
+// A backend server answers a task of a handover with an error status. The job's answer
+// must contain the reason, as it does for a task that ran on a backend server of the
+// owner.
 func TestReasonComesBack(t *testing.T) {
 	r := result(3, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 503, Answer: []byte("x"), Type: "text/plain"})
 	want := delivery.Outcome{Kind: delivery.Ran, Cause: delivery.Status, Status: 503, Body: []byte("x"), Type: "text/plain", Reason: "status 503"}
@@ -237,32 +236,32 @@
 	}
 }
 
-// Each answer is a message. A batch whose tasks end together costs one, and a
-// job's last task is not kept back for those of other jobs.
+// Each answer is a message. A batch whose tasks end together must cost one answer, but a
+// job's last task must not be delayed for the tasks of other jobs.
 func TestAnswersAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		place := &fakeDispatcher{starts: make(map[string]int)}
-		w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
-		send(t, NewSender(from, w, time.Now), delivery.Done)
-		if w.asks > 2 {
-			t.Errorf("%d asks for one batch", w.asks)
+		dispatcher := &fakeDispatcher{starts: make(map[string]int)}
+		net := &fakeNetwork{r: NewReceiver(to, dispatcher, time.Now), fault: func(int, Ask) fate { return arrives }}
+		send(t, NewSender(from, net, time.Now), delivery.Done)
+		if net.asks > 2 {
+			t.Errorf("%d asks for one batch", net.asks)
 		}
 	})
 }
 
-// A dispatcher stops while it runs tasks of a peer. The tasks end, the peer is
-// told, and only then the process goes; new ones are turned down with "not run".
+// A dispatcher stops while it runs tasks of a peer. It must wait until the tasks have
+// ended and the peer has their results, and refuse new ones as "not run".
 func TestStopCutsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		place := &fakeDispatcher{starts: make(map[string]int)}
-		w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
-		s := NewSender(from, w, time.Now)
+		dispatcher := &fakeDispatcher{starts: make(map[string]int)}
+		net := &fakeNetwork{r: NewReceiver(to, dispatcher, time.Now), fault: func(int, Ask) fate { return arrives }}
+		s := NewSender(from, net, time.Now)
 		var sent sync.WaitGroup
 		sent.Go(func() { send(t, s, delivery.Done) })
 		synctest.Wait()
-		w.r.Stop()
+		net.r.Stop()
 		began := time.Now()
-		w.r.Drain(t.Context())
+		net.r.Drain(t.Context())
 		if took := time.Since(began); took < 900*time.Millisecond {
 			t.Errorf("drained after %v, with tasks under way", took)
 		}
@@ -271,15 +270,15 @@
 	})
 }
 
-// A peer has room for all but one task of a batch. The one it turns down goes
-// elsewhere at once; kept back with the results that are still to come, it would
-// make its job wait for a second.
+// A peer accepts all but one task of a batch. The refused one must be reported at once,
+// so that it can run elsewhere; if it were delayed until further results are due, its job
+// would wait for a second.
 func TestTurnedDownIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		place := &fakeDispatcher{starts: make(map[string]int), turnedDown: "job/1/0"}
-		w := &fakeNetwork{r: NewReceiver(to, place, time.Now), fault: func(int, Ask) fate { return arrives }}
+		dispatcher := &fakeDispatcher{starts: make(map[string]int), turnedDown: "job/1/0"}
+		net := &fakeNetwork{r: NewReceiver(to, dispatcher, time.Now), fault: func(int, Ask) fate { return arrives }}
 		began := time.Now()
-		NewSender(from, w, time.Now).Send(t.Context(), roster.Known{Member: roster.Member{Owner: to}}, tasks(3), func(i int, o delivery.Outcome) {
+		NewSender(from, net, time.Now).Send(t.Context(), roster.Known{Member: roster.Member{Owner: to}}, tasks(3), func(i int, o delivery.Outcome) {
 			if took := time.Since(began); i == 1 && (o.Kind != delivery.NotRun || took > 0) {
 				t.Errorf("kind %d after %v", o.Kind, took)
 			}
--- a/dispatch/handover/receiver.go
+++ b/dispatch/handover/receiver.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// maxAnswerDelay is how long an ask is held while there are no results.
+	// maxAnswerDelay is how long an ask waits for a result.
 	maxAnswerDelay = 2 * time.Second
-	// batchingDelay is how long results are kept back for more to come. It delays no
-	// caller: a job whose last task of the batch has ended is told at once.
+	// batchingDelay is how long a result waits for others, to share an answer with them.
+	// It delays no caller: an answer is sent at once when the last task of a job in the
+	// batch ends.
 	batchingDelay = time.Second
-	// resultRetention is how long a batch with all results is kept for an owner that does
-	// not come for them.
+	// resultRetention is how long a finished batch is kept if its owner does not ask for
+	// the results.
 	resultRetention = 2 * time.Minute
-	// drainPoll is how often a planned stop looks whether batches are open.
+	// drainPoll is the interval at which Drain checks for open batches.
 	drainPoll = 20 * time.Millisecond
-	// maxBatches bounds the open batches of all owners, maxOwners the owners
-	// whose lowest number is remembered.
+	// maxBatches bounds the batches kept for all owners, maxOwners the owners whose lowest
+	// open batch is kept.
 	maxBatches = 1024
 	maxOwners  = 16384
 )
 
-// submitter is what a receiver needs of the submitter.
+// submitter is the part of the dispatcher that a receiver uses.
 type submitter interface {
 	Submit(b dispatch.Batch) error
 	Free() int
 }
 
-// Receiver takes tasks over from peers.
+// Receiver accepts tasks from peers.
 type Receiver struct {
 	self       ticket.Owner
 	dispatcher submitter
@@ -46,43 +47,43 @@
 	owners   map[ticket.Owner]*owner
 }
 
-// owner is what is remembered of a dispatcher that hands over.
+// owner is the state kept for a dispatcher that hands over tasks.
 type owner struct {
 	lowestOpen uint64
 	batches    map[uint64]*receivedBatch
 	lastAsked  time.Time
 }
 
-// receivedBatch is a batch.
+// receivedBatch is a batch and its results.
 type receivedBatch struct {
 	mu              sync.Mutex
 	unfinished      int
 	jobOfTask       []string
 	unfinishedByJob map[string]int
 	results         []Result
-	// delivered is how many results have been given in answers.
+	// delivered is how many results have been sent in answers.
 	delivered int
-	// answerDue wakes who waits when an answer should go out, some when there is
+	// answerDue wakes the handler when an answer should be sent, anyResult when there is
 	// any result.
 	answerDue chan struct{}
 	anyResult chan struct{}
 	lastAsked time.Time
 }
 
-// NewReceiver makes a receiver that places the tasks it gets.
+// NewReceiver returns a receiver that submits the tasks it gets to the dispatcher.
 func NewReceiver(self ticket.Owner, dispatcher submitter, now func() time.Time) *Receiver {
 	return &Receiver{self: self, dispatcher: dispatcher, now: now, owners: make(map[ticket.Owner]*owner)}
 }
 
-// Stop makes the receiver turn down every batch that it does not have yet.
+// Stop makes the receiver refuse every batch that it does not have yet.
 func (r *Receiver) Stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopping = true
 }
 
-// Drain waits until every batch has ended and its owner has been told, or ctx
-// ends. It is for a planned stop, which must not cut a peer's tasks.
+// Drain waits until every batch has ended and its results have been sent to the owner, or
+// until ctx ends. A planned stop uses it so as not to abort a peer's tasks.
 func (r *Receiver) Drain(ctx context.Context) {
 	for r.hasOpenBatches() && ctx.Err() == nil {
 		clock.Sleep(ctx, drainPoll)
@@ -122,11 +123,11 @@
 	return Answer{State: Open, Results: results, Free: r.dispatcher.Free()}, nil
 }
 
-// batch finds the batch of the ask, or takes it.
+// batch returns the batch of the ask, and starts it if it is new. It returns nil if the
+// batch is over.
 //
-// The lock is held until the batch stands in the map, and a batch is started
-// only by whoever put it there: of two copies of an ask that arrive together,
-// one starts the tasks.
+// The lock is held until the batch is in the map, and only the caller that put it there
+// starts it: if two copies of an ask arrive together, one starts the tasks.
 func (r *Receiver) batch(a Ask) *receivedBatch {
 	r.mu.Lock()
 	o := r.owner(a.From)
@@ -149,8 +150,8 @@
 	}
 	refuse := r.stopping || r.full()
 	if refuse && r.full() {
-		// Not remembered, but over: a late copy must not start it, since
-		// the owner may have been told that it did not run.
+		// The batch is not kept, but counts as over: a late copy must not start it, since
+		// the owner may already know that it did not run.
 		o.lowestOpen = a.Batch + 1
 	} else {
 		o.batches[a.Batch] = b
@@ -184,7 +185,7 @@
 	}
 }
 
-// result turns the dispatcher's result back into that of an attempt.
+// result converts the dispatcher's result back into that of an attempt.
 func result(i int, d dispatch.Result) Result {
 	out := Result{Task: i, Status: d.Status, Type: d.Type, Body: d.Answer, Reason: d.Error}
 	switch {
@@ -197,8 +198,8 @@
 	case d.Status == 200:
 		out.Kind = delivery.Done
 	default:
-		// A guest runs as a request, of which the dispatcher tells the answer and no
-		// error; the owner's caller is to read the same as without a hand-over.
+		// The task ran as a request, for which the dispatcher reports the answer and no
+		// error. The owner's caller must get the same reason as without a handover.
 		out.Kind = delivery.Ran
 		out.Cause = delivery.Status
 		out.Reason = delivery.StatusReason(d.Status)
@@ -217,8 +218,7 @@
 	return o
 }
 
-// full tells whether no more batches can be remembered, after forgetting what
-// nobody has come for.
+// full reports whether no more batches can be kept, after dropping expired ones.
 func (r *Receiver) full() bool {
 	n := 0
 	for _, o := range r.owners {
@@ -233,9 +233,9 @@
 	return n >= maxBatches
 }
 
-// evictOwner forgets the owner that was silent longest when there are too many. An
-// owner's lowest number is kept as long as possible, also without any batch: a
-// frozen owner may send an old ask when it thaws.
+// evictOwner drops the owner that has been silent for the longest time if there are too
+// many. An owner is kept as long as possible even without batches, because its lowest
+// open batch protects against an old ask that it sends after a suspension.
 func (r *Receiver) evictOwner() {
 	if len(r.owners) < maxOwners {
 		return
@@ -249,7 +249,7 @@
 	delete(r.owners, oldest)
 }
 
-// forgetBelow drops the batches below low; they are over.
+// forgetBelow drops the batches with numbers below low, which are over.
 func (o *owner) forgetBelow(low uint64) {
 	if low <= o.lowestOpen {
 		return
@@ -262,7 +262,8 @@
 	}
 }
 
-// dropExpired drops the batches that nobody has come for, and returns their number.
+// dropExpired drops the finished batches that nobody has asked for within
+// resultRetention, and returns their number.
 func (o *owner) dropExpired(now time.Time) int {
 	dropped := 0
 	for n, b := range o.batches {
@@ -302,8 +303,8 @@
 	}
 }
 
-// await returns the results after the first got, once they are worth a message
-// or the time is over.
+// await returns the results after the first received ones, as soon as they are worth a
+// message or the delay is over.
 func (b *receivedBatch) await(ctx context.Context, received int) []Result {
 	t := time.NewTimer(maxAnswerDelay)
 	defer t.Stop()
@@ -329,7 +330,7 @@
 	}
 }
 
-// markDelivered notes that the owner is told the first n results.
+// markDelivered records that the first n results have been sent to the owner.
 func (b *receivedBatch) markDelivered(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -337,9 +338,9 @@
 	b.lastAsked = now
 }
 
-// resultsAfter returns the results resultsAfter the first got, and whether they should be
-// told at once: the batch is at its end, or a job's part of it is, or a task
-// was turned down and waits for another place.
+// resultsAfter returns the results after the first received ones, and whether they should
+// be sent at once: the batch or a job's part of it has ended, or a task was refused and
+// needs another place.
 func (b *receivedBatch) resultsAfter(received int) ([]Result, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/dispatch/handover/sender.go
+++ b/dispatch/handover/sender.go
@@ -14,15 +14,14 @@
 	"snipehub.example/ticket"
 )
 
-// ErrNotSent is what a network returns when the peer certainly did not get the
-// ask.
+// ErrNotSent is returned by a network if the peer certainly did not get the ask.
 var ErrNotSent = errors.New("handover: not sent")
 
-// network carries asks to peers. Every error but ErrNotSent leaves it open
-// whether the peer got the ask.
+// network sends asks to peers. After any error other than ErrNotSent, the peer may or may
+// not have got the ask.
 type network interface {
 	Ask(ctx context.Context, to roster.Known, a Ask) (Answer, error)
-	// Gone tells whether the incarnation is gone for good.
+	// Gone reports whether the incarnation is gone for good.
 	Gone(o ticket.Owner) bool
 }
 
@@ -30,11 +29,12 @@
 	askTimeout = 3 * time.Second
 	minPause   = 50 * time.Millisecond
 	maxPause   = time.Second
-	// resultGrace is how long after the tasks' time their results are waited for.
+	// resultGrace is how long after the tasks' deadline the sender still waits for
+	// results.
 	resultGrace = 2 * time.Second
 )
 
-// Sender hands batches over.
+// Sender hands batches over to peers.
 type Sender struct {
 	self ticket.Owner
 	net  network
@@ -45,32 +45,32 @@
 	openBatches map[ticket.Owner]map[uint64]struct{}
 }
 
-// NewSender makes a sender of the tasks of self.
+// NewSender returns a sender for the tasks of self.
 func NewSender(self ticket.Owner, net network, now func() time.Time) *Sender {
 	return &Sender{self: self, net: net, now: now, openBatches: make(map[ticket.Owner]map[uint64]struct{})}
 }
 
-// batch is a batch on its way.
+// batch is a batch that is being handed over.
 type batch struct {
 	ask      Ask
 	to       roster.Known
 	tasks    []dispatch.HandoverTask
 	deadline time.Time
-	// mayHaveArrived tells that the peer may have got an ask.
+	// mayHaveArrived is set if the peer may have got an ask.
 	mayHaveArrived bool
 	received       []bool
 }
 
-// Send hands the tasks over and returns when all have an outcome. It calls
-// done once for each, and room with what the peer tells of its free slots.
-func (s *Sender) Send(ctx context.Context, to roster.Known, tasks []dispatch.HandoverTask, done func(i int, o delivery.Outcome), room func(free int)) {
+// Send hands the tasks over and returns when all have an outcome. It calls done once for
+// each task, and reportFree with the free slots that each answer reports.
+func (s *Sender) Send(ctx context.Context, to roster.Known, tasks []dispatch.HandoverTask, done func(i int, o delivery.Outcome), reportFree func(free int)) {
 	b := s.begin(to, tasks)
 	defer s.end(b)
 	pause := minPause
 	for {
 		answer, err := s.ask(ctx, b)
 		if err == nil && answer.State == Open {
-			room(answer.Free)
+			reportFree(answer.Free)
 			pause = minPause
 			if b.addResults(answer, done) {
 				return
@@ -154,7 +154,7 @@
 	return out
 }
 
-// addResults passes the results on and tells whether all are there.
+// addResults passes new results on and reports whether the batch is complete.
 func (b *batch) addResults(a Answer, done func(i int, o delivery.Outcome)) bool {
 	for _, r := range a.Results {
 		if r.Task < 0 || r.Task >= len(b.received) || b.received[r.Task] {
@@ -167,8 +167,8 @@
 	return b.ask.Received >= len(b.tasks)
 }
 
-// afterFailure says what becomes of the tasks without a result when an ask has
-// failed: nothing yet, while the peer may still answer.
+// afterFailure decides on the tasks without a result after an ask has failed. It returns
+// their outcome and true, or false while the peer may still answer.
 func (s *Sender) afterFailure(ctx context.Context, b *batch, a Answer, err error) (delivery.Outcome, bool) {
 	outcome := delivery.Outcome{Kind: delivery.Unknown, Cause: delivery.Broken}
 	switch {
--- a/dispatch/handover/wire.go
+++ b/dispatch/handover/wire.go
@@ -1,14 +1,14 @@
-// Package handover carries waiting tasks from the dispatcher that owns them to
-// a peer with room, and their outcomes back.
+// Package handover transfers waiting tasks from the dispatcher that owns them to a peer
+// with free slots, and their outcomes back.
 //
-// One ask carries a batch of tasks; its answer waits until there is something
-// worth a message. The owner asks again, with the number of results that it
-// has, until it has all. An ask that is lost, or whose answer is lost, is
-// repeated to the same incarnation, and the receiver starts each batch once: it
-// remembers the open ones, and every number below the owner's lowest open batch
-// is over, so that a late copy of an ask starts nothing. Only the receiver's own
-// word makes a task "not run"; when its incarnation is gone, or the tasks' time
-// is over, what has no result is unknown.
+// An ask carries a batch of tasks, and its answer is delayed until there are results
+// worth a message. The owner repeats the ask, with the number of results that it has,
+// until it has all. If an ask or its answer is lost, the owner repeats it to the same
+// incarnation. The receiver starts each batch once: it keeps the open batches, and every
+// number below the owner's lowest open batch is over, so a late copy of an ask starts
+// nothing. A task is "not run" only if the receiver says so, or if no ask can have
+// reached it. If the receiver's incarnation is gone or the tasks' time is over, tasks
+// without a result are unknown.
 package handover
 
 import (
@@ -21,21 +21,21 @@
 // Ask is a call from an owner to a peer.
 type Ask struct {
 	From ticket.Owner `json:"from"`
-	// To is the incarnation that is meant. Another one at the same address
-	// knows nothing of the batch, and must not start it.
+	// To is the incarnation for which the ask is meant. Another one at the same address
+	// does not know the batch and must not start it.
 	To    ticket.Owner `json:"to"`
 	Batch uint64       `json:"batch"`
-	// LowestOpen is the lowest number of a batch for this peer that is still open.
+	// LowestOpen is the number of the owner's lowest open batch for this peer.
 	LowestOpen uint64 `json:"low"`
-	// Received is how many results the owner has.
+	// Received is the number of results that the owner has.
 	Received int `json:"got"`
-	// Tasks is the batch. It is left out once an answer has come.
+	// Tasks is the batch. It is left out once the owner has received a result.
 	Tasks []Task `json:"tasks,omitempty"`
 }
 
 // Task is one attempt that a peer is to make.
 type Task struct {
-	// ID names the attempt towards the backend server.
+	// ID identifies the attempt to the backend server.
 	ID     string `json:"id"`
 	Job    string `json:"job"`
 	Kind   string `json:"kind"`
@@ -43,36 +43,36 @@
 	Team   string `json:"team,omitempty"`
 	Type   string `json:"type,omitempty"`
 	Body   []byte `json:"body"`
-	// TimeLeft is the time until the job's deadline. A length of time and not a
-	// moment, because the clocks of two VMs differ.
+	// TimeLeft is the time until the job's deadline. It is a duration rather than a point
+	// in time because the clocks of two VMs differ.
 	TimeLeft time.Duration `json:"left"`
 }
 
-// State says how a peer takes an ask.
+// State is the state of an ask's batch at the peer.
 type State string
 
 // The states.
 const (
-	// Open means that the results are those of the batch.
+	// Open means that Results belong to the batch.
 	Open State = "open"
-	// OtherIncarnation means that another incarnation was meant.
+	// OtherIncarnation means that the ask was meant for another incarnation.
 	OtherIncarnation State = "other"
-	// Forgotten means that the batch is not remembered any more.
+	// Forgotten means that the peer no longer keeps the batch.
 	Forgotten State = "over"
 )
 
 // Answer is the answer to an Ask.
 type Answer struct {
 	State State `json:"state"`
-	// Results are those after the ones that the owner has.
+	// Results are the results after those that the owner has.
 	Results []Result `json:"results,omitempty"`
-	// Free is how many more tasks could start now.
+	// Free is how many more tasks could start on the peer now.
 	Free int `json:"free"`
 }
 
 // Result is the outcome of one task.
 type Result struct {
-	// Task is its place in the batch.
+	// Task is the task's index in the batch.
 	Task   int            `json:"task"`
 	Kind   delivery.Kind  `json:"kind"`
 	Cause  delivery.Cause `json:"cause,omitempty"`
