--- a/dispatch/policy/hand/hand.go
+++ b/dispatch/policy/hand/hand.go
@@ -1,11 +1,11 @@
-// Package hand is share, with waiting tasks handed over in batches to peers
-// that have room: a large job outgrows the connections of one dispatcher, and
-// a caller's jobs may all come in over one.
+// Package hand extends share by handing waiting tasks over to peers with free slots, in
+// batches. A large job may need more connections than one dispatcher has, and all jobs of
+// a caller may arrive at the same dispatcher.
 package hand
 
 import "snipehub.example/dispatch/policy/share"
 
-// Policy is the policy.
+// Policy implements policy.Policy.
 type Policy struct{ share.Policy }
 
 // HandsOver returns true.
--- a/dispatch/policy/policy.go
+++ b/dispatch/policy/policy.go
@@ -1,9 +1,9 @@
-// Package policy lists the ways to choose a backend server for a task.
+// Package policy lists the policies for choosing a backend server for a task.
 //
-// A policy decides two things: how many tasks this dispatcher may have on a
-// server at once, and which of the servers with room gets the next task. Each
-// policy has a folder of its own; the table here gives its stable number and
-// the name by which the settings choose it.
+// A policy decides how many tasks this dispatcher may have on a server at once, and which
+// of the servers with free slots gets the next task. Each policy has a package of its
+// own; the table here assigns its stable number and the name that selects it in the
+// settings.
 package policy
 
 import (
@@ -17,13 +17,13 @@
 	"snipehub.example/dispatch/pool"
 )
 
-// Policy chooses backend servers. It keeps no state of its own.
+// Policy chooses backend servers. It is stateless.
 type Policy interface {
 	// Limit returns how many of a server's slots this dispatcher may use.
 	Limit(server netip.AddrPort, slots int, among pool.Members) int
-	// Choose returns one of the servers with room; there is at least one.
+	// Choose returns one of the servers with free slots; there is at least one.
 	Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership
-	// HandsOver tells whether waiting tasks may be handed to peers.
+	// HandsOver reports whether waiting tasks may be handed over to peers.
 	HandsOver() bool
 }
 
@@ -62,5 +62,5 @@
 	return out
 }
 
-// All returns the whole table, in the order of the numbers.
+// All returns all entries in the order of their numbers.
 func All() []Entry { return append([]Entry(nil), table...) }
--- a/dispatch/policy/random/random.go
+++ b/dispatch/policy/random/random.go
@@ -1,5 +1,5 @@
-// Package random is the baseline: any server that has a slot left by this
-// dispatcher's own count. Other dispatchers' tasks show only as refusals.
+// Package random is the baseline: any server that has a free slot by this dispatcher's
+// own count. Other dispatchers' tasks show only as refusals.
 package random
 
 import (
@@ -9,13 +9,13 @@
 	"snipehub.example/dispatch/pool"
 )
 
-// Policy is the policy.
+// Policy implements policy.Policy.
 type Policy struct{}
 
 // Limit returns all slots.
 func (Policy) Limit(_ netip.AddrPort, slots int, _ pool.Members) int { return slots }
 
-// Choose returns any server with room.
+// Choose returns a random server with free slots.
 func (Policy) Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership {
 	return free.At(r.IntN(free.Len()))
 }
--- a/dispatch/policy/share/share.go
+++ b/dispatch/policy/share/share.go
@@ -1,11 +1,11 @@
-// Package share divides the slots of each server over the dispatchers of the
-// data centre, so that in the common case no two of them meet on a slot and no
-// probe is needed.
+// Package share divides the slots of each server among the dispatchers of the data
+// centre, so that normally no two of them use the same slot and none has to probe for a
+// free one.
 //
-// Each dispatcher computes the division for itself from the members that it
-// knows. Slots that do not divide evenly go to the members with the highest
-// rendezvous scores for that server, so a change of one member moves only that
-// member's part. Where two views differ, the worker's own refusal settles it.
+// Each dispatcher computes the division from the members that it knows. Slots that do not
+// divide evenly go to the members with the highest rendezvous scores for the server, so a
+// change of one member moves only that member's share. Where the views of two dispatchers
+// differ, the worker refuses what exceeds its slots.
 package share
 
 import (
@@ -16,12 +16,12 @@
 	"snipehub.example/dispatch/pool"
 )
 
-// Policy is the policy.
+// Policy implements policy.Policy.
 type Policy struct{}
 
-// Limit returns this dispatcher's part of the slots. The parts of all members
-// add up to the slots when they know the same members: each has its whole part,
-// and those slots that are left over go to the highest scores.
+// Limit returns this dispatcher's share of the slots. The shares of all members add up to
+// the slots if they know the same members: each gets its proportion rounded down, and the
+// remaining slots go to the highest scores.
 func (Policy) Limit(server netip.AddrPort, slots int, among pool.Members) int {
 	total := 0
 	for _, n := range among.Sizes {
@@ -48,8 +48,8 @@
 	return own
 }
 
-// rank is a member's weighted rendezvous score for a server. The chance to be
-// among the highest is in proportion to the size.
+// rank is a member's weighted rendezvous score for a server. The probability of being
+// among the highest is proportional to the member's size.
 type rank struct {
 	score float64
 	name  string
--- a/dispatch/policy/share/share_test.go
+++ b/dispatch/policy/share/share_test.go
@@ -12,8 +12,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 }
 
-// Every member divides for itself. Parts that add up to more than the slots are
-// refusals at the worker, parts that add up to less are slots that stand idle.
+// Each member computes its own share. Shares that add up to more than the slots cause
+// refusals at the worker; shares that add up to less leave slots idle.
 func TestPartsAddUp(t *testing.T) {
 	tests := []struct{ slots, members, large int }{
 		{64, 1, 1}, {64, 48, 1}, {64, 47, 3}, {8, 48, 1}, {1, 5, 2}, {100, 7, 10},
@@ -44,20 +44,21 @@
 	}
 }
 
-// A member goes. The others' parts grow, and none of them loses slots to another:
-// a slot that moves between two members that stay is used by both until both know.
+// A member leaves. The others' shares grow, and none of them loses slots to another: a
+// slot that moves between two remaining members is used by both until both know of the
+// change.
 func TestMembersGoing(t *testing.T) {
-	m := pool.Members{Self: "m0", Sizes: map[string]int{}}
+	members := pool.Members{Self: "m0", Sizes: map[string]int{}}
 	for i := range 9 {
-		m.Sizes[fmt.Sprint("m", i)] = 64
+		members.Sizes[fmt.Sprint("m", i)] = 64
 	}
 	before := make([]int, 500)
 	for i := range before {
-		before[i] = Policy{}.Limit(server(i), 8, m)
+		before[i] = Policy{}.Limit(server(i), 8, members)
 	}
-	delete(m.Sizes, "m5")
+	delete(members.Sizes, "m5")
 	for i, n := range before {
-		if after := (Policy{}).Limit(server(i), 8, m); after < n {
+		if after := (Policy{}).Limit(server(i), 8, members); after < n {
 			t.Errorf("server %d: %d slots before, %d after a member has gone", i, n, after)
 		}
 	}
--- a/dispatch/policy/two/two.go
+++ b/dispatch/policy/two/two.go
@@ -1,6 +1,6 @@
-// Package two is power of two choices on own counts: of two random servers the
-// one on which the task should end first, by the load that this dispatcher put
-// there and the server's learned speed.
+// Package two implements the power of two choices on own counts: of two random servers,
+// it takes the one on which the task should end first, judged by the load that this
+// dispatcher put there and the server's learned speed.
 package two
 
 import (
@@ -10,13 +10,13 @@
 	"snipehub.example/dispatch/pool"
 )
 
-// Policy is the policy.
+// Policy implements policy.Policy.
 type Policy struct{}
 
 // Limit returns all slots.
 func (Policy) Limit(_ netip.AddrPort, slots int, _ pool.Members) int { return slots }
 
-// Choose returns the better of two.
+// Choose returns the less loaded of two random servers with free slots.
 func (Policy) Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership {
 	a := free.At(r.IntN(free.Len()))
 	b := free.At(r.IntN(free.Len()))
