--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -263,14 +263,14 @@
 	for _, h := range d.actions.Handovers {
 		d.sendHandover(ctx, h)
 	}
-	for _, n := range d.actions.HealthChanges {
+	for _, change := range d.actions.HealthChanges {
 		switch {
-		case n.LimitReached:
-			event.AsideFull.Log(d.log, "server", n.Server, "reason", string(n.Reason))
-		case n.Ejected:
-			event.ServerAside.Log(d.log, "server", n.Server, "reason", string(n.Reason))
+		case change.LimitReached:
+			event.AsideFull.Log(d.log, "server", change.Server, "reason", string(change.Reason))
+		case change.Ejected:
+			event.ServerAside.Log(d.log, "server", change.Server, "reason", string(change.Reason))
 		default:
-			event.ServerBack.Log(d.log, "server", n.Server)
+			event.ServerBack.Log(d.log, "server", change.Server)
 		}
 	}
 }
--- a/dispatch/hand.go
+++ b/dispatch/hand.go
@@ -49,12 +49,12 @@
 			d.returnTasks(items)
 			continue
 		}
-		guests := d.handoverTasks(items)
+		tasks := d.handoverTasks(items)
 		d.metrics.Count(meter.HandoverTasks, int64(n))
 		d.metrics.Count(meter.Handovers, 1)
 		go func() {
 			defer func() { <-d.handoverSlots }()
-			d.sender.Send(ctx, to, guests,
+			d.sender.Send(ctx, to, tasks,
 				func(i int, o delivery.Outcome) {
 					d.events <- plannerEvent{attemptID: items[i].AttemptID, outcome: o, handedOver: true}
 				},
--- a/dispatch/plan/end.go
+++ b/dispatch/plan/end.go
@@ -10,27 +10,27 @@
 
 // AttemptEnded handles the outcome of an attempt.
 func (p *Planner) AttemptEnded(now time.Time, attemptID uint64, o delivery.Outcome) {
-	f := p.activeAttempts[attemptID]
-	if f == nil {
+	at := p.activeAttempts[attemptID]
+	if at == nil {
 		return
 	}
 	delete(p.activeAttempts, attemptID)
-	js := f.js
+	js := at.js
 	if o.Kind != delivery.NotRun {
 		js.poolQueue.drainRate.endedTasks++
 	}
-	if f.peer != nil {
-		p.handoverEnded(f.peer, o)
+	if at.peer != nil {
+		p.handoverEnded(at.peer, o)
 	} else {
 		p.running--
-		p.fleet.End(now, f.server, verdict(o), now.Sub(f.startedAt), p.serviceTime(js.job.Kind))
-		p.countRunning(js.team, -1)
+		p.fleet.End(now, at.server, verdict(o), now.Sub(at.startedAt), p.serviceTime(js.job.Kind))
+		p.addRunning(js.team, -1)
 	}
-	if p.retry(now, f, o) {
+	if p.retry(now, at, o) {
 		p.releaseRetries()
 		return
 	}
-	p.endTasks(js, f.task, f.task+1, ran(js, o), o, o.Reason)
+	p.endTasks(js, at.task, at.task+1, ran(js, o), o, o.Reason)
 }
 
 // verdict returns how an outcome counts for its backend server. A refusal weighs less
@@ -64,17 +64,17 @@
 // Only a proven "not run" is safe. The outcome of a single request may also be unknown if
 // its route declares it repeatable, but never that of a job's task, because a part of the
 // job may have run.
-func (p *Planner) retry(now time.Time, f *activeAttempt, o delivery.Outcome) bool {
-	js := f.js
+func (p *Planner) retry(now time.Time, at *activeAttempt, o delivery.Outcome) bool {
+	js := at.js
 	safe := o.Kind == delivery.NotRun
 	if o.Kind == delivery.Unknown && js.job.Request {
 		r, ok := p.cluster.Tables.Route(js.job.Kind)
 		safe = ok && r.Repeatable
 		js.mayHaveRun = true
 	}
-	t := js.tried[f.task]
+	t := js.tried[at.task]
 	t.attempts++
-	if f.peer != nil {
+	if at.peer != nil {
 		t.peers++
 	} else {
 		t.servers++
@@ -85,15 +85,15 @@
 	if js.tried == nil {
 		js.tried = make(map[int]taskTries)
 	}
-	js.tried[f.task] = t
+	js.tried[at.task] = t
 	p.waiting++
-	if f.peer != nil && o.Kind == delivery.NotRun {
+	if at.peer != nil && o.Kind == delivery.NotRun {
 		// No backend server had any work with it, so it costs no retry budget.
-		js.retries = append(js.retries, f.task)
+		js.retries = append(js.retries, at.task)
 		js.poolQueue.Add(js.queueJob, 1)
 		return true
 	}
-	js.awaitingBudget = append(js.awaitingBudget, f.task)
+	js.awaitingBudget = append(js.awaitingBudget, at.task)
 	p.budgetQueue = append(p.budgetQueue, js)
 	return true
 }
--- a/dispatch/plan/guard.go
+++ b/dispatch/plan/guard.go
@@ -89,7 +89,7 @@
 	p.expiry.add(js)
 	p.waiting += j.Tasks
 	js.poolQueue.Add(js.queueJob, j.Tasks)
-	p.countRunning(t, 0)
+	p.addRunning(t, 0)
 	return nil
 }
 
--- a/dispatch/plan/hand.go
+++ b/dispatch/plan/hand.go
@@ -35,39 +35,39 @@
 		ps.byName = make(map[string]*peer)
 	}
 	ps.list = ps.list[:0]
-	for _, n := range listed {
-		e := ps.byName[n.Name]
-		if e == nil {
-			e = &peer{}
-			ps.byName[n.Name] = e
+	for _, reported := range listed {
+		pr := ps.byName[reported.Name]
+		if pr == nil {
+			pr = &peer{}
+			ps.byName[reported.Name] = pr
 		}
-		if n.Report != e.Report || e.Name == "" {
-			e.credit = n.Free
+		if reported.Report != pr.Report || pr.Name == "" {
+			pr.credit = reported.Free
 		}
-		e.Peer = n
-		e.listed = true
-		ps.list = append(ps.list, e)
+		pr.Peer = reported
+		pr.listed = true
+		ps.list = append(ps.list, pr)
 	}
-	for name, e := range ps.byName {
-		if !e.listed {
+	for name, pr := range ps.byName {
+		if !pr.listed {
 			delete(ps.byName, name)
 		}
-		e.listed = false
+		pr.listed = false
 	}
 }
 
 // PeerReported records the free slots that a peer returned with an answer. Heartbeats
 // alone are up to a second old, a time in which a peer can fill up several times.
 func (p *Planner) PeerReported(name string, freeSlots int) {
-	if e := p.peers.byName[name]; e != nil {
-		e.credit = freeSlots
+	if pr := p.peers.byName[name]; pr != nil {
+		pr.credit = freeSlots
 	}
 }
 
 // anyIn reports whether there is a peer in one of the data centres.
 func (ps *peers) anyIn(centers map[string]bool) bool {
-	for _, e := range ps.list {
-		if centers[e.DataCenter] {
+	for _, pr := range ps.list {
+		if centers[pr.DataCenter] {
 			return true
 		}
 	}
@@ -102,11 +102,11 @@
 		if js == nil || !p.mayHandOver(js) || p.tooLate(now, js) || !p.routedTo(js, pq) {
 			break
 		}
-		f := &activeAttempt{js: js, peer: to, startedAt: now}
-		attempt := p.takeTask(f)
+		at := &activeAttempt{js: js, peer: to, startedAt: now}
+		attempt := p.takeTask(at)
 		p.handedOver++
 		to.credit--
-		h.Items = append(h.Items, HandoverItem{p.attempts, js.job.ID, f.task, attempt, js.job.Expires})
+		h.Items = append(h.Items, HandoverItem{p.attempts, js.job.ID, at.task, attempt, js.job.Expires})
 	}
 	if len(h.Items) == 0 {
 		return false
@@ -147,13 +147,13 @@
 // to the same peer, since all read the same reports.
 func (p *Planner) receiver(centers map[string]bool) *peer {
 	var near, far []*peer
-	for _, e := range p.peers.list {
+	for _, pr := range p.peers.list {
 		switch {
-		case e.credit < p.cfg.HandLeast || !centers[e.DataCenter]:
-		case e.DataCenter == p.cfg.DataCenter:
-			near = append(near, e)
+		case pr.credit < p.cfg.HandLeast || !centers[pr.DataCenter]:
+		case pr.DataCenter == p.cfg.DataCenter:
+			near = append(near, pr)
 		default:
-			far = append(far, e)
+			far = append(far, pr)
 		}
 	}
 	from := near
@@ -173,9 +173,9 @@
 
 // handoverEnded handles a peer's outcome. A peer that refuses gets no more tasks until
 // its next report.
-func (p *Planner) handoverEnded(e *peer, o delivery.Outcome) {
+func (p *Planner) handoverEnded(pr *peer, o delivery.Outcome) {
 	p.handedOver--
 	if o.Kind == delivery.NotRun {
-		e.credit = 0
+		pr.credit = 0
 	}
 }
--- a/dispatch/plan/place.go
+++ b/dispatch/plan/place.go
@@ -90,12 +90,12 @@
 }
 
 func (p *Planner) start(now time.Time, js *jobState, s *pool.Server, r tables.Route) {
-	f := &activeAttempt{js: js, server: s, startedAt: now}
-	attempt := p.takeTask(f)
-	task := f.task
+	at := &activeAttempt{js: js, server: s, startedAt: now}
+	attempt := p.takeTask(at)
+	task := at.task
 	p.running++
 	p.fleet.Start(now, s)
-	p.countRunning(js.team, 1)
+	p.addRunning(js.team, 1)
 	lease := p.cfg.TaskTimeout
 	if r.Timeout > 0 {
 		lease = r.Timeout
@@ -114,12 +114,12 @@
 	})
 }
 
-// takeTask moves the next task of f's job from its queue to the active attempts, and
+// takeTask moves the next task of at's job from its queue to the active attempts, and
 // returns the number of earlier attempts of the task.
-func (p *Planner) takeTask(f *activeAttempt) int {
-	js := f.js
-	f.task = js.popTask()
-	attempt := js.tried[f.task].attempts
+func (p *Planner) takeTask(at *activeAttempt) int {
+	js := at.js
+	at.task = js.popTask()
+	attempt := js.tried[at.task].attempts
 	if attempt == 0 {
 		p.retryBudget.earn()
 	}
@@ -127,7 +127,7 @@
 	p.setJobSlot(js, js.queueJob.Waiting() > 0)
 	p.waiting--
 	p.attempts++
-	p.activeAttempts[p.attempts] = f
+	p.activeAttempts[p.attempts] = at
 	return attempt
 }
 
--- a/dispatch/plan/plan_test.go
+++ b/dispatch/plan/plan_test.go
@@ -130,7 +130,7 @@
 // this dispatcher.
 func (m *model) handed(t *rapid.T, h Handover) {
 	if len(h.Items) > m.peerFree {
-		t.Fatalf("%d tasks handed over, room for %d", len(h.Items), m.peerFree)
+		t.Fatalf("%d tasks handed over, %d free slots", len(h.Items), m.peerFree)
 	}
 	m.peerFree -= len(h.Items)
 	for _, it := range h.Items {
--- a/dispatch/plan/world.go
+++ b/dispatch/plan/world.go
@@ -18,20 +18,20 @@
 }
 
 // SetCluster brings new tables, members or permissions into force.
-func (p *Planner) SetCluster(now time.Time, w Cluster) {
-	changed := w.Tables != p.cluster.Tables
-	p.cluster = w
-	p.fleet.Apply(now, w.Tables, w.Members)
+func (p *Planner) SetCluster(now time.Time, c Cluster) {
+	changed := c.Tables != p.cluster.Tables
+	p.cluster = c
+	p.fleet.Apply(now, c.Tables, c.Members)
 	for _, t := range p.teams {
 		p.configureTeam(t)
-		p.countRunning(t, 0)
+		p.addRunning(t, 0)
 	}
 	if !changed {
 		return
 	}
 	clear(p.poolSummaries)
 	for name := range p.serviceTimes {
-		if _, ok := w.Tables.Route(name); !ok {
+		if _, ok := c.Tables.Route(name); !ok {
 			delete(p.serviceTimes, name)
 		}
 	}
@@ -72,26 +72,26 @@
 // poolSummary computes the summary once for each version of the tables: computing it for
 // each job would cost time in proportion to the pool's servers.
 func (p *Planner) poolSummary(name string) poolSummary {
-	r, ok := p.poolSummaries[name]
+	summary, ok := p.poolSummaries[name]
 	if ok {
-		return r
+		return summary
 	}
-	r.dataCenters = make(map[string]bool)
+	summary.dataCenters = make(map[string]bool)
 	for _, s := range p.cluster.Tables.Servers(name) {
-		r.slots += s.Slots
+		summary.slots += s.Slots
 		if !s.Leaving {
-			r.dataCenters[s.DataCenter] = true
+			summary.dataCenters[s.DataCenter] = true
 		}
 	}
-	p.poolSummaries[name] = r
-	return r
+	p.poolSummaries[name] = summary
+	return summary
 }
 
 // reachable reports whether this dispatcher, or a peer that it can hand work over to, may
 // use any server of the pool.
 func (p *Planner) reachable(name string) bool {
-	r := p.poolSummary(name)
-	return r.dataCenters[p.cfg.DataCenter] || p.cfg.Policy.HandsOver() && p.peers.anyIn(r.dataCenters)
+	summary := p.poolSummary(name)
+	return summary.dataCenters[p.cfg.DataCenter] || p.cfg.Policy.HandsOver() && p.peers.anyIn(summary.dataCenters)
 }
 
 // reroute moves the job's waiting tasks to the pool of its kind's current route.
@@ -102,12 +102,12 @@
 		return
 	}
 	n := js.poolQueue.Remove(js.queueJob)
-	opened := js.queueJob.Started()
+	started := js.queueJob.Started()
 	js.poolQueue = p.poolQueue(route.Pool)
 	js.queueJob = &queue.Job{Team: js.team.name, Caller: js.job.Caller, Weight: js.team.weight, Arrived: now, Owner: js}
-	js.queueJob.SetStarted(opened)
+	js.queueJob.SetStarted(started)
 	js.poolQueue.Add(js.queueJob, n)
-	p.countRunning(js.team, 0)
+	p.addRunning(js.team, 0)
 }
 
 // team returns the team of a job. A caller without a team is a team of its own.
@@ -141,9 +141,9 @@
 	}
 }
 
-// countRunning adds n to the team's running tasks, and pauses the team in the queues
+// addRunning adds n to the team's running tasks, and pauses the team in the queues
 // while its share of the quota is used up.
-func (p *Planner) countRunning(t *team, n int) {
+func (p *Planner) addRunning(t *team, n int) {
 	t.running += n
 	if n != 0 && t.quotaShare == 0 {
 		return
--- a/dispatch/policy/share/share.go
+++ b/dispatch/policy/share/share.go
@@ -68,7 +68,7 @@
 }
 
 // Choose returns the less loaded of two servers of the fastest class that has
-// room.
+// free slots.
 func (Policy) Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership {
 	fast := free.Fastest()
 	a := fast[r.IntN(len(fast))]
--- a/dispatch/pool/fleet.go
+++ b/dispatch/pool/fleet.go
@@ -37,8 +37,8 @@
 type HealthChange struct {
 	Server  netip.AddrPort
 	Ejected bool
-	// LimitReached is set if the server should be ejected, but the largest allowed share
-	// of its pool already is.
+	// LimitReached is set if the server was not ejected because the largest allowed share
+	// of its pool already is. It is reported only after ejectAfterFailures failures.
 	LimitReached bool
 	Reason       Reason
 }
@@ -60,9 +60,9 @@
 
 // HealthChanges returns the changes since the last call.
 func (f *Fleet) HealthChanges() []HealthChange {
-	n := f.healthChanges
+	changes := f.healthChanges
 	f.healthChanges = nil
-	return n
+	return changes
 }
 
 // Apply brings new tables and members into force.
@@ -191,13 +191,13 @@
 	}
 	f.freeSlots += free - s.freeSlots
 	s.freeSlots = free
-	hasRoom := free > 0 && !now.Before(s.backoffUntil)
+	available := free > 0 && !now.Before(s.backoffUntil)
 	class := s.class()
 	for _, ms := range s.memberships {
-		if ms.index >= 0 && (!hasRoom || ms.class != class) {
+		if ms.index >= 0 && (!available || ms.class != class) {
 			ms.pool.free.remove(ms)
 		}
-		if ms.index < 0 && hasRoom {
+		if ms.index < 0 && available {
 			ms.pool.free.add(ms, class)
 		}
 	}
--- a/dispatch/world.go
+++ b/dispatch/world.go
@@ -17,19 +17,19 @@
 	known := d.dir.Members(now)
 	m, live := d.members(known)
 	d.setPeers(known)
-	w := plan.Cluster{
+	cluster := plan.Cluster{
 		Tables:      d.dir.State(),
 		Members:     m,
 		Dispatchers: live,
 		MayPlace:    d.dir.MayPlace(now),
 		Usable:      func(a netip.AddrPort) bool { return d.dir.Usable(d.clock.Now(), a) },
 	}
-	unchanged := w.Tables == d.cluster.Tables && live == d.cluster.Dispatchers && maps.Equal(m.Sizes, d.cluster.Members.Sizes)
+	unchanged := cluster.Tables == d.cluster.Tables && live == d.cluster.Dispatchers && maps.Equal(m.Sizes, d.cluster.Members.Sizes)
 	if unchanged {
 		return
 	}
-	d.cluster = w
-	d.planner.SetCluster(now, w)
+	d.cluster = cluster
+	d.planner.SetCluster(now, cluster)
 }
 
 // members returns the dispatchers that divide the slots of this data centre, and the
