--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -29,10 +29,10 @@
 	cutOff *atomic.Bool
 }
 
-func (w fakeDirectory) State() *tables.State                  { return w.state }
-func (w fakeDirectory) Usable(time.Time, netip.AddrPort) bool { return true }
-func (w fakeDirectory) MayPlace(time.Time) bool               { return !w.cutOff.Load() }
-func (w fakeDirectory) Members(time.Time) []roster.Known      { return nil }
+func (dir fakeDirectory) State() *tables.State                  { return dir.state }
+func (dir fakeDirectory) Usable(time.Time, netip.AddrPort) bool { return true }
+func (dir fakeDirectory) MayPlace(time.Time) bool               { return !dir.cutOff.Load() }
+func (dir fakeDirectory) Members(time.Time) []roster.Known      { return nil }
 
 // fakeDeliverer completes each task after a second and records the starts.
 type fakeDeliverer struct {
@@ -40,10 +40,10 @@
 	starts []string
 }
 
-func (h *fakeDeliverer) Deliver(_ context.Context, a delivery.Attempt) delivery.Outcome {
-	h.mu.Lock()
-	h.starts = append(h.starts, a.Task)
-	h.mu.Unlock()
+func (deliverer *fakeDeliverer) Deliver(_ context.Context, a delivery.Attempt) delivery.Outcome {
+	deliverer.mu.Lock()
+	deliverer.starts = append(deliverer.starts, a.Task)
+	deliverer.mu.Unlock()
 	time.Sleep(time.Second)
 	return delivery.Outcome{Kind: delivery.Done, Status: 200, Body: a.Body}
 }
@@ -66,11 +66,11 @@
 			TaskTimeout: 10 * time.Second, MaxWait: time.Minute, RetryBudget: 0.1, AsideShare: 0.3, HandLeast: 1,
 		},
 	}
-	h := &fakeDeliverer{}
+	deliverer := &fakeDeliverer{}
 	ticks := clock.New()
 	m := meter.New(100, func() {})
 	t.Cleanup(m.Close)
-	return New(cfg, h, fakeDirectory{st, new(atomic.Bool)}, ticks, slog.New(slog.DiscardHandler), m), h, ticks
+	return New(cfg, deliverer, fakeDirectory{st, new(atomic.Bool)}, ticks, slog.New(slog.DiscardHandler), m), deliverer, ticks
 }
 
 // serve runs the dispatcher and its clock until the end of the test.
@@ -149,7 +149,7 @@
 // later: the caller may have submitted the same order again under a new identity.
 func TestTimedOutSubmissionNeverStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, h, ticks := newDispatcher(t)
+		d, deliverer, ticks := newDispatcher(t)
 		began := time.Now()
 		err := d.Submit(newBatch("late", 1, func(int, Result) {}))
 		var r *refusal.Refusal
@@ -158,8 +158,8 @@
 		}
 		serve(t, d, ticks)
 		time.Sleep(time.Minute)
-		if len(h.starts) > 0 {
-			t.Errorf("started: %v", h.starts)
+		if len(deliverer.starts) > 0 {
+			t.Errorf("started: %v", deliverer.starts)
 		}
 	})
 }
@@ -185,7 +185,7 @@
 // reported as not run and never start.
 func TestCancelledTasksNeverStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, h, ticks := newDispatcher(t)
+		d, deliverer, ticks := newDispatcher(t)
 		serve(t, d, ticks)
 		var mu sync.Mutex
 		got := make(map[refusal.Ran]int)
@@ -199,8 +199,8 @@
 		time.Sleep(time.Minute)
 		mu.Lock()
 		defer mu.Unlock()
-		if len(h.starts) != 2 || got[refusal.RanYes] != 2 || got[refusal.RanNo] != 8 {
-			t.Errorf("starts %v, results %v", h.starts, got)
+		if len(deliverer.starts) != 2 || got[refusal.RanYes] != 2 || got[refusal.RanNo] != 8 {
+			t.Errorf("starts %v, results %v", deliverer.starts, got)
 		}
 	})
 }
--- a/dispatch/plan/health_test.go
+++ b/dispatch/plan/health_test.go
@@ -24,8 +24,8 @@
 		name  string
 		after time.Duration
 		o     delivery.Outcome
-		// maxStarts is how many tasks may start there in the 20 s: those that start before the
-		// fault is detected, and the probes.
+		// maxStarts is how many tasks may start there in the 20 s: those that start
+		// before the fault is detected, and the probes.
 		maxStarts int
 	}{
 		{"fails all it starts", time.Millisecond, delivery.Outcome{Kind: delivery.Ran, Cause: delivery.Status, Status: 500}, 12},
--- a/dispatch/plan/sim_test.go
+++ b/dispatch/plan/sim_test.go
@@ -48,7 +48,7 @@
 	service     []time.Duration
 	unfinished  int
 	failed      bool
-	// reportBack returns the outcome of a task from a peer to that peer.
+	// reportBack, if set, sends the outcome to the planner that handed the task over.
 	reportBack func(o delivery.Outcome)
 }
 
@@ -95,10 +95,10 @@
 	}
 	for i := range planners {
 		p := New(cfg, rand.New(rand.NewPCG(seed, uint64(i))))
-		w := clusterState(st)
-		w.Members = pool.Members{Self: fmt.Sprint(i), Sizes: m.Sizes}
-		w.Dispatchers = planners
-		p.SetCluster(s.now, w)
+		c := clusterState(st)
+		c.Members = pool.Members{Self: fmt.Sprint(i), Sizes: m.Sizes}
+		c.Dispatchers = planners
+		p.SetCluster(s.now, c)
 		s.planners = append(s.planners, p)
 	}
 	return s
