--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -50,13 +50,16 @@
 
 // Result is the final outcome of a task.
 type Result struct {
-	Ran    refusal.Ran
+	Ran refusal.Ran
+	// Done is set if the task has an answer for the caller. Otherwise Error is the reason,
+	// and Answer and Type are empty.
 	Done   bool
 	Answer []byte
 	Error  string
-	// Status and Type are those of the backend server's answer, if it answered.
+	// Status is that of the backend server's answer, if it answered.
 	Status int
-	Type   string
+	// Type is the content type of Answer.
+	Type string
 }
 
 // Directory provides the cluster state that placing depends on.
@@ -158,10 +161,10 @@
 }
 
 // New returns a dispatcher; Serve runs it.
-func New(cfg Config, c taskDeliverer, dir Directory, ticks *clock.Service, log *slog.Logger, m metricSink) *Dispatcher {
+func New(cfg Config, deliverer taskDeliverer, dir Directory, ticks *clock.Service, log *slog.Logger, m metricSink) *Dispatcher {
 	return &Dispatcher{
 		cfg:           cfg,
-		deliverer:     c,
+		deliverer:     deliverer,
 		dir:           dir,
 		clock:         ticks,
 		log:           log,
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -127,16 +127,16 @@
 func TestReadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, ticks := newDispatcher(t)
-		barred := d.dir.(fakeDirectory).cutOff
-		barred.Store(true)
+		cutOff := d.dir.(fakeDirectory).cutOff
+		cutOff.Store(true)
 		serve(t, d, ticks)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		barred.Store(false)
+		cutOff.Store(false)
 		if err := d.Submit(newBatch("first", 1, func(int, Result) {})); err != nil {
 			t.Error(err)
 		}
-		barred.Store(true)
+		cutOff.Store(true)
 		if d.Submit(newBatch("second", 1, func(int, Result) {})) == nil {
 			t.Error("accepted while nothing may be placed")
 		}
@@ -166,7 +166,7 @@
 
 // While the planner does not run, more submissions arrive than the channel holds. None of
 // them may block for ever.
-func TestFullRingRefuses(t *testing.T) {
+func TestFullRequestBufferRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, _ := newDispatcher(t)
 		var waiting sync.WaitGroup
--- a/dispatch/hand.go
+++ b/dispatch/hand.go
@@ -27,10 +27,10 @@
 }
 
 const (
-	// maxHandovers bounds the batches that are with peers at once.
+	// maxHandovers bounds the calls of sender.Send under way at once.
 	maxHandovers = 256
-	// maxHandoverBytes bounds the bodies of one batch, to keep messages between
-	// dispatchers small. A batch holds at least one task.
+	// maxHandoverBytes bounds the bodies in one call of sender.Send, to keep messages
+	// between dispatchers small. Each call has at least one task.
 	maxHandoverBytes = 512 << 10
 )
 
@@ -38,7 +38,7 @@
 // sender, or with a policy that does not hand over, every task stays on this dispatcher.
 func (d *Dispatcher) SetSender(s sender) { d.sender = s }
 
-// sendHandover sends the tasks of h to its peer, split into batches.
+// sendHandover sends the tasks of h to its peer, split by maxHandoverBytes.
 func (d *Dispatcher) sendHandover(ctx context.Context, h plan.Handover) {
 	to, ok := d.peers[h.Peer]
 	for len(h.Items) > 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// fittingTasks returns how many of the first items fit into one batch.
+// fittingTasks returns how many of the first items fit into maxHandoverBytes.
 func (d *Dispatcher) fittingTasks(items []plan.HandoverItem) int {
 	bytes := 0
 	for i, it := range items {
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -12,7 +12,7 @@
 	result   Result
 }
 
-// reports calls Done of the jobs' owners in a goroutine of its own.
+// reports calls the Done functions of the batches in a goroutine of its own.
 //
 // An owner locks its mutex in Done and may hold it while it waits for Submit. If the
 // goroutine that answers Submit called Done, the two would deadlock, and every caller
