--- a/dispatch/plan/cost_test.go
+++ b/dispatch/plan/cost_test.go
@@ -28,20 +28,20 @@
 			p, now := loaded(b, tt.workers, tt.callers, tt.queued)
 			var a Actions
 			p.Decide(now, &a)
-			flying := make([]uint64, 0, 64)
+			active := make([]uint64, 0, 64)
 			for _, s := range a.Starts {
-				flying = append(flying, s.AttemptID)
+				active = append(active, s.AttemptID)
 			}
 			n := 0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				now = now.Add(time.Millisecond)
-				k := n % len(flying)
+				k := n % len(active)
 				n++
-				p.AttemptEnded(now, flying[k], delivery.Outcome{Kind: delivery.Done, Status: 200})
+				p.AttemptEnded(now, active[k], delivery.Outcome{Kind: delivery.Done, Status: 200})
 				p.Decide(now, &a)
-				flying[k] = a.Starts[0].AttemptID
+				active[k] = a.Starts[0].AttemptID
 				if p.waiting < tt.queued {
 					_ = p.Submit(now, Job{ID: fmt.Sprint("n", n), Kind: "price", Caller: fmt.Sprint("c", n%tt.callers), Tasks: 10, Expires: now.Add(24 * time.Hour)})
 				}
--- a/dispatch/plan/end.go
+++ b/dispatch/plan/end.go
@@ -61,8 +61,8 @@
 
 // retry queues the task again if that is safe and allowed, and reports whether it did.
 //
-// Only a proven "not run" is safe. The outcome of a single request may also be unknown if
-// its route declares it repeatable, but never that of a job's task, because a part of the
+// A proven "not run" is always safe. An unknown outcome is safe only for a single request
+// whose route declares it repeatable, and never for a task of a job, because a part of the
 // job may have run.
 func (p *Planner) retry(now time.Time, at *activeAttempt, o delivery.Outcome) bool {
 	js := at.js
--- a/dispatch/plan/guard.go
+++ b/dispatch/plan/guard.go
@@ -81,7 +81,7 @@
 	}
 	t := p.team(j)
 	js := &jobState{job: j, poolQueue: p.poolQueue(route.Pool), team: t, unfinished: j.Tasks, expiryIndex: -1}
-	js.queueJob = &queue.Job{Team: t.name, Caller: j.Caller, Weight: t.weight, Arrived: now, Owner: js}
+	js.queueJob = &queue.Job{Team: t.name, Caller: j.Caller, Weight: t.weight, Arrived: now, Data: js}
 	// A job of one task is never partly started and needs no job slot.
 	js.queueJob.SetStarted(j.Tasks == 1)
 	t.jobs++
@@ -124,7 +124,7 @@
 	switch {
 	case expectedWait > p.cfg.MaxWait:
 		return route, refusal.New(refusal.Overloaded, "").After(p.retryAfter(expectedWait - p.cfg.MaxWait))
-	case expectedWait+p.ownDuration(route.Pool, j) > time.Duration(maxWaitShare*float64(j.Expires.Sub(now))):
+	case expectedWait+p.ownDuration(route.Pool, j) > time.Duration(maxTimeShare*float64(j.Expires.Sub(now))):
 		return route, refusal.New(refusal.Overloaded, "its deadline would pass").After(p.retryAfter(expectedWait))
 	}
 	return route, nil
@@ -134,16 +134,16 @@
 // its deadline: a wrong decision refuses work that could be done.
 const learnedTimeFactor = 0.5
 
-// maxWaitShare is the largest share of a job's remaining time that it may be expected to
-// take. The rest covers the error of the learned rate and the slowest task; a job that
-// ends after its deadline has used slots for nothing.
-const maxWaitShare = 0.5
+// maxTimeShare is the largest share of a job's remaining time that its wait and its own
+// tasks may be expected to take. The rest covers the error of the learned rate and the
+// slowest task; a job that ends after its deadline has used slots for nothing.
+const maxTimeShare = 0.5
 
 // minDuration returns the shortest time that the job could take if all slots of its pool,
 // in every data centre, were free.
-func (p *Planner) minDuration(name string, j Job) time.Duration {
+func (p *Planner) minDuration(poolName string, j Job) time.Duration {
 	st := p.serviceTime(j.Kind)
-	slots := p.poolSummary(name).slots
+	slots := p.poolSummary(poolName).slots
 	if !st.Known() || slots == 0 {
 		return 0
 	}
@@ -152,8 +152,8 @@
 }
 
 // tooLate reports whether a task of the job can no longer end before its deadline.
-// Starting it would use a slot for a result that nobody waits for. Under overload this is
-// what makes goodput fall as the offered load rises.
+// Starting it would use a slot for a result that nobody waits for. Under overload such
+// starts make goodput fall as the offered load rises.
 func (p *Planner) tooLate(now time.Time, js *jobState) bool {
 	minTime := time.Duration(0)
 	if st := p.serviceTime(js.job.Kind); st.Known() {
@@ -165,16 +165,16 @@
 // expectedWait returns how long the job's first task is expected to wait: behind its own
 // team's tasks, at the team's share of the drain rate, or behind all tasks, whichever is
 // shorter.
-func (p *Planner) expectedWait(name string, j Job) time.Duration {
-	pq := p.poolQueue(name)
+func (p *Planner) expectedWait(poolName string, j Job) time.Duration {
+	pq := p.poolQueue(poolName)
 	rate := pq.drainRate.perSecond
 	if rate <= 0 {
 		return 0
 	}
 	t := p.team(j)
 	defer p.forgetIfIdle(t)
-	own, part := pq.Backlog(t.name, t.weight)
-	behind := min(float64(own)/part, float64(pq.Len()))
+	own, share := pq.Backlog(t.name, t.weight)
+	behind := min(float64(own)/share, float64(pq.Len()))
 	return time.Duration(behind / rate * float64(time.Second))
 }
 
@@ -197,13 +197,14 @@
 }
 
 // ownDuration returns how long the job's own tasks take at the drain rate or, if that is
-// higher, at the rate that all connections reach, scaled by learnedTimeFactor. Without
-// the second rate, one learned while servers were failing would refuse work for ever:
-// refused tasks do not wait, and the rate is only updated while tasks wait.
-func (p *Planner) ownDuration(name string, j Job) time.Duration {
-	rate := p.poolQueue(name).drainRate.perSecond
+// higher, at the rate that this dispatcher's slots and connections allow, scaled by
+// learnedTimeFactor. Without the second rate, one learned while servers were failing would
+// refuse work for ever: refused tasks do not wait, and the rate is only updated while
+// tasks wait.
+func (p *Planner) ownDuration(poolName string, j Job) time.Duration {
+	rate := p.poolQueue(poolName).drainRate.perSecond
 	st := p.serviceTime(j.Kind)
-	if here := p.fleet.Pool(name); here != nil && st.Known() {
+	if here := p.fleet.Pool(poolName); here != nil && st.Known() {
 		rate = max(rate, float64(min(here.Limit(), p.cfg.Connections))/st.Mean().Seconds())
 	}
 	if rate <= 0 {
--- a/dispatch/plan/guard_test.go
+++ b/dispatch/plan/guard_test.go
@@ -269,7 +269,7 @@
 	var a Actions
 	p.Decide(epoch, &a)
 	if len(a.Starts) > 0 || len(a.Handovers) != 1 || a.Handovers[0].Peer != "far" || len(a.Handovers[0].Items) != 3 {
-		t.Errorf("starts %v, hands %v", a.Starts, a.Handovers)
+		t.Errorf("starts %v, handovers %v", a.Starts, a.Handovers)
 	}
 }
 
@@ -290,6 +290,6 @@
 	var a Actions
 	p.Decide(epoch, &a)
 	if len(a.Starts)+len(a.Handovers)+len(a.Ends) > 0 {
-		t.Errorf("starts %v, hands %v, ends %v", a.Starts, a.Handovers, a.Ends)
+		t.Errorf("starts %v, handovers %v, ends %v", a.Starts, a.Handovers, a.Ends)
 	}
 }
--- a/dispatch/plan/hand.go
+++ b/dispatch/plan/hand.go
@@ -135,11 +135,11 @@
 	if p.fleet.Pool(pq.pool) == nil {
 		return 0
 	}
-	usual := p.longest()
-	if usual == 0 {
+	longest := p.longestServiceTime()
+	if longest == 0 {
 		return 0
 	}
-	return int(float64(p.running) * float64(p.cfg.HandAfter) / float64(usual))
+	return int(float64(p.running) * float64(p.cfg.HandAfter) / float64(longest))
 }
 
 // receiver returns the better of two random peers with credit in the given data centres,
--- a/dispatch/plan/health_test.go
+++ b/dispatch/plan/health_test.go
@@ -59,7 +59,7 @@
 
 // A kind of request fails on every server because of a fault of its own. Every server
 // looks bad, but if all were ejected, the other kinds of request would have none.
-func TestAsideIsBounded(t *testing.T) {
+func TestEjectionIsBounded(t *testing.T) {
 	s := newSim(1, config("share"), 1, state(t, 10, 4), 1)
 	for _, w := range s.workers {
 		w.fault = faultBetween(epoch, epoch.Add(time.Hour), time.Millisecond, delivery.Outcome{Kind: delivery.Ran, Cause: delivery.Status, Status: 500})
--- a/dispatch/plan/place.go
+++ b/dispatch/plan/place.go
@@ -70,7 +70,7 @@
 	if j == nil {
 		return nil
 	}
-	return j.Owner.(*jobState)
+	return j.Data.(*jobState)
 }
 
 // choose returns a server for the next task of the pool, or nil. An ejected server that
--- a/dispatch/plan/plan.go
+++ b/dispatch/plan/plan.go
@@ -45,7 +45,8 @@
 	// RetryBudget is the number of retries allowed per first attempt.
 	RetryBudget float64
 	// HandAfter is the expected wait up to which a task stays here rather than being
-	// handed over: a connection that becomes free within it is as near as a peer.
+	// handed over: a connection here that becomes free within it is reached as soon as a
+	// peer.
 	HandAfter time.Duration
 	// HandLeast is the smallest number of tasks that is worth a handover.
 	HandLeast int
@@ -109,7 +110,8 @@
 	Job      string
 	From, To int
 	Ran      refusal.Ran
-	// Outcome is that of the last attempt; its kind is 0 if there was none.
+	// Outcome is that of the attempt with which the task ended; its kind is 0 if the task
+	// ended while it waited.
 	Outcome delivery.Outcome
 	Reason  string
 }
@@ -154,6 +156,7 @@
 	// budgetQueue has one entry for each task that waits for the retry budget.
 	budgetQueue []*jobState
 
+	// attempts counts the attempts of all tasks, and so is the id of the latest.
 	attempts     uint64
 	running      int
 	waiting      int
@@ -171,7 +174,7 @@
 	poolQueue *poolQueue
 	team      *team
 	// nextTask is the first task that was never tried, retries are tasks that are queued
-	// again, and tried counts the tries of each task that did not run.
+	// again, and tried counts the earlier attempts of each task that was to be retried.
 	nextTask int
 	retries  []int
 	tried    map[int]taskTries
@@ -188,9 +191,9 @@
 	expiryIndex int
 }
 
-// taskTries counts the tries of a task that did not run.
+// taskTries counts the earlier attempts of a task that was to be retried.
 type taskTries struct {
-	// attempts is the number of tries so far, and so the number of the next one.
+	// attempts counts all of them, and so is the number of the next one.
 	attempts int
 	// servers counts the attempts on backend servers of this dispatcher, peers the
 	// handovers.
@@ -267,11 +270,11 @@
 	return max(min(p.cfg.Connections-p.running, p.fleet.FreeSlots())-p.waiting, 0)
 }
 
-func (p *Planner) serviceTime(name string) *pool.ServiceTime {
-	st := p.serviceTimes[name]
+func (p *Planner) serviceTime(kind string) *pool.ServiceTime {
+	st := p.serviceTimes[kind]
 	if st == nil {
 		st = &pool.ServiceTime{}
-		p.serviceTimes[name] = st
+		p.serviceTimes[kind] = st
 	}
 	return st
 }
--- a/dispatch/plan/plan_test.go
+++ b/dispatch/plan/plan_test.go
@@ -98,11 +98,11 @@
 
 type modelJob struct {
 	Job
-	stopped bool
-	running []bool
-	ended   []bool
-	notRun  []int
-	unknown []bool
+	stopped    bool
+	running    []bool
+	ended      []bool
+	notRun     []int
+	mayHaveRun []bool
 }
 
 func (m *model) check(t *rapid.T) {
@@ -183,7 +183,7 @@
 			t.Fatalf("%s/%d ends twice", e.Job, i)
 		case j.running[i]:
 			t.Fatalf("%s/%d ends while it runs", e.Job, i)
-		case e.Ran == refusal.RanNo && j.unknown[i]:
+		case e.Ran == refusal.RanNo && j.mayHaveRun[i]:
 			t.Fatalf("%s/%d: \"not run\" although it may have run", e.Job, i)
 		}
 		j.ended[i] = true
@@ -200,7 +200,7 @@
 		Tasks:  rapid.SampledFrom([]int{1, 1, 2, 5, 40}).Draw(t, "tasks"),
 	}
 	j.Request = j.Tasks == 1 && rapid.Bool().Draw(t, "request")
-	j.FromPeer = j.Request && rapid.Bool().Draw(t, "guest")
+	j.FromPeer = j.Request && rapid.Bool().Draw(t, "from peer")
 	j.Expires = m.now.Add(time.Duration(rapid.IntRange(-1, 20000).Draw(t, "ms")) * time.Millisecond)
 	if m.p.Submit(m.now, j) != nil {
 		return
@@ -210,7 +210,7 @@
 	}
 	m.jobs[j.ID] = &modelJob{
 		Job: j, running: make([]bool, j.Tasks), ended: make([]bool, j.Tasks),
-		notRun: make([]int, j.Tasks), unknown: make([]bool, j.Tasks),
+		notRun: make([]int, j.Tasks), mayHaveRun: make([]bool, j.Tasks),
 	}
 }
 
@@ -250,7 +250,7 @@
 	case delivery.NotRun:
 		j.notRun[s.Task]++
 	default:
-		j.unknown[s.Task] = true
+		j.mayHaveRun[s.Task] = true
 	}
 	m.p.AttemptEnded(m.now, s.AttemptID, o)
 }
@@ -275,7 +275,7 @@
 }
 
 func (m *model) peers(t *rapid.T) {
-	m.peerFree = rapid.IntRange(0, 6).Draw(t, "room")
+	m.peerFree = rapid.IntRange(0, 6).Draw(t, "free slots")
 	m.report++
 	m.p.SetPeers([]Peer{{Name: "b", DataCenter: "dc1", Report: m.report, Free: m.peerFree}})
 }
--- a/dispatch/plan/sim_test.go
+++ b/dispatch/plan/sim_test.go
@@ -26,11 +26,15 @@
 	lastID   int
 	until    time.Time
 
+	// starts and refusals count attempts on workers, handed and turnedDown tasks that a
+	// peer has accepted and refused, done, failed and refused jobs.
 	starts, refusals, handed int
 	messages, turnedDown     int
 	heartbeats               uint64
 	done, failed, refused    int
-	responseRatios           []float64
+	// responseRatios holds the response time of each job that is done, as a multiple of
+	// the time that its longest task takes without a wait or a slow worker.
+	responseRatios []float64
 }
 
 type simWorker struct {
--- a/dispatch/plan/trial_test.go
+++ b/dispatch/plan/trial_test.go
@@ -13,8 +13,10 @@
 	tests := []struct {
 		name   string
 		policy string
-		least  int
-		after  time.Duration
+		// least is HandLeast; a negative one sets JobSlots to its absolute value, and
+		// HandLeast to 8.
+		least int
+		after time.Duration
 	}{
 		{"random", "random", 0, 0},
 		{"two", "two", 0, 0},
--- a/dispatch/plan/world.go
+++ b/dispatch/plan/world.go
@@ -17,7 +17,7 @@
 	jobs       int
 }
 
-// SetCluster brings new tables, members or permissions into force.
+// SetCluster brings a new state of the cluster into force.
 func (p *Planner) SetCluster(now time.Time, c Cluster) {
 	changed := c.Tables != p.cluster.Tables
 	p.cluster = c
@@ -64,8 +64,10 @@
 
 // poolSummary summarizes a pool over all data centres.
 type poolSummary struct {
+	// slots includes those of servers that are leaving.
 	slots int
-	// dataCenters is the set of data centres in which the pool has usable servers.
+	// dataCenters is the set of data centres in which the pool has servers that are not
+	// leaving.
 	dataCenters map[string]bool
 }
 
@@ -104,7 +106,7 @@
 	n := js.poolQueue.Remove(js.queueJob)
 	started := js.queueJob.Started()
 	js.poolQueue = p.poolQueue(route.Pool)
-	js.queueJob = &queue.Job{Team: js.team.name, Caller: js.job.Caller, Weight: js.team.weight, Arrived: now, Owner: js}
+	js.queueJob = &queue.Job{Team: js.team.name, Caller: js.job.Caller, Weight: js.team.weight, Arrived: now, Data: js}
 	js.queueJob.SetStarted(started)
 	js.poolQueue.Add(js.queueJob, n)
 	p.addRunning(js.team, 0)
@@ -142,7 +144,8 @@
 }
 
 // addRunning adds n to the team's running tasks, and pauses the team in the queues
-// while its share of the quota is used up.
+// while its share of the quota is used up. With n = 0 it only updates the pauses, after
+// a change of the quota, of the queues or of the team's jobs.
 func (p *Planner) addRunning(t *team, n int) {
 	t.running += n
 	if n != 0 && t.quotaShare == 0 {
@@ -175,11 +178,11 @@
 	for _, pq := range p.poolQueues {
 		pq.drainRate.tick(now, pq.Len() > 0)
 	}
-	p.fleet.Tick(now, p.longest())
+	p.fleet.Tick(now, p.longestServiceTime())
 }
 
-// longest returns the longest mean service time of the kinds in use.
-func (p *Planner) longest() time.Duration {
+// longestServiceTime returns the longest mean service time of the kinds in use.
+func (p *Planner) longestServiceTime() time.Duration {
 	var d time.Duration
 	for _, st := range p.serviceTimes {
 		d = max(d, st.Mean())
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -3,7 +3,7 @@
 // Teams share the pool by weighted fair queueing, in its form of start-time fair
 // queueing: each start advances the team's virtual time by the task's cost divided by the
 // team's weight, and the team with the smallest virtual time goes first. The callers of a
-// team share its part evenly in the same way. Among the jobs of a caller, the one with
+// team divide its share evenly in the same way. Among the jobs of a caller, the one with
 // the fewest waiting tasks goes first. A job of n waiting tasks is ordered as if it had
 // arrived n ageing steps later than it did. Only jobs that arrive within that time can
 // overtake it, so none is starved.
@@ -18,15 +18,15 @@
 
 import "time"
 
-// Job is the waiting part of a job. Its owner keeps the tasks themselves.
+// Job is the waiting part of a job. The planner keeps the tasks themselves.
 type Job struct {
 	Team, Caller string
 	// Weight is the weight of the job's team; 0 counts as 1.
 	Weight float64
 	// Arrived is when the job was submitted.
 	Arrived time.Time
-	// Owner is the caller's own data for the job; the queue does not use it.
-	Owner any
+	// Data is the planner's own data for the job; the queue does not use it.
+	Data any
 
 	waiting int
 	started bool
@@ -49,12 +49,13 @@
 
 // Queue holds the waiting tasks of one pool.
 type Queue struct {
-	ageingStep   time.Duration
+	ageingStep time.Duration
+	// virtualClock is the highest virtual time at which a team was served.
 	virtualClock float64
 	waiting      int
 	teams        map[string]*team
-	// unstarted orders the teams by their jobs of which no task was taken, started by the
-	// others.
+	// unstarted holds the teams that have jobs of which no task was taken, started those
+	// that have other jobs. Both are ordered by virtual time.
 	unstarted, started heap[*teamNode]
 }
 
@@ -65,11 +66,11 @@
 	virtualTime float64
 	waiting     int
 	paused      bool
-	// callerVirtualTime is the virtual time of the caller that was served last.
-	callerVirtualTime float64
-	callers           map[string]*caller
-	unstarted         teamNode
-	started           teamNode
+	// callersClock is the highest virtual time at which one of the callers was served.
+	callersClock float64
+	callers      map[string]*caller
+	unstarted    teamNode
+	started      teamNode
 }
 
 // caller is a flow of the second level of fair queueing.
@@ -89,9 +90,9 @@
 // Len returns the number of waiting tasks.
 func (q *Queue) Len() int { return q.waiting }
 
-// Backlog returns the number of waiting tasks of a team, and its part of the total weight
+// Backlog returns the number of waiting tasks of a team, and its share of the total weight
 // of all teams with waiting tasks, itself included.
-func (q *Queue) Backlog(name string, weight float64) (waiting int, part float64) {
+func (q *Queue) Backlog(name string, weight float64) (waiting int, share float64) {
 	weight = weightOrOne(weight)
 	total := weight
 	for n, t := range q.teams {
@@ -119,7 +120,7 @@
 		t.virtualTime = max(t.virtualTime, q.virtualClock)
 	}
 	if c.waiting == 0 {
-		c.virtualTime = max(c.virtualTime, t.callerVirtualTime)
+		c.virtualTime = max(c.virtualTime, t.callersClock)
 	}
 	j.waiting += n
 	c.waiting += n
@@ -141,7 +142,7 @@
 	t.weight = weightOrOne(j.Weight)
 	c := t.callers[j.Caller]
 	if c == nil {
-		c = &caller{team: t, virtualTime: t.callerVirtualTime}
+		c = &caller{team: t, virtualTime: t.callersClock}
 		c.unstarted.caller = c
 		c.started.caller = c
 		t.callers[j.Caller] = c
@@ -205,7 +206,7 @@
 	c := j.caller
 	t := c.team
 	q.virtualClock = max(q.virtualClock, t.virtualTime)
-	t.callerVirtualTime = max(t.callerVirtualTime, c.virtualTime)
+	t.callersClock = max(t.callersClock, c.virtualTime)
 	t.virtualTime += cost / t.weight
 	c.virtualTime += cost
 	q.addWaiting(j, -1)
@@ -219,15 +220,17 @@
 	q.forgetIdle(c)
 }
 
-// forgetIdle drops callers, and a team, that have no waiting tasks and whose virtual time
-// is not ahead of the others'. Without it the queue would keep every caller it ever saw.
+// forgetIdle drops callers of c's team, and the team, that have no waiting tasks and whose
+// virtual time is not ahead of the others'. It does so only while the team has no waiting
+// tasks and there are more than maxIdleFlows teams or callers of the team. Without it the
+// queue would keep every caller it ever saw.
 func (q *Queue) forgetIdle(c *caller) {
 	t := c.team
 	if t.waiting > 0 || len(t.callers) <= maxIdleFlows && len(q.teams) <= maxIdleFlows {
 		return
 	}
 	for n, o := range t.callers {
-		if o.waiting == 0 && o.virtualTime <= t.callerVirtualTime {
+		if o.waiting == 0 && o.virtualTime <= t.callersClock {
 			delete(t.callers, n)
 		}
 	}
--- a/dispatch/queue/side.go
+++ b/dispatch/queue/side.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxIdleFlows is how many teams, and callers of a team, are kept while they have no
-// waiting tasks.
+// maxIdleFlows is the number of teams, or of callers of one team, above which those
+// without waiting tasks are dropped.
 const maxIdleFlows = 1024
 
 // teamNode is a team's node in the heap of unstarted or of started jobs. Its key is the
