--- a/dispatch/pool/fleet.go
+++ b/dispatch/pool/fleet.go
@@ -38,7 +38,8 @@
 	Server  netip.AddrPort
 	Ejected bool
 	// LimitReached is set if the server was not ejected because the largest allowed share
-	// of its pool already is. It is reported only after ejectAfterFailures failures.
+	// of its pool already is. It is reported only while the server has exactly
+	// ejectAfterFailures failures in a row, not for each later one.
 	LimitReached bool
 	Reason       Reason
 }
@@ -72,7 +73,7 @@
 	wanted := localServers(st, f.dataCenter)
 	for a, s := range f.servers {
 		if wanted[a] == nil {
-			f.leavePools(s)
+			f.removeFromPools(s)
 			s.leaving = true
 			f.updateFree(now, s)
 			f.forgetIfGone(s)
@@ -111,7 +112,7 @@
 			return
 		}
 	}
-	f.leavePools(s)
+	f.removeFromPools(s)
 	for _, name := range pools {
 		p := f.pools[name]
 		if p == nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-func (f *Fleet) leavePools(s *Server) {
+func (f *Fleet) removeFromPools(s *Server) {
 	for _, ms := range s.memberships {
 		if ms.index >= 0 {
 			ms.pool.free.remove(ms)
@@ -315,11 +316,11 @@
 	f.healthChanges = append(f.healthChanges, HealthChange{Server: s.Address, Ejected: true, Reason: ejectReason})
 }
 
-// Tick detects stalled servers, ends backoffs and schedules probes; usual is the longest
+// Tick detects stalled servers, ends backoffs and schedules probes; longest is the longest
 // mean service time of the kinds in use.
-func (f *Fleet) Tick(now time.Time, usual time.Duration) {
+func (f *Fleet) Tick(now time.Time, longest time.Duration) {
 	for _, s := range f.busyServers {
-		if s.healthState == stateInUse && s.stalled(now, usual) {
+		if s.healthState == stateInUse && s.stalled(now, longest) {
 			f.eject(now, s, Stalled)
 			f.updateFree(now, s)
 		}
--- a/dispatch/pool/health.go
+++ b/dispatch/pool/health.go
@@ -52,7 +52,7 @@
 	failureWeight = 0.2
 
 	// A server with a slowness above retestSlowness that has been unused for retestAfter
-	// gets one task as a test.
+	// gets one task as a probe.
 	retestAfter    = 20 * time.Second
 	retestSlowness = 1.2
 	// unusedScanInterval is the interval between two scans for unused servers.
@@ -63,9 +63,9 @@
 	minProbeInterval  = time.Second
 	maxProbeInterval  = 30 * time.Second
 	// A server with one task is stalled if nothing has ended there for stallFactor times
-	// the usual service time. With n tasks the factor is divided by n, because it is less
-	// likely that all of them are long, but it is never below minStallFactor, nor the time
-	// below minStallTime.
+	// the longest mean service time of the kinds in use. With n tasks the factor is
+	// divided by n, because it is less likely that all of them are long, but it is never
+	// below minStallFactor, nor the time below minStallTime.
 	stallFactor    = 20
 	minStallFactor = 3
 	minStallTime   = time.Second
@@ -132,10 +132,10 @@
 // stalled reports whether the server has tasks and none has ended for too long. A frozen
 // server answers nothing. Without this check it would be detected only when the lease of
 // a task runs out, and would hold connections until then.
-func (s *Server) stalled(now time.Time, usual time.Duration) bool {
+func (s *Server) stalled(now time.Time, longest time.Duration) bool {
 	if s.busy == 0 {
 		return false
 	}
 	factor := max(stallFactor/time.Duration(s.busy), minStallFactor)
-	return now.Sub(s.lastProgress) > max(factor*usual, minStallTime)
+	return now.Sub(s.lastProgress) > max(factor*longest, minStallTime)
 }
--- a/dispatch/pool/pool.go
+++ b/dispatch/pool/pool.go
@@ -36,10 +36,12 @@
 type Pool struct {
 	Name string
 	free FreeServers
-	// servers counts all servers, ejectedCount the ejected ones among them.
+	// servers counts all servers, ejectedCount those among them that are ejected or being
+	// probed.
 	servers, ejectedCount int
 	limit                 int
-	probes                []*Server
+	// probes holds the servers that are due for a probe, as of the last Fleet.Tick.
+	probes []*Server
 }
 
 // FreeServers returns the servers with free slots.
@@ -51,7 +53,7 @@
 // Limit returns how many tasks this dispatcher may have on the pool's servers in total.
 func (p *Pool) Limit() int { return p.limit }
 
-// Ejected returns how many servers of the pool are ejected.
+// Ejected returns how many servers of the pool are ejected or being probed.
 func (p *Pool) Ejected() int { return p.ejectedCount }
 
 // Membership is a server as a member of one pool.
@@ -59,7 +61,8 @@
 	Server *Server
 	pool   *Pool
 	class  int
-	index  int
+	// index is the index in FreeServers.classes[class], or -1 while it is not there.
+	index int
 }
 
 // FreeServers is the set of servers with free slots, by speed class.
--- a/dispatch/pool/server.go
+++ b/dispatch/pool/server.go
@@ -57,11 +57,13 @@
 	failuresInRow int
 	refusalsInRow int
 	backoffUntil  time.Time
-	backingOff    bool
-	lastProgress  time.Time
-	healthState   healthState
-	ejectReason   Reason
-	probeAt       time.Time
+	// backingOff is set while the server is in Fleet.backingOff.
+	backingOff bool
+	// lastProgress is when a task last ended on the server, or started while it had none.
+	lastProgress time.Time
+	healthState  healthState
+	ejectReason  Reason
+	probeAt      time.Time
 	// probeDue is set if the server's next task is to be a probe; it holds for one task
 	// only.
 	probeDue      bool
