--- a/dispatch/handover/receiver.go
+++ b/dispatch/handover/receiver.go
@@ -124,7 +124,7 @@
 }
 
 // batch returns the batch of the ask, and starts it if it is new. It returns nil if the
-// batch is over.
+// batch is over, or if it is not kept here and the ask has no tasks.
 //
 // The lock is held until the batch is in the map, and only the caller that put it there
 // starts it: if two copies of an ask arrive together, one starts the tasks.
@@ -303,8 +303,9 @@
 	}
 }
 
-// await returns the results after the first received ones, as soon as they are worth a
-// message or the delay is over.
+// await returns the results that the owner does not have; received is how many it has. It
+// waits until they are worth a message, for batchingDelay after the first one, or for
+// maxAnswerDelay if there is none.
 func (b *receivedBatch) await(ctx context.Context, received int) []Result {
 	t := time.NewTimer(maxAnswerDelay)
 	defer t.Stop()
@@ -338,9 +339,9 @@
 	b.lastAsked = now
 }
 
-// resultsAfter returns the results after the first received ones, and whether they should
-// be sent at once: the batch or a job's part of it has ended, or a task was refused and
-// needs another place.
+// resultsAfter returns the results that the owner does not have, received being how many
+// it has, and whether they should be sent at once: the batch or a job's part of it has
+// ended, or a task was refused and needs another place.
 func (b *receivedBatch) resultsAfter(received int) ([]Result, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/dispatch/handover/sender.go
+++ b/dispatch/handover/sender.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	askTimeout = 3 * time.Second
-	minPause   = 50 * time.Millisecond
-	maxPause   = time.Second
+	askTimeout      = 3 * time.Second
+	minRetryBackoff = 50 * time.Millisecond
+	maxRetryBackoff = time.Second
 	// resultGrace is how long after the tasks' deadline the sender still waits for
 	// results.
 	resultGrace = 2 * time.Second
@@ -58,7 +58,7 @@
 	deadline time.Time
 	// mayHaveArrived is set if the peer may have got an ask.
 	mayHaveArrived bool
-	received       []bool
+	hasResult      []bool
 }
 
 // Send hands the tasks over and returns when all have an outcome. It calls done once for
@@ -66,12 +66,12 @@
 func (s *Sender) Send(ctx context.Context, to roster.Known, tasks []dispatch.HandoverTask, done func(i int, o delivery.Outcome), reportFree func(free int)) {
 	b := s.begin(to, tasks)
 	defer s.end(b)
-	pause := minPause
+	backoff := minRetryBackoff
 	for {
 		answer, err := s.ask(ctx, b)
 		if err == nil && answer.State == Open {
 			reportFree(answer.Free)
-			pause = minPause
+			backoff = minRetryBackoff
 			if b.addResults(answer, done) {
 				return
 			}
@@ -81,13 +81,13 @@
 			b.endRemaining(o, done)
 			return
 		}
-		clock.Sleep(ctx, pause)
-		pause = min(2*pause, maxPause)
+		clock.Sleep(ctx, backoff)
+		backoff = min(2*backoff, maxRetryBackoff)
 	}
 }
 
 func (s *Sender) begin(to roster.Known, tasks []dispatch.HandoverTask) *batch {
-	b := &batch{to: to, tasks: tasks, received: make([]bool, len(tasks))}
+	b := &batch{to: to, tasks: tasks, hasResult: make([]bool, len(tasks))}
 	for _, t := range tasks {
 		if end := t.Expires.Add(resultGrace); end.After(b.deadline) {
 			b.deadline = end
@@ -157,10 +157,10 @@
 // addResults passes new results on and reports whether the batch is complete.
 func (b *batch) addResults(a Answer, done func(i int, o delivery.Outcome)) bool {
 	for _, r := range a.Results {
-		if r.Task < 0 || r.Task >= len(b.received) || b.received[r.Task] {
+		if r.Task < 0 || r.Task >= len(b.hasResult) || b.hasResult[r.Task] {
 			continue
 		}
-		b.received[r.Task] = true
+		b.hasResult[r.Task] = true
 		done(r.Task, r.outcome())
 	}
 	b.ask.Received += len(a.Results)
@@ -193,7 +193,7 @@
 
 // endRemaining gives the outcome to all tasks that have none.
 func (b *batch) endRemaining(o delivery.Outcome, done func(i int, o delivery.Outcome)) {
-	for i, got := range b.received {
+	for i, got := range b.hasResult {
 		if !got {
 			done(i, o)
 		}
