--- a/dispatch/policy/share/share.go
+++ b/dispatch/policy/share/share.go
@@ -5,7 +5,7 @@
 // Each dispatcher computes the division from the members that it knows. Slots that do not
 // divide evenly go to the members with the highest rendezvous scores for the server, so a
 // change of one member moves only that member's share. Where the views of two dispatchers
-// differ, the worker refuses what exceeds its slots.
+// differ, the backend server refuses what exceeds its slots.
 package share
 
 import (
@@ -32,13 +32,13 @@
 		left -= slots * n / total
 	}
 	own := slots * among.Sizes[among.Self] / total
-	ownRank := score(server, among.Self, among.Sizes[among.Self])
+	ownRank := rankOf(server, among.Self, among.Sizes[among.Self])
 	above := 0
 	for name, n := range among.Sizes {
 		if above >= left {
 			return own
 		}
-		if name != among.Self && score(server, name, n).above(ownRank) {
+		if name != among.Self && rankOf(server, name, n).above(ownRank) {
 			above++
 		}
 	}
@@ -55,7 +55,7 @@
 	name  string
 }
 
-func score(server netip.AddrPort, name string, size int) rank {
+func rankOf(server netip.AddrPort, name string, size int) rank {
 	u := (float64(pool.Score(server, name)>>11) + 0.5) / (1 << 53)
 	return rank{-float64(size) / math.Log(u), name}
 }
@@ -67,8 +67,8 @@
 	return r.name < o.name
 }
 
-// Choose returns the less loaded of two servers of the fastest class that has
-// free slots.
+// Choose returns the less loaded of two random servers of the fastest class that has free
+// slots.
 func (Policy) Choose(free *pool.FreeServers, r *rand.Rand) *pool.Membership {
 	fast := free.Fastest()
 	a := fast[r.IntN(len(fast))]
--- a/dispatch/policy/share/share_test.go
+++ b/dispatch/policy/share/share_test.go
@@ -13,7 +13,7 @@
 }
 
 // Each member computes its own share. Shares that add up to more than the slots cause
-// refusals at the worker; shares that add up to less leave slots idle.
+// refusals at the server; shares that add up to less leave slots idle.
 func TestPartsAddUp(t *testing.T) {
 	tests := []struct{ slots, members, large int }{
 		{64, 1, 1}, {64, 48, 1}, {64, 47, 3}, {8, 48, 1}, {1, 5, 2}, {100, 7, 10},
