--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -22,33 +22,33 @@
 	"snipehub.example/ticket"
 )
 
-// world is one backend server with two slots, and nobody else.
-type world struct {
-	st *tables.State
-	// barred tells that nothing may be placed.
-	barred *atomic.Bool
+// fakeDirectory has one backend server with two slots and no other dispatchers.
+type fakeDirectory struct {
+	state *tables.State
+	// cutOff is set while nothing may be placed.
+	cutOff *atomic.Bool
 }
 
-func (w world) State() *tables.State                  { return w.st }
-func (w world) Usable(time.Time, netip.AddrPort) bool { return true }
-func (w world) MayPlace(time.Time) bool               { return !w.barred.Load() }
-func (w world) Members(time.Time) []roster.Known      { return nil }
+func (dir fakeDirectory) State() *tables.State                  { return dir.state }
+func (dir fakeDirectory) Usable(time.Time, netip.AddrPort) bool { return true }
+func (dir fakeDirectory) MayPlace(time.Time) bool               { return !dir.cutOff.Load() }
+func (dir fakeDirectory) Members(time.Time) []roster.Known      { return nil }
 
-// hands does each task in a second and counts the starts.
-type hands struct {
+// fakeDeliverer completes each task after a second and records the starts.
+type fakeDeliverer struct {
 	mu     sync.Mutex
 	starts []string
 }
 
-func (h *hands) Deliver(_ context.Context, a delivery.Attempt) delivery.Outcome {
-	h.mu.Lock()
-	h.starts = append(h.starts, a.Task)
-	h.mu.Unlock()
+func (deliverer *fakeDeliverer) Deliver(_ context.Context, a delivery.Attempt) delivery.Outcome {
+	deliverer.mu.Lock()
+	deliverer.starts = append(deliverer.starts, a.Task)
+	deliverer.mu.Unlock()
 	time.Sleep(time.Second)
 	return delivery.Outcome{Kind: delivery.Done, Status: 200, Body: a.Body}
 }
 
-func newDispatcher(t *testing.T) (*Dispatcher, *hands, *clock.Service) {
+func newDispatcher(t *testing.T) (*Dispatcher, *fakeDeliverer, *clock.Service) {
 	t.Helper()
 	st, err := tables.Build(1, tables.Rows{
 		Routes:  []tables.Route{{Kind: "price", Half: "north", Pool: "quick"}},
@@ -66,14 +66,14 @@
 			TaskTimeout: 10 * time.Second, MaxWait: time.Minute, RetryBudget: 0.1, AsideShare: 0.3, HandLeast: 1,
 		},
 	}
-	h := &hands{}
+	deliverer := &fakeDeliverer{}
 	ticks := clock.New()
 	m := meter.New(100, func() {})
 	t.Cleanup(m.Close)
-	return New(cfg, h, world{st, new(atomic.Bool)}, ticks, slog.New(slog.DiscardHandler), m), h, ticks
+	return New(cfg, deliverer, fakeDirectory{st, new(atomic.Bool)}, ticks, slog.New(slog.DiscardHandler), m), deliverer, ticks
 }
 
-// serve runs the dispatcher and its clock until the test's end.
+// serve runs the dispatcher and its clock until the end of the test.
 func serve(t *testing.T, d *Dispatcher, ticks *clock.Service) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -86,18 +86,18 @@
 	})
 }
 
-func batch1(id string, n int, done func(int, Result)) Batch {
+func newBatch(id string, n int, done func(int, Result)) Batch {
 	return Batch{Job: id, Kind: "price", Caller: "x", Expires: time.Now().Add(time.Hour), Tasks: make([][]byte, n), Done: done}
 }
 
-// An owner holds its lock while it submits, and takes the same lock when a task
-// has ended. Were the two told by one goroutine, both would wait for ever, and
-// so would every caller of the process.
+// An owner holds its lock while it submits and takes the same lock in Done. If one
+// goroutine served both, they would deadlock, and every caller of the process with them.
 func TestDoneDoesNotBlockSubmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, ticks := newDispatcher(t)
 		serve(t, d, ticks)
-		// A channel as the lock: synctest does not see a wait for a mutex.
+		// The lock is a channel because synctest does not treat a wait for a mutex as
+		// blocked.
 		lock := make(chan struct{}, 1)
 		ended := 0
 		done := func(int, Result) {
@@ -108,7 +108,7 @@
 		for i := range 20 {
 			lock <- struct{}{}
 			time.Sleep(500 * time.Millisecond)
-			if err := d.Submit(batch1(string(rune('a'+i)), 1, done)); err != nil {
+			if err := d.Submit(newBatch(string(rune('a'+i)), 1, done)); err != nil {
 				t.Errorf("job %d: %v", i, err)
 			}
 			<-lock
@@ -122,60 +122,58 @@
 	})
 }
 
-// A process has just confirmed its tables, and tells the balancer that it is
-// ready. A caller who comes in the same moment must not be told that the process
-// is cut off, because the planner last looked before.
+// A process reports ready right after it has confirmed its tables. A submission at that
+// moment must not be refused as cut off because the planner last checked earlier.
 func TestReadyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, ticks := newDispatcher(t)
-		barred := d.dir.(world).barred
-		barred.Store(true)
+		cutOff := d.dir.(fakeDirectory).cutOff
+		cutOff.Store(true)
 		serve(t, d, ticks)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		barred.Store(false)
-		if err := d.Submit(batch1("first", 1, func(int, Result) {})); err != nil {
+		cutOff.Store(false)
+		if err := d.Submit(newBatch("first", 1, func(int, Result) {})); err != nil {
 			t.Error(err)
 		}
-		barred.Store(true)
-		if d.Submit(batch1("second", 1, func(int, Result) {})) == nil {
-			t.Error("taken while nothing may be placed")
+		cutOff.Store(true)
+		if d.Submit(newBatch("second", 1, func(int, Result) {})) == nil {
+			t.Error("accepted while nothing may be placed")
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// The planner does not run for a while, as after a freeze. The submitter gets a
-// "not run" after a bounded time, and the submission that is still in the ring
-// must not be taken when the planner runs again: the caller may have submitted
-// the same order under a new identity.
+// The planner does not run for a while, as after a suspension. The submitter gets "not
+// run" within submitTimeout, and the submission that is still queued must not start
+// later: the caller may have submitted the same order again under a new identity.
 func TestTimedOutSubmissionNeverStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, h, ticks := newDispatcher(t)
+		d, deliverer, ticks := newDispatcher(t)
 		began := time.Now()
-		err := d.Submit(batch1("late", 1, func(int, Result) {}))
+		err := d.Submit(newBatch("late", 1, func(int, Result) {}))
 		var r *refusal.Refusal
 		if !errors.As(err, &r) || r.Ran != refusal.RanNo || time.Since(began) > submitTimeout {
 			t.Fatalf("%v after %v", err, time.Since(began))
 		}
 		serve(t, d, ticks)
 		time.Sleep(time.Minute)
-		if len(h.starts) > 0 {
-			t.Errorf("started: %v", h.starts)
+		if len(deliverer.starts) > 0 {
+			t.Errorf("started: %v", deliverer.starts)
 		}
 	})
 }
 
-// More submissions come at once than the ring holds while the planner does not
-// run. None may wait for ever.
-func TestFullRingRefuses(t *testing.T) {
+// While the planner does not run, more submissions arrive than the channel holds. None of
+// them may block for ever.
+func TestFullRequestBufferRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _, _ := newDispatcher(t)
 		var waiting sync.WaitGroup
-		for range 2 * ring {
+		for range 2 * requestBuffer {
 			waiting.Go(func() {
-				if d.Submit(batch1("x", 1, func(int, Result) {})) == nil {
-					t.Error("taken without a planner")
+				if d.Submit(newBatch("x", 1, func(int, Result) {})) == nil {
+					t.Error("accepted without a planner")
 				}
 			})
 		}
@@ -183,15 +181,15 @@
 	})
 }
 
-// A caller cancels a job of ten tasks when two have started. The two end, the
-// others are told as not run and never start.
+// A job of ten tasks is cancelled when two have started. Those two end; the others are
+// reported as not run and never start.
 func TestCancelledTasksNeverStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, h, ticks := newDispatcher(t)
+		d, deliverer, ticks := newDispatcher(t)
 		serve(t, d, ticks)
 		var mu sync.Mutex
 		got := make(map[refusal.Ran]int)
-		_ = d.Submit(batch1("job", 10, func(_ int, r Result) {
+		_ = d.Submit(newBatch("job", 10, func(_ int, r Result) {
 			mu.Lock()
 			defer mu.Unlock()
 			got[r.Ran]++
@@ -201,8 +199,8 @@
 		time.Sleep(time.Minute)
 		mu.Lock()
 		defer mu.Unlock()
-		if len(h.starts) != 2 || got[refusal.RanYes] != 2 || got[refusal.RanNo] != 8 {
-			t.Errorf("starts %v, results %v", h.starts, got)
+		if len(deliverer.starts) != 2 || got[refusal.RanYes] != 2 || got[refusal.RanNo] != 8 {
+			t.Errorf("starts %v, results %v", deliverer.starts, got)
 		}
 	})
 }
--- a/dispatch/plan/hand.go
+++ b/dispatch/plan/hand.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// handTasks bounds one hand-over.
-	handTasks = 256
-	// handTries is how often a task is handed over; after that it waits here.
-	handTries = 2
+	// maxHandoverTasks bounds the tasks of one handover.
+	maxHandoverTasks = 256
+	// maxHandoverTries is how often a task is handed over before it waits for a server of
+	// this dispatcher.
+	maxHandoverTries = 2
 )
 
-// peer is a dispatcher that may take tasks over.
+// peer is a dispatcher that may receive tasks.
 type peer struct {
 	Peer
-	// credit is how many more tasks it should have room for: what it last
-	// reported, less what was handed to it since, and more for what came back.
+	// credit is the estimate of the peer's free slots: the last report, less the tasks
+	// handed over since.
 	credit int
-	seen   bool
+	listed bool
 }
 
 type peers struct {
@@ -27,132 +28,132 @@
 	list   []*peer
 }
 
-// SetPeers tells who may take tasks over now.
-func (p *Planner) SetPeers(now []Peer) {
+// SetPeers sets the dispatchers that may receive tasks.
+func (p *Planner) SetPeers(listed []Peer) {
 	ps := &p.peers
 	if ps.byName == nil {
 		ps.byName = make(map[string]*peer)
 	}
 	ps.list = ps.list[:0]
-	for _, n := range now {
-		e := ps.byName[n.Name]
-		if e == nil {
-			e = &peer{}
-			ps.byName[n.Name] = e
+	for _, reported := range listed {
+		pr := ps.byName[reported.Name]
+		if pr == nil {
+			pr = &peer{}
+			ps.byName[reported.Name] = pr
 		}
-		if n.Report != e.Report || e.Name == "" {
-			e.credit = n.Free
+		if reported.Report != pr.Report || pr.Name == "" {
+			pr.credit = reported.Free
 		}
-		e.Peer = n
-		e.seen = true
-		ps.list = append(ps.list, e)
+		pr.Peer = reported
+		pr.listed = true
+		ps.list = append(ps.list, pr)
 	}
-	for name, e := range ps.byName {
-		if !e.seen {
+	for name, pr := range ps.byName {
+		if !pr.listed {
 			delete(ps.byName, name)
 		}
-		e.seen = false
+		pr.listed = false
 	}
 }
 
-// Reported takes the room that a peer tells with an answer. Heartbeats alone are
-// up to a second old, in which a peer fills up several times.
-func (p *Planner) Reported(name string, free int) {
-	if e := p.peers.byName[name]; e != nil {
-		e.credit = free
+// PeerReported records the free slots that a peer returned with an answer. Heartbeats
+// alone are up to a second old, a time in which a peer can fill up several times.
+func (p *Planner) PeerReported(name string, freeSlots int) {
+	if pr := p.peers.byName[name]; pr != nil {
+		pr.credit = freeSlots
 	}
 }
 
-// any tells whether there is a peer in one of the data centres.
-func (ps *peers) any(centers map[string]bool) bool {
-	for _, e := range ps.list {
-		if centers[e.DataCenter] {
+// anyIn reports whether there is a peer in one of the data centres.
+func (ps *peers) anyIn(centers map[string]bool) bool {
+	for _, pr := range ps.list {
+		if centers[pr.DataCenter] {
 			return true
 		}
 	}
 	return false
 }
 
-// handOver gives the tasks that this dispatcher can't start soon to peers that
-// report room.
+// handOver hands over tasks that this dispatcher cannot start soon to peers with free
+// slots.
 func (p *Planner) handOver(now time.Time) {
-	if p.waiting == 0 || !p.world.MayPlace || !p.cfg.Policy.HandsOver() {
+	if p.waiting == 0 || !p.cluster.MayPlace || !p.cfg.Policy.HandsOver() {
 		return
 	}
-	for _, l := range p.queues {
-		for p.handFrom(now, l) {
+	for _, pq := range p.poolQueues {
+		for p.handOverFrom(now, pq) {
 		}
 	}
 }
 
-// handFrom hands one batch over and tells whether it did.
-func (p *Planner) handFrom(now time.Time, l *line) bool {
-	spare := l.Len() - p.soon(l)
-	if spare < p.cfg.HandLeast {
+// handOverFrom hands over one batch and reports whether there was one.
+func (p *Planner) handOverFrom(now time.Time, pq *poolQueue) bool {
+	surplus := pq.Len() - p.startableSoon(pq)
+	if surplus < p.cfg.HandLeast {
 		return false
 	}
-	to := p.receiver(p.reach(l.pool).centers)
+	to := p.receiver(p.poolSummary(pq.pool).dataCenters)
 	if to == nil {
 		return false
 	}
-	h := Hand{Peer: to.Name}
-	for n := min(spare, max(to.credit/2, p.cfg.HandLeast), handTasks); len(h.Items) < n; {
-		w := p.top(l)
-		if w == nil || !p.mayHand(w) || p.tooLate(now, w) || !p.routed(w, l) {
+	h := Handover{Peer: to.Name}
+	for n := min(surplus, max(to.credit/2, p.cfg.HandLeast), maxHandoverTasks); len(h.Items) < n; {
+		js := p.topJob(pq)
+		if js == nil || !p.mayHandOver(js) || p.tooLate(now, js) || !p.routedTo(js, pq) {
 			break
 		}
-		f := &flight{w: w, peer: to, started: now}
-		attempt := p.take(f)
-		p.handed++
+		at := &activeAttempt{js: js, peer: to, startedAt: now}
+		attempt := p.takeTask(at)
+		p.handedOver++
 		to.credit--
-		h.Items = append(h.Items, Item{p.number, w.job.ID, f.task, attempt, w.job.Expires})
+		h.Items = append(h.Items, HandoverItem{p.attempts, js.job.ID, at.task, attempt, js.job.Expires})
 	}
 	if len(h.Items) == 0 {
 		return false
 	}
-	p.out.Hands = append(p.out.Hands, h)
+	p.actions.Handovers = append(p.actions.Handovers, h)
 	return true
 }
 
-// mayHand tells whether the next task of the work may be handed over.
-func (p *Planner) mayHand(w *work) bool {
-	if w.job.Guest {
+// mayHandOver reports whether the job's next task may be handed over.
+func (p *Planner) mayHandOver(js *jobState) bool {
+	if js.job.FromPeer {
 		return false
 	}
-	n := len(w.retries)
-	return n == 0 || w.tried[w.retries[n-1]].peers < handTries
+	n := len(js.retries)
+	return n == 0 || js.tried[js.retries[n-1]].peers < maxHandoverTries
 }
 
-func (p *Planner) routed(w *work, l *line) bool {
-	r, ok := p.world.Tables.Route(w.job.Kind)
-	return ok && r.Pool == l.pool
+func (p *Planner) routedTo(js *jobState, pq *poolQueue) bool {
+	r, ok := p.cluster.Tables.Route(js.job.Kind)
+	return ok && r.Pool == pq.pool
 }
 
-// soon returns how many tasks of the queue this dispatcher will probably start
-// itself before HandAfter is over.
-func (p *Planner) soon(l *line) int {
-	if p.fleet.Pool(l.pool) == nil {
+// startableSoon returns how many tasks of the queue this dispatcher is expected to start
+// itself within HandAfter.
+func (p *Planner) startableSoon(pq *poolQueue) int {
+	if p.fleet.Pool(pq.pool) == nil {
 		return 0
 	}
-	usual := p.longest()
-	if usual == 0 {
+	longest := p.longestServiceTime()
+	if longest == 0 {
 		return 0
 	}
-	return int(float64(p.busy) * float64(p.cfg.HandAfter) / float64(usual))
+	return int(float64(p.running) * float64(p.cfg.HandAfter) / float64(longest))
 }
 
-// receiver returns the better of two peers with room in the data centres
-// given, one of this data centre if there is any. Two choices and not the best:
-// everybody reads the same reports, and all would turn to the same peer.
+// receiver returns the better of two random peers with credit in the given data centres,
+// preferring peers of this data centre. Taking the best one would send every dispatcher
+// to the same peer, since all read the same reports.
 func (p *Planner) receiver(centers map[string]bool) *peer {
 	var near, far []*peer
-	for _, e := range p.peers.list {
+	for _, pr := range p.peers.list {
 		switch {
-		case e.credit < p.cfg.HandLeast || !centers[e.DataCenter]:
-		case e.DataCenter == p.cfg.DataCenter:
-			near = append(near, e)
+		case pr.credit < p.cfg.HandLeast || !centers[pr.DataCenter]:
+		case pr.DataCenter == p.cfg.DataCenter:
+			near = append(near, pr)
 		default:
-			far = append(far, e)
+			far = append(far, pr)
 		}
 	}
 	from := near
@@ -170,11 +171,11 @@
 	return a
 }
 
-// returned takes the answer of a peer into account. One that refuses is asked
-// again only after its next report.
-func (p *Planner) returned(e *peer, o delivery.Outcome) {
-	p.handed--
+// handoverEnded handles a peer's outcome. A peer that refuses gets no more tasks until
+// its next report.
+func (p *Planner) handoverEnded(pr *peer, o delivery.Outcome) {
+	p.handedOver--
 	if o.Kind == delivery.NotRun {
-		e.credit = 0
+		pr.credit = 0
 	}
 }
--- a/dispatch/plan/trial_test.go
+++ b/dispatch/plan/trial_test.go
@@ -6,15 +6,17 @@
 	"time"
 )
 
-// BenchmarkTrial compares the policies in the virtual time of sim: 16
-// dispatchers of 64 connections, 16 workers of 64 slots and three speeds, jobs
-// of 1 to 100 tasks. It measures the decisions, not the system.
+// BenchmarkTrial compares the policies in virtual time: 16 dispatchers of 64 connections,
+// 16 workers of 64 slots and three speeds, jobs of 1 to 100 tasks. It measures the
+// decisions, not the system.
 func BenchmarkTrial(b *testing.B) {
 	tests := []struct {
 		name   string
 		policy string
-		least  int
-		after  time.Duration
+		// least is HandLeast; a negative one sets JobSlots to its absolute value, and
+		// HandLeast to 8.
+		least int
+		after time.Duration
 	}{
 		{"random", "random", 0, 0},
 		{"two", "two", 0, 0},
@@ -53,12 +55,12 @@
 	b.ReportMetric(s.quantile(0.99), "p99/ideal")
 	b.ReportMetric(float64(s.messages+s.refusals)/n, "wasted/task")
 	b.ReportMetric(float64(s.handed)/n, "handed/task")
-	b.ReportMetric(float64(s.turned)/n, "turned/task")
+	b.ReportMetric(float64(s.turnedDown)/n, "turned/task")
 	b.ReportMetric(float64(s.failed), "failed")
 	b.ReportMetric(float64(s.refused), "refused")
 }
 
-// simMean is the mean of sim.service.
+// simMean is the mean of sim.service in seconds.
 const simMean = 0.99*0.150 + 0.01*3
 
 func trial(b *testing.B, cfg Config, load int) *sim {
--- a/dispatch/plan/world.go
+++ b/dispatch/plan/world.go
@@ -6,111 +6,113 @@
 	"snipehub.example/dispatch/queue"
 )
 
-// team is what the planner knows of a team with jobs here.
+// team is the planner's state of a team that has jobs here.
 type team struct {
 	name   string
 	weight float64
-	// part is how many of its tasks this dispatcher may run at once; 0 means
+	// quotaShare is how many of the team's tasks this dispatcher may run at once; 0 means
 	// no limit.
-	part int
-	busy int
-	jobs int
+	quotaShare int
+	running    int
+	jobs       int
 }
 
-// SetWorld brings new tables, members or permissions into force.
-func (p *Planner) SetWorld(now time.Time, w World) {
-	changed := w.Tables != p.world.Tables
-	p.world = w
-	p.fleet.Apply(now, w.Tables, w.Members)
+// SetCluster brings a new state of the cluster into force.
+func (p *Planner) SetCluster(now time.Time, c Cluster) {
+	changed := c.Tables != p.cluster.Tables
+	p.cluster = c
+	p.fleet.Apply(now, c.Tables, c.Members)
 	for _, t := range p.teams {
-		p.set(t)
-		p.quota(t, 0)
+		p.configureTeam(t)
+		p.addRunning(t, 0)
 	}
 	if !changed {
 		return
 	}
-	clear(p.reaches)
-	for name := range p.kinds {
-		if _, ok := w.Tables.Route(name); !ok {
-			delete(p.kinds, name)
+	clear(p.poolSummaries)
+	for name := range p.serviceTimes {
+		if _, ok := c.Tables.Route(name); !ok {
+			delete(p.serviceTimes, name)
 		}
 	}
-	p.drop()
+	p.dropUnusedQueues()
 }
 
-// drop forgets the lines of pools that are no more.
-func (p *Planner) drop() {
-	kept := p.queues[:0]
-	for _, l := range p.queues {
-		if l.Len() > 0 || len(p.world.Tables.Servers(l.pool)) > 0 {
-			kept = append(kept, l)
+// dropUnusedQueues drops the queues of pools that no longer exist.
+func (p *Planner) dropUnusedQueues() {
+	kept := p.poolQueues[:0]
+	for _, pq := range p.poolQueues {
+		if pq.Len() > 0 || len(p.cluster.Tables.Servers(pq.pool)) > 0 {
+			kept = append(kept, pq)
 			continue
 		}
-		delete(p.byPool, l.pool)
+		delete(p.byPool, pq.pool)
 	}
-	clear(p.queues[len(kept):])
-	p.queues = kept
+	clear(p.poolQueues[len(kept):])
+	p.poolQueues = kept
 }
 
-func (p *Planner) line(name string) *line {
-	l := p.byPool[name]
-	if l == nil {
-		l = &line{Queue: queue.New(ageingStep), pool: name}
-		p.byPool[name] = l
-		p.queues = append(p.queues, l)
+func (p *Planner) poolQueue(name string) *poolQueue {
+	pq := p.byPool[name]
+	if pq == nil {
+		pq = &poolQueue{Queue: queue.New(ageingStep), pool: name}
+		p.byPool[name] = pq
+		p.poolQueues = append(p.poolQueues, pq)
 	}
-	return l
+	return pq
 }
 
-// reach is what the tables say of a pool over all data centres.
-type reach struct {
+// poolSummary summarizes a pool over all data centres.
+type poolSummary struct {
+	// slots includes those of servers that are leaving.
 	slots int
-	// centers is the data centres in which it has usable servers.
-	centers map[string]bool
+	// dataCenters is the set of data centres in which the pool has servers that are not
+	// leaving.
+	dataCenters map[string]bool
 }
 
-// reach looks at a pool's servers once for each version of the tables; a look
-// for each job would cost as much as the pool has servers.
-func (p *Planner) reach(name string) reach {
-	r, ok := p.reaches[name]
+// poolSummary computes the summary once for each version of the tables: computing it for
+// each job would cost time in proportion to the pool's servers.
+func (p *Planner) poolSummary(name string) poolSummary {
+	summary, ok := p.poolSummaries[name]
 	if ok {
-		return r
+		return summary
 	}
-	r.centers = make(map[string]bool)
-	for _, s := range p.world.Tables.Servers(name) {
-		r.slots += s.Slots
+	summary.dataCenters = make(map[string]bool)
+	for _, s := range p.cluster.Tables.Servers(name) {
+		summary.slots += s.Slots
 		if !s.Leaving {
-			r.centers[s.DataCenter] = true
+			summary.dataCenters[s.DataCenter] = true
 		}
 	}
-	p.reaches[name] = r
-	return r
+	p.poolSummaries[name] = summary
+	return summary
 }
 
-// usable tells whether any server of the pool may be used by this dispatcher,
-// or by one to whom it can give work.
-func (p *Planner) usable(name string) bool {
-	r := p.reach(name)
-	return r.centers[p.cfg.DataCenter] || p.cfg.Policy.HandsOver() && p.peers.any(r.centers)
+// reachable reports whether this dispatcher, or a peer that it can hand work over to, may
+// use any server of the pool.
+func (p *Planner) reachable(name string) bool {
+	summary := p.poolSummary(name)
+	return summary.dataCenters[p.cfg.DataCenter] || p.cfg.Policy.HandsOver() && p.peers.anyIn(summary.dataCenters)
 }
 
-// reroute moves what waits of the work to the pool that its kind goes to now.
-func (p *Planner) reroute(now time.Time, w *work) {
-	route, ok := p.world.Tables.Route(w.job.Kind)
+// reroute moves the job's waiting tasks to the pool of its kind's current route.
+func (p *Planner) reroute(now time.Time, js *jobState) {
+	route, ok := p.cluster.Tables.Route(js.job.Kind)
 	if !ok {
-		p.stop(w, "its route was removed")
+		p.stop(js, "its route was removed")
 		return
 	}
-	n := w.line.Remove(w.q)
-	opened := w.q.Opened()
-	w.line = p.line(route.Pool)
-	w.q = &queue.Job{Team: w.team.name, Caller: w.job.Caller, Weight: w.team.weight, Arrived: now, Owner: w}
-	w.q.SetOpened(opened)
-	w.line.Add(w.q, n)
-	p.quota(w.team, 0)
+	n := js.poolQueue.Remove(js.queueJob)
+	started := js.queueJob.Started()
+	js.poolQueue = p.poolQueue(route.Pool)
+	js.queueJob = &queue.Job{Team: js.team.name, Caller: js.job.Caller, Weight: js.team.weight, Arrived: now, Data: js}
+	js.queueJob.SetStarted(started)
+	js.poolQueue.Add(js.queueJob, n)
+	p.addRunning(js.team, 0)
 }
 
-// team finds the team of a job. A caller without a team is a team of its own.
+// team returns the team of a job. A caller without a team is a team of its own.
 func (p *Planner) team(j Job) *team {
 	name := j.Team
 	if name == "" {
@@ -120,72 +122,73 @@
 	if t == nil {
 		t = &team{name: name}
 		p.teams[name] = t
-		p.set(t)
+		p.configureTeam(t)
 	}
 	return t
 }
 
-func (p *Planner) set(t *team) {
-	row, _ := p.world.Tables.Team(t.name)
+func (p *Planner) configureTeam(t *team) {
+	row, _ := p.cluster.Tables.Team(t.name)
 	t.weight = row.Weight
-	t.part = 0
+	t.quotaShare = 0
 	if row.Quota > 0 {
-		t.part = max(row.Quota/max(p.world.Dispatchers, 1), 1)
+		t.quotaShare = max(row.Quota/max(p.cluster.Dispatchers, 1), 1)
 	}
 }
 
-// forget drops a team that has nothing here any more.
-func (p *Planner) forget(t *team) {
-	if t.jobs == 0 && t.busy == 0 {
+// forgetIfIdle drops a team without jobs and running tasks.
+func (p *Planner) forgetIfIdle(t *team) {
+	if t.jobs == 0 && t.running == 0 {
 		delete(p.teams, t.name)
 	}
 }
 
-// quota counts a start or an end of a team's task, and holds the team back
-// while its part of the quota is used up.
-func (p *Planner) quota(t *team, n int) {
-	t.busy += n
-	if n != 0 && t.part == 0 {
+// addRunning adds n to the team's running tasks, and pauses the team in the queues
+// while its share of the quota is used up. With n = 0 it only updates the pauses, after
+// a change of the quota, of the queues or of the team's jobs.
+func (p *Planner) addRunning(t *team, n int) {
+	t.running += n
+	if n != 0 && t.quotaShare == 0 {
 		return
 	}
-	full := t.part > 0 && t.busy >= t.part
-	for _, l := range p.queues {
+	full := t.quotaShare > 0 && t.running >= t.quotaShare
+	for _, pq := range p.poolQueues {
 		if full {
-			l.Park(t.name)
+			pq.Pause(t.name)
 		} else {
-			l.Unpark(t.name)
+			pq.Resume(t.name)
 		}
 	}
 }
 
-// Tick ends what has expired and lets time work on the rest. It is to be
-// called several times a second.
+// Tick ends expired jobs and advances everything else that depends on time. The driver
+// calls it several times a second.
 func (p *Planner) Tick(now time.Time) {
-	if p.last.IsZero() {
-		p.last = now
+	if p.lastTick.IsZero() {
+		p.lastTick = now
 	}
-	p.budget.pass(now.Sub(p.last))
-	p.last = now
+	p.retryBudget.refill(now.Sub(p.lastTick))
+	p.lastTick = now
 	for len(p.expiry) > 0 && !now.Before(p.expiry[0].job.Expires) {
-		w := p.expiry[0]
-		p.expiry.remove(w)
-		p.stop(w, "its time is over")
+		js := p.expiry[0]
+		p.expiry.remove(js)
+		p.stop(js, "its time is over")
 	}
-	p.release()
-	for _, l := range p.queues {
-		l.drain.tick(now, l.Len() > 0)
+	p.releaseRetries()
+	for _, pq := range p.poolQueues {
+		pq.drainRate.tick(now, pq.Len() > 0)
 	}
-	p.fleet.Tick(now, p.longest())
+	p.fleet.Tick(now, p.longestServiceTime())
 }
 
-// longest returns the longest usual service time of the kinds in use.
-func (p *Planner) longest() time.Duration {
+// longestServiceTime returns the longest mean service time of the kinds in use.
+func (p *Planner) longestServiceTime() time.Duration {
 	var d time.Duration
-	for _, u := range p.kinds {
-		d = max(d, u.Mean())
+	for _, st := range p.serviceTimes {
+		d = max(d, st.Mean())
 	}
 	return d
 }
 
-// Allow tells whether tasks may be started from now on.
-func (p *Planner) Allow(ok bool) { p.world.MayPlace = ok }
+// SetMayPlace sets whether tasks may start from now on.
+func (p *Planner) SetMayPlace(ok bool) { p.cluster.MayPlace = ok }
