--- a/claim/book.go
+++ b/claim/book.go
@@ -8,124 +8,127 @@
 	"snipehub.example/ticket"
 )
 
-// Verdict is what a book says about a key.
+// Verdict is the state of a key in a ClaimTable.
 type Verdict int
 
 // The verdicts.
 const (
-	// Open means that no claim of the key has been read, and that one that is
-	// read from now on would be the first.
-	Open Verdict = iota
-	// Held means that the first claim of the key is known.
-	Held
-	// TooOld means that an earlier claim of the key may have been forgotten.
+	// Unclaimed means that no claim of the key has been read, and that the next one
+	// read would be the first.
+	Unclaimed Verdict = iota
+	// Claimed means that the first claim of the key is known.
+	Claimed
+	// TooOld means that the log or this table may have dropped an earlier claim of
+	// the key.
 	TooOld
-	// TooEarly means that the key's time stamp is ahead of the log's clock.
+	// TooEarly means that the key's time stamp is too far ahead of the log's clock.
 	TooEarly
-	// Unread means that nothing has been read of the log yet.
-	Unread
+	// NothingRead means that the log has not been read yet.
+	NothingRead
 )
 
-// Book is what one reader knows of the stream: a pure structure.
+// ClaimTable holds the first claim of each key that one reader has found in the
+// stream. It is a deterministic state machine without I/O.
 //
-// Why it never takes a second claim for the first: all readers ignore a claim
-// whose key was made later than skew after the record's own time, which is the
-// log's and the same for all. So every claim that counts has a record time of
-// at least made-skew. A book decides about a key only if it has read, without a
-// gap, everything of the log's from before made-skew on; then it has read every
-// claim of that key which counts. Whoever has less says TooOld and starts
-// nothing. Two books that both decide therefore name the same identity.
+// It never mistakes a second claim for the first. All readers ignore a claim whose
+// key time is more than maxSkew after the time of its record. The log sets the
+// record time, so it is the same for all readers, and every valid claim has a
+// record time of at least key time - maxSkew. A table decides about a key only if
+// it has read the log without a gap since before that time, and so has read every
+// valid claim of the key. Otherwise it returns TooOld, and nothing is started. Two
+// tables that both decide therefore name the same identity.
 //
-// The caller's clock decides only about itself: a key whose stamp is behind is
-// refused earlier, one whose stamp is ahead by more than skew not yet taken.
-type Book struct {
-	limit int
-	skew  time.Duration
-
-	next ledger.Offset
-	read bool
-	// gap tells that records before next may be missing; since is then not
-	// known until the next record shows its time.
-	gap bool
-	// since is the record time after which nothing is missing; zero when
-	// nothing was ever missing.
-	since time.Time
-
-	first map[Name]*list.Element
-	// order has the claims in first, oldest first.
-	order   *list.List
+// A wrong clock of a caller affects only that caller's keys: if it is slow, they
+// become TooOld sooner; if it is fast by more than maxSkew, they are TooEarly.
+type ClaimTable struct {
+	maxClaims int
+	maxSkew   time.Duration
+
+	nextOffset ledger.Offset
+	hasRead    bool
+	// hasGap is set if records before nextOffset may be missing. completeSince is
+	// then unknown until the next record is read.
+	hasGap bool
+	// completeSince is the record time after which no claim is missing; zero if
+	// none was ever missing.
+	completeSince time.Time
+
+	firstClaims map[CallerKey]*list.Element
+	// byAge lists the claims in firstClaims, oldest first.
+	byAge   *list.List
 	evicted int64
 }
 
-// row is a first claim.
-type row struct {
+// storedClaim is a first claim with the time of its record.
+type storedClaim struct {
 	Claim
-	at time.Time
+	appendedAt time.Time
 }
 
-// NewBook makes an empty book of up to limit claims, for clocks of callers and
-// of the log that differ by up to skew.
-func NewBook(limit int, skew time.Duration) *Book {
-	return &Book{limit: limit, skew: skew, first: make(map[Name]*list.Element), order: list.New()}
+// NewClaimTable returns an empty table of up to maxClaims claims, for clocks of
+// callers and of the log that differ by up to maxSkew.
+func NewClaimTable(maxClaims int, maxSkew time.Duration) *ClaimTable {
+	return &ClaimTable{maxClaims: maxClaims, maxSkew: maxSkew, firstClaims: make(map[CallerKey]*list.Element), byAge: list.New()}
 }
 
 // Next returns the offset to read from.
-func (b *Book) Next() ledger.Offset { return b.next }
+func (b *ClaimTable) Next() ledger.Offset { return b.nextOffset }
 
-// Len returns how many claims are held.
-func (b *Book) Len() int { return b.order.Len() }
+// Len returns the number of stored claims.
+func (b *ClaimTable) Len() int { return b.byAge.Len() }
 
-// Evicted returns how many claims had to make room for newer ones.
-func (b *Book) Evicted() int64 { return b.evicted }
+// Evicted returns how many claims were evicted to store newer ones.
+func (b *ClaimTable) Evicted() int64 { return b.evicted }
 
-// Judge tells about a key.
-func (b *Book) Judge(n Name) (Verdict, ticket.JobID) {
-	if e := b.first[n]; e != nil {
-		return Held, e.Value.(row).ID
+// Lookup returns the verdict on a key, and its identity if it is claimed.
+func (b *ClaimTable) Lookup(n CallerKey) (Verdict, ticket.JobID) {
+	if e := b.firstClaims[n]; e != nil {
+		return Claimed, e.Value.(storedClaim).ID
 	}
 	switch {
-	case !b.read:
-		return Unread, ticket.JobID{}
-	case b.missed(n):
+	case !b.hasRead:
+		return NothingRead, ticket.JobID{}
+	case b.mayHaveMissed(n):
 		return TooOld, ticket.JobID{}
 	}
-	return Open, ticket.JobID{}
+	return Unclaimed, ticket.JobID{}
 }
 
-// missed tells whether a claim of the key may have been missed.
-func (b *Book) missed(n Name) bool {
-	if b.gap {
+// mayHaveMissed reports whether the table may lack an earlier claim of the key.
+func (b *ClaimTable) mayHaveMissed(n CallerKey) bool {
+	if b.hasGap {
 		return true
 	}
-	return !b.since.IsZero() && !Made(n.Key).After(b.since.Add(2*b.skew))
+	return !b.completeSince.IsZero() && !KeyTime(n.Key).After(b.completeSince.Add(2*b.maxSkew))
 }
 
-// Decision is what became of a claim that was read.
+// Decision is the verdict on a key after one of its claims was read.
 type Decision struct {
-	Name    Name
-	Verdict Verdict
-	ID      ticket.JobID
+	CallerKey CallerKey
+	Verdict   Verdict
+	ID        ticket.JobID
 }
 
-// Take reads a page of the stream and returns what was decided by it, in order.
-func (b *Book) Take(p ledger.Page) []Decision {
-	b.read = true
-	if p.First > b.next || p.Next < b.next {
-		// The log has forgotten what was not yet read here: the process was
-		// paused for longer than the log remembers, or has just started.
-		b.gap = true
-		b.next = max(p.First, min(b.next, p.Next))
+// ApplyPage applies a page of the stream and returns the decisions on its claims, in
+// order.
+func (b *ClaimTable) ApplyPage(p ledger.Page) []Decision {
+	b.hasRead = true
+	if p.First > b.nextOffset || p.Next < b.nextOffset {
+		// The log no longer has records that were not read here: the process was
+		// paused for longer than the log's retention, or has just started.
+		b.hasGap = true
+		b.nextOffset = max(p.First, min(b.nextOffset, p.Next))
 	}
 	var out []Decision
 	for _, r := range p.Records {
-		if r.Offset < b.next {
+		if r.Offset < b.nextOffset {
 			continue
 		}
-		if r.Offset > b.next || b.gap {
-			b.gap = false
-			b.raise(r.At)
+		if r.Offset > b.nextOffset || b.hasGap {
+			b.hasGap = false
+			b.raiseCompleteSince(r.At)
 		}
-		b.next = r.Offset + 1
+		b.nextOffset = r.Offset + 1
 		for _, c := range Decode(r.Data) {
 			out = append(out, b.decide(c, r.At))
 		}
@@ -133,32 +136,32 @@
 	return out
 }
 
-func (b *Book) decide(c Claim, at time.Time) Decision {
-	v, id := b.Judge(c.Name)
+func (b *ClaimTable) decide(c Claim, at time.Time) Decision {
+	v, id := b.Lookup(c.CallerKey)
 	switch {
-	case v != Open:
-		return Decision{c.Name, v, id}
-	case Made(c.Name.Key).After(at.Add(b.skew)):
-		return Decision{Name: c.Name, Verdict: TooEarly}
+	case v != Unclaimed:
+		return Decision{c.CallerKey, v, id}
+	case KeyTime(c.CallerKey.Key).After(at.Add(b.maxSkew)):
+		return Decision{CallerKey: c.CallerKey, Verdict: TooEarly}
 	}
-	b.first[c.Name] = b.order.PushBack(row{c, at})
-	for b.order.Len() > b.limit {
+	b.firstClaims[c.CallerKey] = b.byAge.PushBack(storedClaim{c, at})
+	for b.byAge.Len() > b.maxClaims {
 		b.evict()
 	}
-	return Decision{c.Name, Held, c.ID}
+	return Decision{c.CallerKey, Claimed, c.ID}
 }
 
-// evict forgets the oldest claim. From then on this book decides about no key
-// that can have been claimed as early as that.
-func (b *Book) evict() {
-	r := b.order.Remove(b.order.Front()).(row)
-	delete(b.first, r.Name)
-	b.raise(r.at)
+// evict drops the oldest claim. From then on the table decides about no key that
+// may have been claimed at that time or earlier.
+func (b *ClaimTable) evict() {
+	r := b.byAge.Remove(b.byAge.Front()).(storedClaim)
+	delete(b.firstClaims, r.CallerKey)
+	b.raiseCompleteSince(r.appendedAt)
 	b.evicted++
 }
 
-func (b *Book) raise(since time.Time) {
-	if since.After(b.since) {
-		b.since = since
+func (b *ClaimTable) raiseCompleteSince(since time.Time) {
+	if since.After(b.completeSince) {
+		b.completeSince = since
 	}
 }
--- a/claim/book_bench_test.go
+++ b/claim/book_bench_test.go
@@ -10,8 +10,8 @@
 	"snipehub.example/ticket"
 )
 
-// BenchmarkTake reads 100,000 claims in records of a full batch; "B/claim" is
-// the memory that stays.
+// BenchmarkTake applies 100,000 claims in records of a full batch. "B/claim" is the
+// memory that the table retains.
 func BenchmarkTake(b *testing.B) {
 	const n = 100_000
 	owner := ticket.Owner{DataCenter: "chicago", VM: "vm-0017", Process: "hub-3", Incarnation: 1796254983087159303}
@@ -20,7 +20,7 @@
 		var batch []claim.Claim
 		for j := range claim.MaxBatch {
 			k := key(start.Add(time.Duration(i+j)*time.Millisecond), byte(j))
-			batch = append(batch, claim.Claim{Name: claim.Name{Caller: "lakeshore", Key: k}, ID: ticket.ID{Owner: owner, Stream: 3}.Job(uint64(j))})
+			batch = append(batch, claim.Claim{CallerKey: claim.CallerKey{Caller: "lakeshore", Key: k}, ID: ticket.ID{Owner: owner, Stream: 3}.Job(uint64(j))})
 		}
 		data, _ := claim.Encode(batch)
 		records = append(records, ledger.Record{Offset: ledger.Offset(len(records)), At: start.Add(time.Duration(i) * time.Millisecond), Data: data})
@@ -29,8 +29,8 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		book := claim.NewBook(n, skew)
-		book.Take(ledger.Page{Next: ledger.Offset(len(records)), Records: records})
+		book := claim.NewClaimTable(n, skew)
+		book.ApplyPage(ledger.Page{Next: ledger.Offset(len(records)), Records: records})
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(book.Len()), "B/claim")
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,20 +1,20 @@
-// Package claim lets callers bring identities of their own.
+// Package claim maps idempotency keys that callers choose to job identities.
 //
 // A key is a UUIDv7 in the Idempotency-Key header. It names no owner, so the
-// dispatchers agree on one through the platform's log: whoever gets a key
-// reserves an identity of its own, appends "this key stands for this identity"
-// to a stream, and reads the stream. The first claim of a key in the order of
-// the offsets wins; everybody reads the same order, so everybody comes to the
-// same identity and forwards to its owner. A process that is paused or cut off
-// can't win late, because it reads the earlier claim first.
+// dispatchers agree on one through the platform's log: a dispatcher that receives a
+// key reserves an identity of its own, appends a claim (this key stands for this
+// identity) to a stream, and reads the stream. The claim of a key with the lowest
+// offset wins. All dispatchers read the claims in the same order, so all arrive at
+// the same identity and forward to its owner. A process that was paused or
+// partitioned can't win late, because it reads the earlier claim first.
 //
-// The log forgets. A reader that has not seen everything since a key was made
-// can't know that the claim it reads is the first, and refuses the key as
-// "outcome unknown". The time stamp of the UUIDv7 tells when that was, give or
-// take the clocks: see Book.
+// The log's retention is limited. A reader that has not read everything since a key
+// was made can't know whether the claim it reads is the first, and refuses the key
+// as "outcome unknown". The time stamp of the UUIDv7 says when the key was made, up
+// to the clock skew; see ClaimTable.
 //
-// The price is an append and a read for each batch of keys, and an outage of
-// the log refuses new keys. Tickets have neither; see package ticket.
+// The cost is an append and a read for each batch of keys, and new keys are refused
+// during an outage of the log. Tickets have neither drawback; see package ticket.
 package claim
 
 import (
@@ -27,52 +27,52 @@
 	"snipehub.example/ticket"
 )
 
-// Stream is the name of the stream on the log.
+// Stream is the name of the log stream that holds the claims.
 const Stream = "claims"
 
-// MaxBatch is how many claims go into one record.
+// MaxBatch is the maximum number of claims in one record.
 const MaxBatch = 256
 
-// Name is a caller's own key. Keys of two callers have nothing to do with each
-// other.
-type Name struct {
+// CallerKey is a key in the scope of its caller. Equal keys of two callers are
+// independent of each other.
+type CallerKey struct {
 	Caller string
 	Key    uuid.UUID
 }
 
-// Claim says that a key stands for an identity.
+// Claim maps a key to an identity.
 type Claim struct {
-	Name Name
-	ID   ticket.JobID
+	CallerKey CallerKey
+	ID        ticket.JobID
 }
 
-// wireClaim is a claim on the log.
-type wireClaim struct {
+// claimRecord is the encoding of a claim on the log.
+type claimRecord struct {
 	Caller string `json:"caller"`
 	Key    string `json:"key"`
 	ID     string `json:"id"`
 }
 
-// wireRecord is a record of the stream. One without claims only keeps the
-// stream from being forgotten altogether.
-type wireRecord struct {
-	Claims []wireClaim `json:"claims,omitempty"`
+// streamRecord is the encoding of a record of the stream. A record without claims is
+// a marker, which keeps the stream from being emptied by the log's retention.
+type streamRecord struct {
+	Claims []claimRecord `json:"claims,omitempty"`
 }
 
-// Encode writes a record of the stream.
+// Encode encodes claims as one record of the stream.
 func Encode(claims []Claim) ([]byte, error) {
-	var r wireRecord
+	var r streamRecord
 	for _, c := range claims {
-		r.Claims = append(r.Claims, wireClaim{c.Name.Caller, c.Name.Key.String(), c.ID.String()})
+		r.Claims = append(r.Claims, claimRecord{c.CallerKey.Caller, c.CallerKey.Key.String(), c.ID.String()})
 	}
 	return json.Marshal(r)
 }
 
-// Decode reads a record of the stream. What can't be read is passed over, by
-// every reader alike: two readers that differed here could both take their own
-// claim for the first.
+// Decode decodes a record of the stream. It skips whatever it can't parse. All
+// readers must skip the same claims: if two differed, each could take its own claim
+// for the first.
 func Decode(b []byte) []Claim {
-	var r wireRecord
+	var r streamRecord
 	if json.Unmarshal(b, &r) != nil {
 		return nil
 	}
@@ -81,14 +81,15 @@
 		key, ok := ParseKey(c.Key)
 		id, err := ticket.ParseJobID(c.ID)
 		if ok && err == nil && c.Caller != "" {
-			out = append(out, Claim{Name{intern(c.Caller), key}, internID(id)})
+			out = append(out, Claim{CallerKey{intern(c.Caller), key}, internID(id)})
 		}
 	}
 	return out
 }
 
-// intern returns one copy of equal texts. A book holds many claims of few
-// callers and owners, whose names would be a fifth of its memory (BenchmarkTake).
+// intern returns one shared copy of equal strings. A table holds many claims of few
+// callers and owners, whose names would otherwise take a fifth of its memory (see
+// BenchmarkTake).
 func intern(s string) string { return unique.Make(s).Value() }
 
 func internID(id ticket.JobID) ticket.JobID {
@@ -98,16 +99,16 @@
 	return id
 }
 
-// ParseKey reads a key; false when it is not a UUIDv7 in the usual form of 36
-// characters.
+// ParseKey parses a key. It returns false unless s is a UUIDv7 in the canonical form
+// of 36 characters.
 func ParseKey(s string) (uuid.UUID, bool) {
 	k, err := uuid.Parse(s)
 	ok := err == nil && len(s) == 36 && k.Version() == 7 && k.Variant() == uuid.RFC4122
 	return k, ok
 }
 
-// Made returns the time stamp of a UUIDv7.
-func Made(k uuid.UUID) time.Time {
+// KeyTime returns the time stamp of a UUIDv7.
+func KeyTime(k uuid.UUID) time.Time {
 	var ms int64
 	for _, b := range k[:6] {
 		ms = ms<<8 | int64(b)
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -19,8 +19,8 @@
 	"snipehub.example/ticket"
 )
 
-// TestMain fixes the seed, so that the verdict is the same each time. A long
-// run: go test ./claim -rapid.seed=0 -rapid.checks=20000
+// TestMain fixes the seed, so that results are reproducible. A long run with random
+// seeds: go test ./claim -rapid.seed=0 -rapid.checks=20000
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "1000")
@@ -36,7 +36,7 @@
 	cfg   = claim.Config{Claims: 100, Pending: 100, Skew: skew, Patience: 2 * time.Second, MarkEvery: time.Minute}
 )
 
-// key makes the UUIDv7 number n of a time.
+// key returns a UUIDv7 with the given time stamp; n makes it unique.
 func key(made time.Time, n byte) uuid.UUID {
 	var k uuid.UUID
 	binary.BigEndian.PutUint64(k[:8], uint64(made.UnixMilli())<<16)
@@ -44,17 +44,17 @@
 	return k
 }
 
-// fakeLog is the platform's log, with a clock that is set by hand.
+// fakeLog simulates the platform's log with a manual clock.
 type fakeLog struct {
 	now time.Time
-	// off is by how much the log's own clock is off.
-	off     time.Duration
-	first   ledger.Offset
-	records []ledger.Record
+	// clockOffset is the offset of the log's own clock from now.
+	clockOffset time.Duration
+	first       ledger.Offset
+	records     []ledger.Record
 }
 
 func (l *fakeLog) append(b []byte) {
-	l.records = append(l.records, ledger.Record{Offset: l.first + ledger.Offset(len(l.records)), At: l.now.Add(l.off), Data: b})
+	l.records = append(l.records, ledger.Record{Offset: l.first + ledger.Offset(len(l.records)), At: l.now.Add(l.clockOffset), Data: b})
 }
 
 func (l *fakeLog) forget(n int) {
@@ -75,7 +75,7 @@
 	return p
 }
 
-// process is one dispatcher's claims. It reserves identities by number.
+// process is the Core of one dispatcher. It reserves sequence numbers in order.
 type process struct {
 	*claim.Core
 	name string
@@ -107,49 +107,49 @@
 	return ""
 }
 
-// Two entry VMs get the same key at once. Both claim it; the first one on the
-// log wins, and the loser learns the winner's identity. If each took its own,
-// the order would go out twice.
+// Two dispatchers get the same key at once and both claim it. Both must resolve it to
+// the identity of the first claim on the log: if each took its own, the caller's job
+// would run twice.
 func TestFirstOnTheLogWins(t *testing.T) {
 	l := &fakeLog{now: start}
 	a, b := newProcess("a", cfg), newProcess("b", cfg)
 	a.read(l)
 	b.read(l)
 	k := key(start, 1).String()
-	_, wa, _ := a.Want(start, "lake", k)
-	_, wb, _ := b.Want(start, "lake", k)
+	_, pendingA, _ := a.Want(start, "lake", k)
+	_, pendingB, _ := b.Want(start, "lake", k)
 	_, other, _ := b.Want(start, "teranga", k)
 	b.flush(l)
 	a.flush(l)
 	a.read(l)
 	b.read(l)
-	for _, w := range []*claim.Pending{wa, wb, other} {
+	for _, w := range []*claim.Pending{pendingA, pendingB, other} {
 		select {
 		case <-w.Done:
 		default:
-			t.Fatal("not decided")
+			t.Fatal("a key is not decided")
 		}
 	}
-	if wa.ID != wb.ID || wa.ID.VM != "b" {
-		t.Errorf("a has %v, b has %v", wa.ID, wb.ID)
+	if pendingA.ID != pendingB.ID || pendingA.ID.VM != "b" {
+		t.Errorf("a resolved the key to %v, b to %v", pendingA.ID, pendingB.ID)
 	}
-	if other.ID == wb.ID {
+	if other.ID == pendingB.ID {
 		t.Error("keys of two callers got one identity")
 	}
 	id, _, err := a.Want(start, "lake", k)
-	if id != wa.ID || err != nil {
+	if id != pendingA.ID || err != nil {
 		t.Errorf("%v, %v", id, err)
 	}
 }
 
-// Keys that can't be decided. A caller that is told "not run" takes a new key,
-// so only what no process ever takes may be called that.
+// A caller that gets "not run" retries with a new key, so only a key that no process
+// ever accepts may be refused with that.
 func TestRefusedKeys(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		key    string
-		happen func(p *process, l *fakeLog)
-		code   refusal.Code
+		name    string
+		key     string
+		prepare func(p *process, l *fakeLog)
+		code    refusal.Code
 	}{
 		{"no UUID", "order-17", nil, refusal.BadKey},
 		{"UUIDv4", "f47ac10b-58cc-4372-a567-0e02b2c3d479", nil, refusal.BadKey},
@@ -165,7 +165,7 @@
 			l.forget(1)
 			p.read(l)
 		}, refusal.Forgotten},
-		{"no room", key(start, 1).String(), func(p *process, _ *fakeLog) {
+		{"too many pending keys", key(start, 1).String(), func(p *process, _ *fakeLog) {
 			for i := range cfg.Pending {
 				_, _, _ = p.Want(start, "lake", key(start, byte(2+i)).String())
 			}
@@ -175,8 +175,8 @@
 			l := &fakeLog{now: start}
 			p := newProcess("a", cfg)
 			p.read(l)
-			if c.happen != nil {
-				c.happen(p, l)
+			if c.prepare != nil {
+				c.prepare(p, l)
 			}
 			_, _, err := p.Want(start, "lake", c.key)
 			if codeOf(err) != c.code {
@@ -186,11 +186,10 @@
 	}
 }
 
-// The log fails while a dispatcher starts. New keys are refused by all of them then, but
-// tickets need no log: a dispatcher that held back its readiness until the log is back
-// would leave its callers to the others, and after a restart of all nobody would be
-// served. One that is ready before its first read refuses keys that the next dispatcher
-// would take.
+// The log fails while a dispatcher starts. All dispatchers then refuse new keys, but
+// tickets need no log: if readiness waited for the log, no caller would be served after a
+// restart of all dispatchers. A dispatcher that is ready before its first read refuses
+// keys that another one would accept.
 func TestReady(t *testing.T) {
 	fails := func(p *process, _ *fakeLog) { p.Down() }
 	for _, c := range []struct {
@@ -199,7 +198,7 @@
 		age    time.Duration
 		want   bool
 	}{
-		{"nothing heard yet", nil, 0, false},
+		{"nothing read yet", nil, 0, false},
 		{"the first read is late, and has not failed", nil, time.Hour, false},
 		{"the stream was read", (*process).read, 0, true},
 		{"the log fails", fails, cfg.Patience - 1, false},
@@ -219,9 +218,8 @@
 	}
 }
 
-// The log is slow and the process gives up on a claim; the append took effect
-// all the same. The caller comes back with its key and gets the identity that
-// was reserved for it, and no second one.
+// A claim times out although its append took effect. The caller that retries with its
+// key must get the identity that was reserved first, not a second one.
 func TestClaimAppearsLate(t *testing.T) {
 	l := &fakeLog{now: start}
 	p := newProcess("a", cfg)
@@ -242,8 +240,8 @@
 	}
 }
 
-// All dispatchers were away for longer than the log remembers. One that starts
-// must take new keys soon, and not only when somebody else has claimed one.
+// All dispatchers were down for longer than the log's retention. One that starts must
+// append a marker and accept new keys soon, without a claim by another dispatcher.
 func TestMarks(t *testing.T) {
 	l := &fakeLog{now: start, first: 7}
 	p := newProcess("a", cfg)
@@ -257,17 +255,16 @@
 	}
 }
 
-// All dispatchers were away for longer than the log remembers, and the log loses the record
-// by which one that starts would learn since when it has read everything. If that record is
-// not sent again soon, every new key is refused as forgotten for as long as the stream may
-// be silent, a minute or two, although the log is well again.
+// All dispatchers were down for longer than the log's retention, and the marker of one that
+// starts is lost. Unless the marker is soon appended again, every new key is refused as
+// forgotten for a marker interval, a minute or two, although the log works again.
 func TestLostMark(t *testing.T) {
 	l := &fakeLog{now: start, first: 7}
 	p := newProcess("a", cfg)
 	p.read(l)
 	batch, record := p.Batch(l.now)
 	if record == nil {
-		t.Fatal("no mark")
+		t.Fatal("no marker is due")
 	}
 	p.Lost(batch)
 	l.now = l.now.Add(cfg.Patience)
@@ -278,12 +275,11 @@
 	}
 }
 
-// The log's clock runs ahead when a key is claimed, with a stamp that is ahead
-// too, and is then set back. The claim is forgotten. A process that starts sees
-// only a later record with an earlier time, and must not take the key for one
-// that nobody can have claimed.
+// The log's clock is fast when a key with a time stamp in the future is claimed, and is
+// then set back; the log drops the claim. A process that starts reads only a later record
+// with an earlier time, and must not conclude that the key is unclaimed.
 func TestLogClockSetBack(t *testing.T) {
-	l := &fakeLog{now: start, off: skew - time.Second}
+	l := &fakeLog{now: start, clockOffset: skew - time.Second}
 	k := key(start.Add(2*skew-time.Second), 1).String()
 	a, b := newProcess("a", cfg), newProcess("b", cfg)
 	a.read(l)
@@ -297,7 +293,7 @@
 	if <-w.Done; w.Err != nil {
 		t.Fatal(w.Err)
 	}
-	l.off = 0
+	l.clockOffset = 0
 	l.append(nil)
 	l.forget(1)
 	b.read(l)
@@ -306,38 +302,38 @@
 	}
 }
 
-// Several processes claim the same keys while the log loses answers, repeats
-// and forgets, readers are paused and restarted, memory is short and clocks are
-// off. Whoever decides about a key names the same identity as all others: two
-// identities would be two starts.
+// Several processes claim the same keys while the log loses answers and drops old records,
+// appends are repeated, readers are paused and restarted, claims are evicted and clocks are
+// skewed. All processes that decide about a key must name the same identity: with two
+// identities the job would start twice.
 func TestOneIdentityForEachKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := cfg
 		c.Claims = rapid.IntRange(1, 4).Draw(t, "claims")
 		l := &fakeLog{now: start}
-		ps := make([]*process, 2)
-		for i := range ps {
-			ps[i] = newProcess(fmt.Sprint("p", i), c)
+		processes := make([]*process, 2)
+		for i := range processes {
+			processes[i] = newProcess(fmt.Sprint("p", i), c)
 		}
 		var keys []uuid.UUID
 		decided := make(map[uuid.UUID]ticket.JobID)
-		waits := make(map[*claim.Pending]uuid.UUID)
+		pending := make(map[*claim.Pending]uuid.UUID)
 		restarts := 0
-		settle := func(t *rapid.T, k uuid.UUID, id ticket.JobID) {
+		checkIdentity := func(t *rapid.T, k uuid.UUID, id ticket.JobID) {
 			if had, ok := decided[k]; ok && had != id {
 				t.Fatalf("key %s is %v, and %v", k, had, id)
 			}
 			decided[k] = id
 		}
-		pick := rapid.IntRange(0, len(ps)-1)
+		processIndex := rapid.IntRange(0, len(processes)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				for w, k := range waits {
+				for w, k := range pending {
 					select {
 					case <-w.Done:
-						delete(waits, w)
+						delete(pending, w)
 						if w.Err == nil {
-							settle(t, k, w.ID)
+							checkIdentity(t, k, w.ID)
 						}
 					default:
 					}
@@ -349,18 +345,18 @@
 					keys = append(keys, key(l.now.Add(off), byte(len(keys))))
 				}
 				k := rapid.SampledFrom(keys).Draw(t, "key")
-				p := ps[pick.Draw(t, "process")]
-				here := l.now.Add(time.Duration(rapid.IntRange(-40, 40).Draw(t, "process clock off")) * time.Second)
-				id, w, err := p.Want(here, "lake", k.String())
+				p := processes[processIndex.Draw(t, "process")]
+				processNow := l.now.Add(time.Duration(rapid.IntRange(-40, 40).Draw(t, "process clock off")) * time.Second)
+				id, w, err := p.Want(processNow, "lake", k.String())
 				switch {
 				case w != nil:
-					waits[w] = k
+					pending[w] = k
 				case err == nil:
-					settle(t, k, id)
+					checkIdentity(t, k, id)
 				}
 			},
 			"append": func(t *rapid.T) {
-				p := ps[pick.Draw(t, "process")]
+				p := processes[processIndex.Draw(t, "process")]
 				fate := rapid.SampledFrom([]string{"kept", "kept", "answer lost", "lost"}).Draw(t, "fate")
 				batch, record := p.Batch(l.now)
 				if record != nil && fate != "lost" {
@@ -374,16 +370,16 @@
 				}
 			},
 			"read": func(t *rapid.T) {
-				p := ps[pick.Draw(t, "process")]
+				p := processes[processIndex.Draw(t, "process")]
 				p.Read(l.now, l.read(p.Offset(), rapid.IntRange(0, 3).Draw(t, "records")))
 			},
 			"restart": func(t *rapid.T) {
 				restarts++
-				ps[pick.Draw(t, "process")] = newProcess(fmt.Sprint("r", restarts), c)
+				processes[processIndex.Draw(t, "process")] = newProcess(fmt.Sprint("r", restarts), c)
 			},
 			"pass": func(t *rapid.T) {
 				l.now = l.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
-				l.off = time.Duration(rapid.IntRange(-5, 5).Draw(t, "log clock off")) * time.Second
+				l.clockOffset = time.Duration(rapid.IntRange(-5, 5).Draw(t, "log clock off")) * time.Second
 				if rapid.Bool().Draw(t, "forget") {
 					l.forget(rapid.IntRange(1, 4).Draw(t, "records"))
 				}
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -14,50 +14,51 @@
 	"snipehub.example/ticket"
 )
 
-// Log is what a claimer needs of the platform's log.
+// Log is the part of the platform's log that a Claimer uses.
 type Log interface {
-	// Append puts a record on the stream. After an error the record may be
-	// there nevertheless.
+	// Append appends a record to the stream. After an error the record may or may
+	// not be on the stream.
 	Append(ctx context.Context, stream string, data []byte) (ledger.Offset, error)
 	Read(ctx context.Context, stream string, from ledger.Offset, wait time.Duration) (ledger.Page, error)
 }
 
-// Claimer is the shell around a Core: one goroutine reads the stream, one
-// appends to it. Both are suture services.
+// Claimer drives a Core: one goroutine reads the stream, another appends to it. Both
+// are suture services.
 type Claimer struct {
 	log Log
 	now func() time.Time
-	// share returns this process's part of the append rate, a second.
-	share func() float64
-	limit *rate.Limiter
-	// began is when the process started.
-	began time.Time
+	// appendRate returns this process's share of the append rate, in appends per
+	// second.
+	appendRate func() float64
+	limiter    *rate.Limiter
+	// startedAt is when the claimer was made, at the start of the process.
+	startedAt time.Time
 
 	mu   sync.Mutex
 	core *Core
 	wake chan struct{}
 }
 
-// New makes a claimer. share is asked before each append, because it changes
-// with the number of dispatchers.
+// New returns a claimer. It calls appendRate before each append, because the rate
+// changes with the number of dispatchers.
 //
-// The marks of many processes are spread in time, so that one of them finds
-// that another has appended.
-func New(cfg Config, log Log, now func() time.Time, share func() float64, reserve func(caller string) (ticket.JobID, error)) *Claimer {
+// The marker intervals of the processes are randomized, so that most processes see
+// the marker of another one and needn't append their own.
+func New(cfg Config, log Log, now func() time.Time, appendRate func() float64, reserve func(caller string) (ticket.JobID, error)) *Claimer {
 	cfg.MarkEvery += rand.N(cfg.MarkEvery + 1)
 	return &Claimer{
-		log:   log,
-		now:   now,
-		share: share,
-		limit: rate.NewLimiter(rate.Limit(share()), 1),
-		began: now(),
-		core:  NewCore(cfg, reserve),
-		wake:  make(chan struct{}, 1),
+		log:        log,
+		now:        now,
+		appendRate: appendRate,
+		limiter:    rate.NewLimiter(rate.Limit(appendRate()), 1),
+		startedAt:  now(),
+		core:       NewCore(cfg, reserve),
+		wake:       make(chan struct{}, 1),
 	}
 }
 
-// Resolve returns the identity that stands for a caller's key, and claims the
-// key when nobody has. It returns a *refusal.Refusal as its error.
+// Resolve returns the identity for a caller's key. If the key is unclaimed, Resolve
+// claims it. Its errors are of type *refusal.Refusal.
 func (c *Claimer) Resolve(ctx context.Context, caller, key string) (ticket.JobID, error) {
 	c.mu.Lock()
 	id, p, err := c.core.Want(c.now(), caller, key)
@@ -65,7 +66,7 @@
 	if p == nil {
 		return id, err
 	}
-	c.poke()
+	c.wakeAppender()
 	select {
 	case <-p.Done:
 		return p.ID, p.Err
@@ -74,16 +75,16 @@
 	}
 }
 
-// Ready tells whether callers with new keys should be sent to this process; see
+// Ready reports whether callers with new keys should be sent to this process; see
 // Core.Ready.
 func (c *Claimer) Ready() bool {
-	age := c.now().Sub(c.began)
+	age := c.now().Sub(c.startedAt)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.core.Ready(age)
 }
 
-func (c *Claimer) poke() {
+func (c *Claimer) wakeAppender() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -91,19 +92,19 @@
 }
 
 const (
-	readWait   = 5 * time.Second
-	pauseFirst = 50 * time.Millisecond
-	pauseMax   = time.Second
-	// sweepEvery is how often the writer looks for claims to give up and for a
-	// silent stream.
-	sweepEvery = 250 * time.Millisecond
+	longPollWait = 5 * time.Second
+	minBackoff   = 50 * time.Millisecond
+	maxBackoff   = time.Second
+	// sweepInterval is how often the appender checks for claims that have timed out
+	// and for a silent stream.
+	sweepInterval = 250 * time.Millisecond
 )
 
 // ServeReads follows the stream until ctx ends.
 func (c *Claimer) ServeReads(ctx context.Context) error {
-	pause := pauseFirst
+	backoff := minBackoff
 	// The first read after a start or an error doesn't wait for a record: on a
-	// silent stream every new key would be refused until one came.
+	// silent stream every new key would be refused until a record arrived.
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -115,11 +116,11 @@
 			c.mu.Lock()
 			c.core.Down()
 			c.mu.Unlock()
-			clock.Sleep(ctx, jitter(pause))
-			pause = min(2*pause, pauseMax)
+			clock.Sleep(ctx, jitter(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		pause, wait = pauseFirst, readWait
+		backoff, wait = minBackoff, longPollWait
 		c.mu.Lock()
 		c.core.Read(c.now(), p)
 		c.mu.Unlock()
@@ -127,10 +128,10 @@
 	return ctx.Err()
 }
 
-// ServeAppends appends the claims that wait, in batches within the rate, until
+// ServeAppends appends the queued claims in batches, within the append rate, until
 // ctx ends.
 func (c *Claimer) ServeAppends(ctx context.Context) error {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -139,19 +140,20 @@
 		case <-c.wake:
 		case <-t.C:
 		}
-		for c.appendOne(ctx) {
+		for c.appendBatch(ctx) {
 		}
 	}
 }
 
-// appendOne appends one batch; false when there is none or the log failed.
-func (c *Claimer) appendOne(ctx context.Context) bool {
+// appendBatch appends one batch. It returns false if there is none or the append
+// failed.
+func (c *Claimer) appendBatch(ctx context.Context) bool {
 	c.mu.Lock()
-	waits := len(c.core.queue) > 0
+	hasQueued := len(c.core.unappended) > 0
 	c.mu.Unlock()
-	if waits {
-		c.limit.SetLimit(rate.Limit(c.share()))
-		if c.limit.Wait(ctx) != nil {
+	if hasQueued {
+		c.limiter.SetLimit(rate.Limit(c.appendRate()))
+		if c.limiter.Wait(ctx) != nil {
 			return false
 		}
 	}
@@ -165,19 +167,19 @@
 		c.mu.Lock()
 		c.core.Lost(batch)
 		c.mu.Unlock()
-		clock.Sleep(ctx, jitter(pauseFirst))
+		clock.Sleep(ctx, jitter(minBackoff))
 		return false
 	}
 	return true
 }
 
-// Stats returns how many claims are remembered, how many keys wait for the log,
-// and how many claims had to make room.
+// Stats returns the number of stored claims, of keys that wait for the log, and of
+// evicted claims.
 func (c *Claimer) Stats() (held, pending int, evicted int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.book.Len(), len(c.core.pending), c.core.book.Evicted()
+	return c.core.table.Len(), len(c.core.pending), c.core.table.Evicted()
 }
 
-// jitter spreads the repetitions of processes that failed together.
+// jitter spreads the retries of processes that failed at the same time.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -15,7 +15,7 @@
 	"snipehub.example/ticket"
 )
 
-// sharedLog is a fakeLog behind the interface of the platform's log.
+// sharedLog implements claim.Log with a fakeLog.
 type sharedLog struct {
 	mu      sync.Mutex
 	l       fakeLog
@@ -23,7 +23,7 @@
 	appends int
 }
 
-func (s *sharedLog) count() int {
+func (s *sharedLog) appendCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.appends
@@ -43,7 +43,7 @@
 	return 0, nil
 }
 
-// Read looks for records every 10 ms until the wait is over.
+// Read polls for records every 10 ms until wait has passed.
 func (s *sharedLog) Read(ctx context.Context, _ string, from ledger.Offset, wait time.Duration) (ledger.Page, error) {
 	for end := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
@@ -58,7 +58,7 @@
 	}
 }
 
-func serve(ctx context.Context, l claim.Log, name string, share float64) *claim.Claimer {
+func startClaimer(ctx context.Context, l claim.Log, name string, share float64) *claim.Claimer {
 	p := newProcess(name, cfg)
 	c := claim.New(cfg, l, time.Now, func() float64 { return share }, func(string) (ticket.JobID, error) {
 		p.next++
@@ -69,14 +69,14 @@
 	return c
 }
 
-// A hundred callers bring the same few keys to two entry VMs at once; then the
-// log goes down. Each key has one identity, the log sees few appends, known keys
-// still work in the outage, and new ones are refused at once as unknown.
+// A hundred callers send the same few keys to two dispatchers at once; then the log goes
+// down. Each key must get one identity with few appends. During the outage known keys
+// still resolve, and new ones are refused at once as "outcome unknown".
 func TestClaimers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		l := &sharedLog{l: fakeLog{now: time.Now()}}
-		both := []*claim.Claimer{serve(ctx, l, "a", 10), serve(ctx, l, "b", 10)}
+		claimers := []*claim.Claimer{startClaimer(ctx, l, "a", 10), startClaimer(ctx, l, "b", 10)}
 		time.Sleep(100 * time.Millisecond)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
@@ -84,7 +84,7 @@
 		for i := range 100 {
 			wg.Go(func() {
 				k := key(time.Now(), byte(i%5)).String()
-				id, err := both[i%2].Resolve(ctx, "lake", k)
+				id, err := claimers[i%2].Resolve(ctx, "lake", k)
 				mu.Lock()
 				defer mu.Unlock()
 				if had, ok := ids[k]; err != nil || ok && had != id {
@@ -94,7 +94,7 @@
 			})
 		}
 		wg.Wait()
-		if n := l.count(); n > 6 {
+		if n := l.appendCount(); n > 6 {
 			t.Errorf("%d appends for 5 keys", n)
 		}
 		l.mu.Lock()
@@ -102,12 +102,12 @@
 		l.mu.Unlock()
 		time.Sleep(time.Second)
 		for k, id := range ids {
-			if got, err := both[0].Resolve(ctx, "lake", k); err != nil || got != id {
+			if got, err := claimers[0].Resolve(ctx, "lake", k); err != nil || got != id {
 				t.Errorf("%v, %v", got, err)
 			}
 		}
 		began := time.Now()
-		_, err := both[0].Resolve(ctx, "lake", key(time.Now(), 99).String())
+		_, err := claimers[0].Resolve(ctx, "lake", key(time.Now(), 99).String())
 		if codeOf(err) != refusal.LogDown || time.Since(began) > 0 {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
@@ -116,20 +116,20 @@
 	})
 }
 
-// Keys come faster than this process may append. They share records, and the
-// appends stay within the process's part of the rate.
+// Keys arrive faster than the process may append. They must share records, so that the
+// appends stay within the process's share of the rate.
 func TestAppendRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		l := &sharedLog{l: fakeLog{now: time.Now()}}
-		c := serve(ctx, l, "a", 5)
+		c := startClaimer(ctx, l, "a", 5)
 		time.Sleep(6 * time.Second)
 		for i := range 100 {
 			go func() { _, _ = c.Resolve(ctx, "lake", key(time.Now(), byte(i)).String()) }()
 			time.Sleep(20 * time.Millisecond)
 		}
-		if n := l.count(); n > 12 {
-			t.Errorf("%d appends in 2 s, want at most 5 a second", n)
+		if n := l.appendCount(); n > 12 {
+			t.Errorf("%d appends in 2 s, want at most 5 per second", n)
 		}
 		cancel()
 		time.Sleep(10 * time.Second)
--- a/claim/core.go
+++ b/claim/core.go
@@ -8,24 +8,25 @@
 	"snipehub.example/ticket"
 )
 
-// Config bounds a claimer.
+// Config holds the limits of a claimer.
 type Config struct {
-	// Claims is how many first claims are remembered.
+	// Claims is the maximum number of stored first claims.
 	Claims int
-	// Pending is how many keys may wait for the log at once.
+	// Pending is the maximum number of keys that wait for the log at once.
 	Pending int
-	// Skew is by how much clocks may differ.
+	// Skew is the maximum difference between two clocks.
 	Skew time.Duration
-	// Patience is how long a key waits for the log, and a process that starts
-	// for its first read.
+	// Patience is the timeout of a key that waits for the log, and of the first
+	// read of a process that starts while the log fails.
 	Patience time.Duration
-	// MarkEvery is how old the newest record may get before an empty one is
-	// appended. Without any record in the log, a process that starts could not
-	// tell since when it has read everything, and would refuse all keys.
+	// MarkEvery is the maximum age of the newest record, after which an empty one
+	// (a marker) is appended. If the log's retention had dropped all records, a
+	// process that starts could not know since when it has read everything, and
+	// would refuse all keys.
 	MarkEvery time.Duration
 }
 
-// Pending is a key whose claim is on its way.
+// Pending is a key whose claim has not been read back from the log yet.
 type Pending struct {
 	// Done is closed when the key is decided.
 	Done chan struct{}
@@ -33,60 +34,63 @@
 	ID  ticket.JobID
 	Err error
 
-	claim Claim
-	since time.Time
+	claim       Claim
+	requestedAt time.Time
 }
 
-// Core decides about keys: a pure structure, driven by the Claimer.
+// Core decides about keys. It is a deterministic state machine without I/O, driven by
+// the Claimer.
 type Core struct {
 	cfg     Config
-	book    *Book
-	pending map[Name]*Pending
-	// queue has the claims that are not known to be on the log.
-	queue []*Pending
-	// down tells that the last read failed, grown is when a record was last
-	// read.
-	down  bool
-	grown time.Time
-	// markAgain is when a record may be appended once more because all was
-	// forgotten: the last one may be lost.
-	markAgain time.Time
-	// reserve takes an identity of this process for a caller's key.
+	table   *ClaimTable
+	pending map[CallerKey]*Pending
+	// unappended queues the claims to append: those not sent to the log yet, and
+	// those whose append failed.
+	unappended []*Pending
+	// logDown is set if the last read failed. lastRecordAt is when a record was
+	// last read or a marker last returned by Batch; without either, the time of the
+	// first read.
+	logDown      bool
+	lastRecordAt time.Time
+	// nextMarkerAt is when a marker may be appended again while records are
+	// missing, because the previous one may have been lost.
+	nextMarkerAt time.Time
+	// reserve reserves an identity of this process for a caller's key.
 	reserve func(caller string) (ticket.JobID, error)
 }
 
-// NewCore makes a core that has read nothing.
+// NewCore returns a core that has read nothing of the log yet.
 func NewCore(cfg Config, reserve func(caller string) (ticket.JobID, error)) *Core {
-	return &Core{cfg: cfg, book: NewBook(cfg.Claims, cfg.Skew), pending: make(map[Name]*Pending), reserve: reserve}
+	return &Core{cfg: cfg, table: NewClaimTable(cfg.Claims, cfg.Skew), pending: make(map[CallerKey]*Pending), reserve: reserve}
 }
 
 const retryAfter = time.Second
 
-// Want asks for the identity of a key. It returns the identity, or a claim to
-// wait for, or a refusal. Only a text that can never be a key is "not run":
-// another process may know the key and be running it.
+// Want requests the identity of a key. It returns the identity, or a pending claim,
+// or a refusal. Only a malformed key is refused as "not run": any other key may be
+// known to another process that runs its job.
 func (c *Core) Want(now time.Time, caller, key string) (ticket.JobID, *Pending, error) {
 	k, ok := ParseKey(key)
 	if !ok {
 		return ticket.JobID{}, nil, refusal.New(refusal.BadKey, "")
 	}
-	n := Name{caller, k}
-	v, id := c.book.Judge(n)
+	n := CallerKey{caller, k}
+	v, id := c.table.Lookup(n)
 	switch {
-	case v == Held:
+	case v == Claimed:
 		return id, nil, nil
 	case v == TooOld:
-		return id, nil, refused(TooOld)
-	case v == Unread || c.down:
+		return id, nil, refusalFor(TooOld)
+	case v == NothingRead || c.logDown:
 		return id, nil, refusal.New(refusal.LogDown, "").After(retryAfter)
-	case Made(k).After(now.Add(c.cfg.Skew)):
-		return id, nil, refused(TooEarly)
+	case KeyTime(k).After(now.Add(c.cfg.Skew)):
+		return id, nil, refusalFor(TooEarly)
 	}
-	p, err := c.claim(now, n)
+	p, err := c.addPending(now, n)
 	return id, p, err
 }
 
-func (c *Core) claim(now time.Time, n Name) (*Pending, error) {
+func (c *Core) addPending(now time.Time, n CallerKey) (*Pending, error) {
 	if p := c.pending[n]; p != nil {
 		return p, nil
 	}
@@ -97,41 +101,41 @@
 	if err != nil {
 		return nil, refusal.New(refusal.KeysBusy, err.Error()).After(retryAfter)
 	}
-	p := &Pending{Done: make(chan struct{}), claim: Claim{n, id}, since: now}
+	p := &Pending{Done: make(chan struct{}), claim: Claim{n, id}, requestedAt: now}
 	c.pending[n] = p
-	c.queue = append(c.queue, p)
+	c.unappended = append(c.unappended, p)
 	return p, nil
 }
 
-func refused(v Verdict) error {
+func refusalFor(v Verdict) error {
 	if v == TooEarly {
 		return refusal.New(refusal.KeyEarly, "").After(retryAfter)
 	}
 	return refusal.New(refusal.Forgotten, "the key is older than what the log remembers")
 }
 
-// Ready tells whether a process that started so long ago should be sent new keys.
+// Ready reports whether a process that was started age ago should be sent new keys.
 //
-// Before its first read it would refuse each of them as "outcome unknown" although
-// the log is well, so it waits for that read, however late it is on a busy VM. A log
-// that fails is waited for no longer than a key would wait: new keys are then refused
-// by every process alike, and tickets need no log.
+// Before its first read a process would refuse every new key as "outcome unknown"
+// even though the log works, so it is not ready until that read has succeeded, however
+// long this takes on a busy VM. If the log fails, the process is ready after the same
+// timeout as a key has: every process then refuses new keys, and tickets need no log.
 func (c *Core) Ready(age time.Duration) bool {
-	return c.book.read || c.down && age >= c.cfg.Patience
+	return c.table.hasRead || c.logDown && age >= c.cfg.Patience
 }
 
-// Offset returns where to read the stream from.
-func (c *Core) Offset() ledger.Offset { return c.book.Next() }
+// Offset returns the offset from which to read the stream.
+func (c *Core) Offset() ledger.Offset { return c.table.Next() }
 
-// Batch returns the claims for the next record, and the record. Without claims
-// there is one only when the stream has been silent for too long.
+// Batch returns the claims for the next record, and the record. If no claim is
+// queued, it returns a marker if one is due, else no record.
 func (c *Core) Batch(now time.Time) (batch []*Pending, record []byte) {
 	c.expire(now)
-	n := min(len(c.queue), MaxBatch)
-	if n == 0 && !c.markDue(now) {
+	n := min(len(c.unappended), MaxBatch)
+	if n == 0 && !c.markerDue(now) {
 		return nil, nil
 	}
-	batch, c.queue = c.queue[:n:n], c.queue[n:]
+	batch, c.unappended = c.unappended[:n:n], c.unappended[n:]
 	claims := make([]Claim, n)
 	for i, p := range batch {
 		claims[i] = p.claim
@@ -141,77 +145,75 @@
 		return nil, nil
 	}
 	if n == 0 {
-		c.grown = now
+		c.lastRecordAt = now
 	}
 	return batch, record
 }
 
-// markDue tells whether to append an empty record: the stream is silent, or all
-// of it has been forgotten.
-func (c *Core) markDue(now time.Time) bool {
-	if c.book.gap && !now.Before(c.markAgain) {
-		c.markAgain = now.Add(c.cfg.Patience)
+// markerDue reports whether to append an empty record: the stream was silent for too
+// long, or records are missing and the time of the next one is needed.
+func (c *Core) markerDue(now time.Time) bool {
+	if c.table.hasGap && !now.Before(c.nextMarkerAt) {
+		c.nextMarkerAt = now.Add(c.cfg.Patience)
 		return true
 	}
-	return c.book.read && now.Sub(c.grown) >= c.cfg.MarkEvery
+	return c.table.hasRead && now.Sub(c.lastRecordAt) >= c.cfg.MarkEvery
 }
 
-// Lost takes a batch back whose append failed, to be appended again. It may be
-// on the log nevertheless: that is harmless, because both records name the
-// same identities.
+// Lost queues a batch again whose append failed. If the first append took effect
+// after all, the second does no harm, because both records name the same identities.
 func (c *Core) Lost(batch []*Pending) {
 	for _, p := range batch {
-		if c.pending[p.claim.Name] == p {
-			c.queue = append(c.queue, p)
+		if c.pending[p.claim.CallerKey] == p {
+			c.unappended = append(c.unappended, p)
 		}
 	}
 }
 
-// Down tells that the log could not be read. New keys are refused until it
-// can, rather than held up; those that wait already go on waiting.
-func (c *Core) Down() { c.down = true }
+// Down records that the log could not be read. Until a read succeeds, new keys are
+// refused at once; keys that are pending already stay so.
+func (c *Core) Down() { c.logDown = true }
 
-// Read takes a page of the log and ends the waiting for the keys that it
-// decides.
+// Read applies a page of the log and settles the pending keys that it decides.
 func (c *Core) Read(now time.Time, p ledger.Page) {
-	c.down = false
-	if len(p.Records) > 0 || c.grown.IsZero() {
-		c.grown = now
+	c.logDown = false
+	if len(p.Records) > 0 || c.lastRecordAt.IsZero() {
+		c.lastRecordAt = now
 	}
-	for _, d := range c.book.Take(p) {
-		w := c.pending[d.Name]
+	for _, d := range c.table.ApplyPage(p) {
+		w := c.pending[d.CallerKey]
 		if w == nil {
 			continue
 		}
-		if d.Verdict != Held {
-			c.end(w, ticket.JobID{}, refused(d.Verdict))
+		if d.Verdict != Claimed {
+			c.settle(w, ticket.JobID{}, refusalFor(d.Verdict))
 			continue
 		}
-		c.end(w, d.ID, nil)
+		c.settle(w, d.ID, nil)
 	}
 }
 
-// expire gives up on claims that wait for too long. One of them may still
-// appear on the log. It then stands for the identity that was reserved for it,
-// under which nothing was started; the caller was told to come back with the
-// same key, and finds it.
+// expire refuses pending keys that have timed out. The claim of such a key may still
+// appear on the log. It then names the identity that was reserved for it, under which
+// nothing was started; the caller was told to retry with the same key, and gets that
+// identity.
 func (c *Core) expire(now time.Time) {
 	for _, p := range c.pending {
-		if now.Sub(p.since) > c.cfg.Patience {
-			c.end(p, ticket.JobID{}, refusal.New(refusal.LogDown, "").After(retryAfter))
+		if now.Sub(p.requestedAt) > c.cfg.Patience {
+			c.settle(p, ticket.JobID{}, refusal.New(refusal.LogDown, "").After(retryAfter))
 		}
 	}
-	kept := c.queue[:0]
-	for _, p := range c.queue {
-		if c.pending[p.claim.Name] == p {
-			kept = append(kept, p)
+	unsettled := c.unappended[:0]
+	for _, p := range c.unappended {
+		if c.pending[p.claim.CallerKey] == p {
+			unsettled = append(unsettled, p)
 		}
 	}
-	c.queue = kept
+	c.unappended = unsettled
 }
 
-func (c *Core) end(p *Pending, id ticket.JobID, err error) {
-	delete(c.pending, p.claim.Name)
+func (c *Core) settle(p *Pending, id ticket.JobID, err error) {
+	delete(c.pending, p.claim.CallerKey)
 	p.ID, p.Err = id, err
 	close(p.Done)
 }
