--- a/delivery/conn.go
+++ b/delivery/conn.go
@@ -11,16 +11,16 @@
 
 var errSealed = errors.New("delivery: the attempt has ended")
 
-// conn counts the bytes that the kernel took, and can be sealed against
-// further ones.
+// countingConn counts the bytes that the kernel has accepted, and can be sealed against
+// further writes.
 //
-// The transport reports a failure without saying whether it had begun to write:
-// a kept connection that the backend server has closed, or a lease that ends
-// between the choice of a connection and the write, look like a request that
-// was lost on its way. Counting tells them apart. Sealing is needed because the
-// transport writes in a goroutine of its own: without it, the write may still
-// come after the count was read, and a task that was called "not run" runs.
-type conn struct {
+// The transport's errors don't say whether it had begun to write. If the backend server
+// has closed a reused connection, or the lease ends after a connection was chosen and
+// before the write, the error is the same as for a request that was lost on the way. The
+// count distinguishes these cases. Sealing is needed because the transport writes in a
+// goroutine of its own: that goroutine might otherwise write after the count was read,
+// and a task that was reported as "not run" would run.
+type countingConn struct {
 	net.Conn
 
 	mu      sync.Mutex
@@ -28,8 +28,9 @@
 	sealed  bool
 }
 
-// counting makes the connections that dial opens count.
-func counting(dial Dial) Dial {
+// countWrites returns a Dial that wraps the connections of dial in a countingConn and
+// limits the dial to dialTimeout.
+func countWrites(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
@@ -37,14 +38,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return &conn{Conn: c}, nil
+		return &countingConn{Conn: c}, nil
 	}
 }
 
-// Write writes unless the connection is sealed. The lock is held through the
-// write, so that seal waits for the count; a write to a peer that reads nothing
-// is ended by the transport, which closes the connection of a failed attempt.
-func (c *conn) Write(b []byte) (int, error) {
+// Write writes unless the connection is sealed. It holds the lock during the write, so
+// that seal waits for the count. A write that blocks because the peer does not read ends
+// when the transport closes the connection of the failed attempt.
+func (c *countingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -55,14 +56,15 @@
 	return n, err
 }
 
-func (c *conn) count() int64 {
+func (c *countingConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal forbids further writes and returns the number of bytes written.
-func (c *conn) seal() int64 {
+// seal closes the connection, prevents further writes and returns the number of bytes
+// written.
+func (c *countingConn) seal() int64 {
 	_ = c.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,34 +72,35 @@
 	return c.written
 }
 
-// record follows one attempt over the connections that the transport gives it.
-type record struct {
+// connTracker records the connections that the transport uses for one attempt.
+type connTracker struct {
 	mu   sync.Mutex
-	used []use
+	uses []connUse
 }
 
-type use struct {
-	c      *conn
-	before int64
+type connUse struct {
+	conn          *countingConn
+	writtenBefore int64
 }
 
-func (r *record) gotConn(info httptrace.GotConnInfo) {
-	c, ok := info.Conn.(*conn)
+func (r *connTracker) gotConn(info httptrace.GotConnInfo) {
+	c, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.used = append(r.used, use{c, c.count()})
+	r.uses = append(r.uses, connUse{c, c.bytesWritten()})
 }
 
-// seal ends the attempt and tells whether any byte of it was written.
-func (r *record) seal() bool {
+// seal seals the connections of the attempt and reports whether any byte of it was
+// written.
+func (r *connTracker) seal() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sent := false
-	for _, u := range r.used {
-		if u.c.seal() > u.before {
+	for _, u := range r.uses {
+		if u.conn.seal() > u.writtenBefore {
 			sent = true
 		}
 	}
