--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger speaks to the platform: its append-only log and its VM list.
+// Package ledger is a client of the platform's append-only log and VM list.
 //
-// The log keeps numbered records in named streams, for a limited time. An
-// append can take effect although its answer is lost, so every record that we
-// append carries an id of its own, and whoever is in doubt reads the stream.
+// The log keeps numbered records in named streams for a limited time. An append can
+// take effect although its response is lost. Therefore each record that we append
+// carries an id of its own, and a writer that got no response reads the stream.
 package ledger
 
 import (
@@ -26,21 +26,21 @@
 // None is the offset before the first record.
 const None Offset = -1
 
-// Record is one entry of a stream.
+// Record is one record of a stream.
 type Record struct {
 	Offset Offset    `json:"offset"`
 	At     time.Time `json:"at"`
 	Data   []byte    `json:"data"`
 }
 
-// Page is what one read returns.
+// Page is the result of one read.
 type Page struct {
 	// First is the oldest offset that the log still has.
 	First Offset `json:"first"`
-	// Next is the offset to read from next time.
+	// Next is the offset for the next read.
 	Next Offset `json:"next"`
-	// End is the offset after the newest record, so that a reader knows
-	// whether it has read everything.
+	// End is the offset after the newest record. A reader has read everything when
+	// Next has reached it.
 	End     Offset   `json:"end"`
 	Records []Record `json:"records"`
 }
@@ -50,59 +50,61 @@
 	Name       string     `json:"name"`
 	Address    netip.Addr `json:"address"`
 	DataCenter string     `json:"data_center"`
-	// Leaving tells that the VM will be taken away.
+	// Leaving is set if the platform is about to remove the VM.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Errors of this layer.
+// The errors of a Client.
 var (
-	// ErrDown means that nothing was heard: an append may have taken effect.
+	// ErrDown means that there was no valid response: an append may have taken
+	// effect.
 	ErrDown = errors.New("ledger: no answer from the platform")
-	// ErrRate means that the log refused the append: it took no effect.
+	// ErrRate means that the log refused the append because of its rate limit: the
+	// append took no effect.
 	ErrRate = errors.New("ledger: over the append rate")
 )
 
-const maxAnswer = 64 << 20
+const maxAnswerBytes = 64 << 20
 
 // Client is a client of the platform's HTTP services.
 type Client struct {
-	log, vms netip.AddrPort
-	hc       *http.Client
-	timeout  time.Duration
+	logAddr, vmsAddr netip.AddrPort
+	httpClient       *http.Client
+	timeout          time.Duration
 }
 
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// New makes a client of the services at the two addresses; dial opens its
-// connections.
-func New(log, vms netip.AddrPort, timeout time.Duration, dial Dial) *Client {
-	tr := &http.Transport{Proxy: nil, DialContext: dial, MaxIdleConnsPerHost: 4}
-	return &Client{log: log, vms: vms, hc: &http.Client{Transport: tr}, timeout: timeout}
+// New returns a client of the log and the VM list at the two addresses. The client
+// opens its connections with dial.
+func New(logAddr, vmsAddr netip.AddrPort, timeout time.Duration, dial Dial) *Client {
+	transport := &http.Transport{Proxy: nil, DialContext: dial, MaxIdleConnsPerHost: 4}
+	return &Client{logAddr: logAddr, vmsAddr: vmsAddr, httpClient: &http.Client{Transport: transport}, timeout: timeout}
 }
 
-// Append puts data on the stream and returns its offset. After ErrDown the
-// record may or may not be there.
+// Append appends data to the stream as one record and returns its offset. After ErrDown
+// the record may or may not be on the stream.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var out struct {
 		Offset Offset `json:"offset"`
 	}
-	u := fmt.Sprintf("http://%s/v1/streams/%s", c.log, url.PathEscape(stream))
+	u := fmt.Sprintf("http://%s/v1/streams/%s", c.logAddr, url.PathEscape(stream))
 	if err := c.do(ctx, http.MethodPost, u, data, &out); err != nil {
 		return None, err
 	}
 	return out.Offset, nil
 }
 
-// Read returns the records from the offset on, waiting up to wait for the
-// first one.
+// Read returns the records from the given offset on. If there are none yet, the log
+// waits up to wait for the first one.
 func (c *Client) Read(ctx context.Context, stream string, from Offset, wait time.Duration) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
 	var p Page
-	u := fmt.Sprintf("http://%s/v1/streams/%s?from=%d&wait=%s", c.log, url.PathEscape(stream), from, wait)
+	u := fmt.Sprintf("http://%s/v1/streams/%s?from=%d&wait=%s", c.logAddr, url.PathEscape(stream), from, wait)
 	err := c.do(ctx, http.MethodGet, u, nil, &p)
 	return p, err
 }
@@ -114,7 +116,7 @@
 	var out struct {
 		VMs []VM `json:"vms"`
 	}
-	err := c.do(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/vms", c.vms), nil, &out)
+	err := c.do(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/vms", c.vmsAddr), nil, &out)
 	return out.VMs, err
 }
 
@@ -123,12 +125,12 @@
 	if err != nil {
 		return errors.Wrap(err, "ledger")
 	}
-	resp, err := c.hc.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return errors.Wrap(ErrDown, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	switch {
 	case err != nil:
 		return errors.Wrap(ErrDown, err.Error())
