--- a/claim/claim.go
+++ b/claim/claim.go
@@ -11,7 +11,7 @@
 // The log's retention is limited. A reader that has not read everything since a key
 // was made can't know whether the claim it reads is the first, and refuses the key
 // as "outcome unknown". The time stamp of the UUIDv7 says when the key was made, up
-// to the clock skew; see ClaimTable.
+// to the clock skew; see Table.
 //
 // The cost is an append and a read for each batch of keys, and new keys are refused
 // during an outage of the log. Tickets have neither drawback; see package ticket.
--- a/claim/core.go
+++ b/claim/core.go
@@ -42,7 +42,7 @@
 // the Claimer.
 type Core struct {
 	cfg     Config
-	table   *ClaimTable
+	table   *Table
 	pending map[CallerKey]*Pending
 	// unappended queues the claims to append: those not sent to the log yet, and
 	// those whose append failed.
@@ -61,7 +61,7 @@
 
 // NewCore returns a core that has read nothing of the log yet.
 func NewCore(cfg Config, reserve func(caller string) (ticket.JobID, error)) *Core {
-	return &Core{cfg: cfg, table: NewClaimTable(cfg.Claims, cfg.Skew), pending: make(map[CallerKey]*Pending), reserve: reserve}
+	return &Core{cfg: cfg, table: NewTable(cfg.Claims, cfg.Skew), pending: make(map[CallerKey]*Pending), reserve: reserve}
 }
 
 const retryAfter = time.Second
@@ -74,8 +74,8 @@
 	if !ok {
 		return ticket.JobID{}, nil, refusal.New(refusal.BadKey, "")
 	}
-	n := CallerKey{caller, k}
-	v, id := c.table.Lookup(n)
+	callerKey := CallerKey{caller, k}
+	v, id := c.table.Lookup(callerKey)
 	switch {
 	case v == Claimed:
 		return id, nil, nil
@@ -86,23 +86,23 @@
 	case KeyTime(k).After(now.Add(c.cfg.Skew)):
 		return id, nil, refusalFor(TooEarly)
 	}
-	p, err := c.addPending(now, n)
+	p, err := c.addPending(now, callerKey)
 	return id, p, err
 }
 
-func (c *Core) addPending(now time.Time, n CallerKey) (*Pending, error) {
-	if p := c.pending[n]; p != nil {
+func (c *Core) addPending(now time.Time, key CallerKey) (*Pending, error) {
+	if p := c.pending[key]; p != nil {
 		return p, nil
 	}
 	if len(c.pending) >= c.cfg.Pending {
 		return nil, refusal.New(refusal.KeysBusy, "too many keys wait for the log").After(retryAfter)
 	}
-	id, err := c.reserve(n.Caller)
+	id, err := c.reserve(key.Caller)
 	if err != nil {
 		return nil, refusal.New(refusal.KeysBusy, err.Error()).After(retryAfter)
 	}
-	p := &Pending{Done: make(chan struct{}), claim: Claim{n, id}, requestedAt: now}
-	c.pending[n] = p
+	p := &Pending{Done: make(chan struct{}), claim: Claim{key, id}, requestedAt: now}
+	c.pending[key] = p
 	c.unappended = append(c.unappended, p)
 	return p, nil
 }
@@ -181,15 +181,15 @@
 		c.lastRecordAt = now
 	}
 	for _, d := range c.table.ApplyPage(p) {
-		w := c.pending[d.CallerKey]
-		if w == nil {
+		waiting := c.pending[d.CallerKey]
+		if waiting == nil {
 			continue
 		}
 		if d.Verdict != Claimed {
-			c.settle(w, ticket.JobID{}, refusalFor(d.Verdict))
+			c.settle(waiting, ticket.JobID{}, refusalFor(d.Verdict))
 			continue
 		}
-		c.settle(w, d.ID, nil)
+		c.settle(waiting, d.ID, nil)
 	}
 }
 
--- a/claim/book.go
+++ b/claim/table.go
@@ -8,7 +8,7 @@
 	"snipehub.example/ticket"
 )
 
-// Verdict is the state of a key in a ClaimTable.
+// Verdict is the state of a key in a Table.
 type Verdict int
 
 // The verdicts.
@@ -27,7 +27,7 @@
 	NothingRead
 )
 
-// ClaimTable holds the first claim of each key that one reader has found in the
+// Table holds the first claim of each key that one reader has found in the
 // stream. It is a deterministic state machine without I/O.
 //
 // It never mistakes a second claim for the first. All readers ignore a claim whose
@@ -35,12 +35,12 @@
 // record time, so it is the same for all readers, and every valid claim has a
 // record time of at least key time - maxSkew. A table decides about a key only if
 // it has read the log without a gap since before that time, and so has read every
-// valid claim of the key. Otherwise it returns TooOld, and nothing is started. Two
-// tables that both decide therefore name the same identity.
+// valid claim of the key. Otherwise it returns TooOld or NothingRead, and nothing is
+// started. Two tables that both decide therefore name the same identity.
 //
 // A wrong clock of a caller affects only that caller's keys: if it is slow, they
 // become TooOld sooner; if it is fast by more than maxSkew, they are TooEarly.
-type ClaimTable struct {
+type Table struct {
 	maxClaims int
 	maxSkew   time.Duration
 
@@ -65,41 +65,41 @@
 	appendedAt time.Time
 }
 
-// NewClaimTable returns an empty table of up to maxClaims claims, for clocks of
+// NewTable returns an empty table of up to maxClaims claims, for clocks of
 // callers and of the log that differ by up to maxSkew.
-func NewClaimTable(maxClaims int, maxSkew time.Duration) *ClaimTable {
-	return &ClaimTable{maxClaims: maxClaims, maxSkew: maxSkew, firstClaims: make(map[CallerKey]*list.Element), byAge: list.New()}
+func NewTable(maxClaims int, maxSkew time.Duration) *Table {
+	return &Table{maxClaims: maxClaims, maxSkew: maxSkew, firstClaims: make(map[CallerKey]*list.Element), byAge: list.New()}
 }
 
 // Next returns the offset to read from.
-func (b *ClaimTable) Next() ledger.Offset { return b.nextOffset }
+func (b *Table) Next() ledger.Offset { return b.nextOffset }
 
 // Len returns the number of stored claims.
-func (b *ClaimTable) Len() int { return b.byAge.Len() }
+func (b *Table) Len() int { return b.byAge.Len() }
 
 // Evicted returns how many claims were evicted to store newer ones.
-func (b *ClaimTable) Evicted() int64 { return b.evicted }
+func (b *Table) Evicted() int64 { return b.evicted }
 
 // Lookup returns the verdict on a key, and its identity if it is claimed.
-func (b *ClaimTable) Lookup(n CallerKey) (Verdict, ticket.JobID) {
-	if e := b.firstClaims[n]; e != nil {
+func (b *Table) Lookup(key CallerKey) (Verdict, ticket.JobID) {
+	if e := b.firstClaims[key]; e != nil {
 		return Claimed, e.Value.(storedClaim).ID
 	}
 	switch {
 	case !b.hasRead:
 		return NothingRead, ticket.JobID{}
-	case b.mayHaveMissed(n):
+	case b.mayHaveMissed(key):
 		return TooOld, ticket.JobID{}
 	}
 	return Unclaimed, ticket.JobID{}
 }
 
 // mayHaveMissed reports whether the table may lack an earlier claim of the key.
-func (b *ClaimTable) mayHaveMissed(n CallerKey) bool {
+func (b *Table) mayHaveMissed(key CallerKey) bool {
 	if b.hasGap {
 		return true
 	}
-	return !b.completeSince.IsZero() && !KeyTime(n.Key).After(b.completeSince.Add(2*b.maxSkew))
+	return !b.completeSince.IsZero() && !KeyTime(key.Key).After(b.completeSince.Add(2*b.maxSkew))
 }
 
 // Decision is the verdict on a key after one of its claims was read.
@@ -111,7 +111,7 @@
 
 // ApplyPage applies a page of the stream and returns the decisions on its claims, in
 // order.
-func (b *ClaimTable) ApplyPage(p ledger.Page) []Decision {
+func (b *Table) ApplyPage(p ledger.Page) []Decision {
 	b.hasRead = true
 	if p.First > b.nextOffset || p.Next < b.nextOffset {
 		// The log no longer has records that were not read here: the process was
@@ -136,7 +136,7 @@
 	return out
 }
 
-func (b *ClaimTable) decide(c Claim, at time.Time) Decision {
+func (b *Table) decide(c Claim, at time.Time) Decision {
 	v, id := b.Lookup(c.CallerKey)
 	switch {
 	case v != Unclaimed:
@@ -153,14 +153,14 @@
 
 // evict drops the oldest claim. From then on the table decides about no key that
 // may have been claimed at that time or earlier.
-func (b *ClaimTable) evict() {
+func (b *Table) evict() {
 	r := b.byAge.Remove(b.byAge.Front()).(storedClaim)
 	delete(b.firstClaims, r.CallerKey)
 	b.raiseCompleteSince(r.appendedAt)
 	b.evicted++
 }
 
-func (b *ClaimTable) raiseCompleteSince(since time.Time) {
+func (b *Table) raiseCompleteSince(since time.Time) {
 	if since.After(b.completeSince) {
 		b.completeSince = since
 	}
--- a/claim/book_bench_test.go
+++ b/claim/table_bench_test.go
@@ -29,12 +29,12 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		book := claim.NewClaimTable(n, skew)
-		book.ApplyPage(ledger.Page{Next: ledger.Offset(len(records)), Records: records})
+		table := claim.NewTable(n, skew)
+		table.ApplyPage(ledger.Page{Next: ledger.Offset(len(records)), Records: records})
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(book.Len()), "B/claim")
-		runtime.KeepAlive(book)
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(table.Len()), "B/claim")
+		runtime.KeepAlive(table)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/n, "ns/claim")
 }
