--- a/delivery/delivery.go
+++ b/delivery/delivery.go
@@ -120,7 +120,7 @@
 		return failedOutcome(err, tracker.seal())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return c.read(resp, a.Task)
+	return c.readOutcome(resp, a.Task)
 }
 
 func newRequest(ctx context.Context, a Attempt, lease time.Duration) (*http.Request, error) {
--- a/delivery/outcome.go
+++ b/delivery/outcome.go
@@ -64,7 +64,7 @@
 // readOutcome reads the answer and returns the outcome. If a backend server answers twice
 // or late, requests and answers on the connection are out of step, and a caller would get
 // the answer to another caller's task. The echoed task id reveals this.
-func (c *Client) read(resp *http.Response, task string) Outcome {
+func (c *Client) readOutcome(resp *http.Response, task string) Outcome {
 	echoedIDs := resp.Header.Values(HeaderTask)
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
--- a/job/table.go
+++ b/job/table.go
@@ -64,7 +64,7 @@
 
 // mint returns a new ticket for the caller. It refuses if the caller or all callers
 // together have reached their maximum of tickets and none can be retired.
-func (b *ticketTable) mint(now time.Time, caller string, limit uint64) (*mintedTicket, error) {
+func (b *ticketTable) mint(now time.Time, caller string, rangeEnd uint64) (*mintedTicket, error) {
 	if b.ticketCounts[caller] >= max(1, b.limits.Tickets/callerShareDivisor) && !b.retireOldest(now, caller) {
 		b.refusedTickets++
 		return nil, refusal.New(refusal.Overloaded, "too many tickets of this caller").After(time.Second)
@@ -78,7 +78,7 @@
 	t := &mintedTicket{
 		stream:   b.stream,
 		caller:   caller,
-		window:   ticket.NewWindow(b.limits.Window, limit),
+		window:   ticket.NewWindow(b.limits.Window, rangeEnd),
 		jobs:     make(map[uint64]*entry),
 		lastUsed: now,
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -59,7 +59,7 @@
 	// ErrDown means that there was no valid response: an append may have taken
 	// effect.
 	ErrDown = errors.New("ledger: no answer from the platform")
-	// ErrRate means that the log refused the append because of its rate limit: the
+	// ErrRate means that the platform refused the call because of a rate limit: an
 	// append took no effect.
 	ErrRate = errors.New("ledger: over the append rate")
 )
