--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -138,7 +138,7 @@
 	}
 	id, _, err := a.Want(start, "lake", k)
 	if id != pendingA.ID || err != nil {
-		t.Errorf("%v, %v", id, err)
+		t.Errorf("key resolves to %v, %v after it was decided", id, err)
 	}
 }
 
@@ -231,12 +231,12 @@
 	l.now = l.now.Add(cfg.Patience + time.Second)
 	p.flush(l)
 	if <-w.Done; codeOf(w.Err) != refusal.LogDown {
-		t.Errorf("%v", w.Err)
+		t.Errorf("timed-out claim ended with %v", w.Err)
 	}
 	l.append(record)
 	p.read(l)
 	if id, _, err := p.Want(l.now, "lake", k); err != nil || id.Seq != 1 {
-		t.Errorf("%v, %v", id, err)
+		t.Errorf("retried key resolves to %v, %v, want sequence 1", id, err)
 	}
 }
 
@@ -298,7 +298,7 @@
 	l.forget(1)
 	b.read(l)
 	if _, _, err := b.Want(now, "lake", k); codeOf(err) != refusal.Forgotten {
-		t.Errorf("%v", err)
+		t.Errorf("key ended with %v, want forgotten", err)
 	}
 }
 
--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -103,7 +103,7 @@
 		time.Sleep(time.Second)
 		for k, id := range ids {
 			if got, err := claimers[0].Resolve(ctx, "lake", k); err != nil || got != id {
-				t.Errorf("%v, %v", got, err)
+				t.Errorf("known key resolves to %v, %v while the log is down", got, err)
 			}
 		}
 		began := time.Now()
--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -152,7 +152,7 @@
 		_, _ = b.submit(id, `1`)
 		b.runner.finishOldest()
 		if a, err := b.submit(id, `1`); err != nil || a.State != job.Done {
-			t.Fatalf("%v, %v", a, err)
+			t.Fatalf("answer to the copy: %v, %v", a, err)
 		}
 		forget(b, tk)
 		_, err := b.submit(id, `1`)
@@ -221,7 +221,7 @@
 	b.runner.batches[0].Done(1, r)
 	a, err := b.submit(id, ` 1 `, `2`)
 	if err != nil || a.State != job.Failed || a.Tasks[0].Answer != nil || a.Tasks[1].Ran != refusal.RanUnknown {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("answer to the failed job: %+v, %v", a, err)
 	}
 	_, err = b.submit(id, `1`, `3`)
 	b.wantRefusal(err, refusal.Mismatch, refusal.RanUnknown)
--- a/job/request_test.go
+++ b/job/request_test.go
@@ -43,7 +43,7 @@
 				if c.code != "" {
 					b.wantRefusal(err, c.code, c.ran)
 				} else if err != nil || got.Status != 201 || string(got.Body) != "charged" || got.Type != "text/plain" {
-					t.Errorf("%+v, %v", got, err)
+					t.Errorf("reply %+v, %v", got, err)
 				}
 				b.endAtOnce(done)
 			}
@@ -69,7 +69,7 @@
 		batch.Done(0, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 200})
 	}
 	if got, err := b.owner.Pass(context.Background(), r); err != nil || got.Status != 200 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("reply %+v, %v", got, err)
 	}
 	first.Done(0, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 200})
 	if err := b.owner.Stop(context.Background()); err != nil {
