--- a/claim/claim.go
+++ b/claim/claim.go
@@ -89,7 +89,7 @@
 
 // intern returns one shared copy of equal strings. A table holds many claims of few
 // callers and owners, whose names would otherwise take a fifth of its memory (see
-// BenchmarkTake).
+// BenchmarkApplyPage).
 func intern(s string) string { return unique.Make(s).Value() }
 
 func internID(id ticket.JobID) ticket.JobID {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -377,7 +377,7 @@
 				restarts++
 				processes[processIndex.Draw(t, "process")] = newProcess(fmt.Sprint("r", restarts), c)
 			},
-			"pass": func(t *rapid.T) {
+			"pass time": func(t *rapid.T) {
 				l.now = l.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
 				l.clockOffset = time.Duration(rapid.IntRange(-5, 5).Draw(t, "log clock off")) * time.Second
 				if rapid.Bool().Draw(t, "forget") {
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -175,7 +175,7 @@
 
 // Stats returns the number of stored claims, of keys that wait for the log, and of
 // evicted claims.
-func (c *Claimer) Stats() (held, pending int, evicted int64) {
+func (c *Claimer) Stats() (stored, pending int, evicted int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.core.table.Len(), len(c.core.pending), c.core.table.Evicted()
--- a/claim/core.go
+++ b/claim/core.go
@@ -151,7 +151,8 @@
 }
 
 // markerDue reports whether to append an empty record: the stream was silent for too
-// long, or records are missing and the time of the next one is needed.
+// long, or records are missing and the table needs the time of a further record to know
+// up to when they are.
 func (c *Core) markerDue(now time.Time) bool {
 	if c.table.hasGap && !now.Before(c.nextMarkerAt) {
 		c.nextMarkerAt = now.Add(c.cfg.Patience)
--- a/claim/table.go
+++ b/claim/table.go
@@ -49,8 +49,8 @@
 	// hasGap is set if records before nextOffset may be missing. completeSince is
 	// then unknown until the next record is read.
 	hasGap bool
-	// completeSince is the record time after which no claim is missing; zero if
-	// none was ever missing.
+	// completeSince is a record time: claims that were recorded up to then may be
+	// missing. It is zero if none was ever missing.
 	completeSince time.Time
 
 	firstClaims map[CallerKey]*list.Element
@@ -72,34 +72,37 @@
 }
 
 // Next returns the offset to read from.
-func (b *Table) Next() ledger.Offset { return b.nextOffset }
+func (t *Table) Next() ledger.Offset { return t.nextOffset }
 
 // Len returns the number of stored claims.
-func (b *Table) Len() int { return b.byAge.Len() }
+func (t *Table) Len() int { return t.byAge.Len() }
 
 // Evicted returns how many claims were evicted to store newer ones.
-func (b *Table) Evicted() int64 { return b.evicted }
+func (t *Table) Evicted() int64 { return t.evicted }
 
 // Lookup returns the verdict on a key, and its identity if it is claimed.
-func (b *Table) Lookup(key CallerKey) (Verdict, ticket.JobID) {
-	if e := b.firstClaims[key]; e != nil {
+func (t *Table) Lookup(key CallerKey) (Verdict, ticket.JobID) {
+	if e := t.firstClaims[key]; e != nil {
 		return Claimed, e.Value.(storedClaim).ID
 	}
 	switch {
-	case !b.hasRead:
+	case !t.hasRead:
 		return NothingRead, ticket.JobID{}
-	case b.mayHaveMissed(key):
+	case t.mayHaveMissed(key):
 		return TooOld, ticket.JobID{}
 	}
 	return Unclaimed, ticket.JobID{}
 }
 
-// mayHaveMissed reports whether the table may lack an earlier claim of the key.
-func (b *Table) mayHaveMissed(key CallerKey) bool {
-	if b.hasGap {
+// mayHaveMissed reports whether the table may lack an earlier claim of the key. The skew
+// counts twice: a claim may be recorded up to maxSkew before the time of its key, and a
+// missing record may have a time up to maxSkew after completeSince, if the log's clock
+// was fast then and has been set back since.
+func (t *Table) mayHaveMissed(key CallerKey) bool {
+	if t.hasGap {
 		return true
 	}
-	return !b.completeSince.IsZero() && !KeyTime(key.Key).After(b.completeSince.Add(2*b.maxSkew))
+	return !t.completeSince.IsZero() && !KeyTime(key.Key).After(t.completeSince.Add(2*t.maxSkew))
 }
 
 // Decision is the verdict on a key after one of its claims was read.
@@ -111,57 +114,57 @@
 
 // ApplyPage applies a page of the stream and returns the decisions on its claims, in
 // order.
-func (b *Table) ApplyPage(p ledger.Page) []Decision {
-	b.hasRead = true
-	if p.First > b.nextOffset || p.Next < b.nextOffset {
+func (t *Table) ApplyPage(p ledger.Page) []Decision {
+	t.hasRead = true
+	if p.First > t.nextOffset || p.Next < t.nextOffset {
 		// The log no longer has records that were not read here: the process was
 		// paused for longer than the log's retention, or has just started.
-		b.hasGap = true
-		b.nextOffset = max(p.First, min(b.nextOffset, p.Next))
+		t.hasGap = true
+		t.nextOffset = max(p.First, min(t.nextOffset, p.Next))
 	}
 	var out []Decision
 	for _, r := range p.Records {
-		if r.Offset < b.nextOffset {
+		if r.Offset < t.nextOffset {
 			continue
 		}
-		if r.Offset > b.nextOffset || b.hasGap {
-			b.hasGap = false
-			b.raiseCompleteSince(r.At)
+		if r.Offset > t.nextOffset || t.hasGap {
+			t.hasGap = false
+			t.raiseCompleteSince(r.At)
 		}
-		b.nextOffset = r.Offset + 1
+		t.nextOffset = r.Offset + 1
 		for _, c := range Decode(r.Data) {
-			out = append(out, b.decide(c, r.At))
+			out = append(out, t.decide(c, r.At))
 		}
 	}
 	return out
 }
 
-func (b *Table) decide(c Claim, at time.Time) Decision {
-	v, id := b.Lookup(c.CallerKey)
+func (t *Table) decide(c Claim, at time.Time) Decision {
+	v, id := t.Lookup(c.CallerKey)
 	switch {
 	case v != Unclaimed:
 		return Decision{c.CallerKey, v, id}
-	case KeyTime(c.CallerKey.Key).After(at.Add(b.maxSkew)):
+	case KeyTime(c.CallerKey.Key).After(at.Add(t.maxSkew)):
 		return Decision{CallerKey: c.CallerKey, Verdict: TooEarly}
 	}
-	b.firstClaims[c.CallerKey] = b.byAge.PushBack(storedClaim{c, at})
-	for b.byAge.Len() > b.maxClaims {
-		b.evict()
+	t.firstClaims[c.CallerKey] = t.byAge.PushBack(storedClaim{c, at})
+	for t.byAge.Len() > t.maxClaims {
+		t.evict()
 	}
 	return Decision{c.CallerKey, Claimed, c.ID}
 }
 
-// evict drops the oldest claim. From then on the table decides about no key that
-// may have been claimed at that time or earlier.
-func (b *Table) evict() {
-	r := b.byAge.Remove(b.byAge.Front()).(storedClaim)
-	delete(b.firstClaims, r.CallerKey)
-	b.raiseCompleteSince(r.appendedAt)
-	b.evicted++
+// evict drops the oldest claim. From then on the table decides about no key that may
+// have been claimed when the dropped claim was recorded, or earlier.
+func (t *Table) evict() {
+	r := t.byAge.Remove(t.byAge.Front()).(storedClaim)
+	delete(t.firstClaims, r.CallerKey)
+	t.raiseCompleteSince(r.appendedAt)
+	t.evicted++
 }
 
-func (b *Table) raiseCompleteSince(since time.Time) {
-	if since.After(b.completeSince) {
-		b.completeSince = since
+func (t *Table) raiseCompleteSince(since time.Time) {
+	if since.After(t.completeSince) {
+		t.completeSince = since
 	}
 }
--- a/claim/table_bench_test.go
+++ b/claim/table_bench_test.go
@@ -10,9 +10,9 @@
 	"snipehub.example/ticket"
 )
 
-// BenchmarkTake applies 100,000 claims in records of a full batch. "B/claim" is the
+// BenchmarkApplyPage applies 100,000 claims in records of a full batch. "B/claim" is the
 // memory that the table retains.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkApplyPage(b *testing.B) {
 	const n = 100_000
 	owner := ticket.Owner{DataCenter: "chicago", VM: "vm-0017", Process: "hub-3", Incarnation: 1796254983087159303}
 	var records []ledger.Record
