--- a/job/closed.go
+++ b/job/closed.go
@@ -10,8 +10,8 @@
 )
 
 // Closed is a part of the state of an owner that has stopped for good. No process ever
-// starts anything in it again, so it does no harm if two processes hold it, or if a
-// handover is repeated because its response was lost.
+// starts anything under its identities again, so it does no harm if two processes hold it,
+// or if a handover is repeated because its response was lost.
 type Closed struct {
 	Owner ticket.Owner `json:"owner"`
 	// At is the time of the stop.
@@ -87,7 +87,8 @@
 func (t *mintedTicket) close(maxBytes int64) ClosedTicket {
 	closed := ClosedTicket{Stream: t.stream, Caller: t.caller, Window: t.window.Clone()}
 	n := closed.size()
-	for seq, e := range t.jobs {
+	for seq, e := range t.entries {
+		// The size of a running entry is 0.
 		if e.sizeBytes == 0 || n+e.sizeBytes > maxBytes {
 			continue
 		}
@@ -109,7 +110,7 @@
 	// byAge lists the states, oldest first.
 	byAge *list.List
 	bytes int64
-	// evicted counts the states that were dropped before their retention period was
+	// evicted counts the states that were evicted before their retention period was
 	// over.
 	evicted int64
 }
@@ -119,11 +120,12 @@
 	owner     ticket.Owner
 	stoppedAt time.Time
 	expiresAt time.Time
-	tickets   map[uint64]*closedTicket
+	tickets   map[uint64]*indexedTicket
 	bytes     int64
 }
 
-type closedTicket struct {
+// indexedTicket is a closed ticket with its outcomes by sequence.
+type indexedTicket struct {
 	ClosedTicket
 	outcomes map[uint64]ClosedOutcome
 }
@@ -143,7 +145,7 @@
 	h.evict()
 	s := h.states[c.Owner]
 	if s == nil {
-		s = &closedState{owner: c.Owner, stoppedAt: c.At, expiresAt: h.now().Add(h.retention), tickets: make(map[uint64]*closedTicket)}
+		s = &closedState{owner: c.Owner, stoppedAt: c.At, expiresAt: h.now().Add(h.retention), tickets: make(map[uint64]*indexedTicket)}
 		h.states[c.Owner] = s
 		h.byAge.PushBack(s)
 	}
@@ -159,8 +161,8 @@
 	h.evict()
 }
 
-func indexOutcomes(t ClosedTicket) *closedTicket {
-	out := &closedTicket{ClosedTicket: t, outcomes: make(map[uint64]ClosedOutcome, len(t.Outcomes))}
+func indexOutcomes(t ClosedTicket) *indexedTicket {
+	out := &indexedTicket{ClosedTicket: t, outcomes: make(map[uint64]ClosedOutcome, len(t.Outcomes))}
 	for _, o := range t.Outcomes {
 		out.outcomes[o.Seq] = o
 	}
@@ -182,9 +184,9 @@
 	}
 }
 
-// Stats returns the memory of the closed states in bytes, and how many states were dropped
+// Stats returns the memory of the closed states in bytes, and how many states were evicted
 // before their retention period was over.
-func (h *Holder) Stats() (held, dropped int64) {
+func (h *Holder) Stats() (bytes, evicted int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.evict()
@@ -212,7 +214,7 @@
 	return t.answer(id.Seq, sum), true
 }
 
-func (t *closedTicket) answer(seq, sum uint64) Outcome {
+func (t *indexedTicket) answer(seq, sum uint64) Outcome {
 	o, hasOutcome := t.outcomes[seq]
 	v := t.Window.Peek(seq)
 	code := refusal.Forgotten
--- a/job/entry.go
+++ b/job/entry.go
@@ -18,10 +18,10 @@
 	seq          uint64
 	sum          uint64
 	// ended is closed when the outcome is set.
-	ended     chan struct{}
+	ended chan struct{}
+	// remaining is the number of tasks without a result.
 	remaining int
 	// results has one element for each task; reported marks those that are set.
-	// remaining counts the others.
 	results  []TaskResult
 	reported []bool
 	// cancelled is set if the caller has cancelled the job. It is needed because a
@@ -138,7 +138,8 @@
 	return TaskResult{Ran: r.Ran, Done: r.Done, Answer: r.Answer, Error: r.Error}
 }
 
-// submissionDigest returns a digest by which two submissions of one identity are compared.
+// submissionDigest returns a digest by which two jobs or two requests that were submitted
+// under one identity are compared.
 func submissionDigest(kind, contentType string, bodies [][]byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{kind, contentType} {
--- a/job/job.go
+++ b/job/job.go
@@ -70,8 +70,8 @@
 	// First and Limit bound the range: First <= sequence < Limit.
 	First uint64 `json:"first"`
 	Limit uint64 `json:"limit"`
-	// Window is the number of sequences that the range from the oldest unfinished
-	// to the newest one may span.
+	// Window is the maximum number of sequences from the oldest unfinished one to
+	// the newest one, both included.
 	Window int `json:"window"`
 }
 
--- a/job/owner.go
+++ b/job/owner.go
@@ -172,6 +172,7 @@
 	}
 }
 
+// requestFinished is workFinished for a call without o.mu.
 func (o *Owner) requestFinished() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -185,7 +186,7 @@
 		o.mu.Unlock()
 		return nil, o.foreignRefusal(w.id.Owner)
 	}
-	e, created, err := o.ticketTable.take(o.now(), w.caller.Name, w.id, w.sum, len(w.batch.Tasks))
+	e, created, err := o.ticketTable.getOrCreate(o.now(), w.caller.Name, w.id, w.sum, len(w.batch.Tasks))
 	if err != nil || !created {
 		o.mu.Unlock()
 		return e, err
@@ -290,8 +291,8 @@
 // if this process has the address of an earlier one. It can't know what that one has
 // started, so the refusal says "unknown". If the owner is an earlier incarnation of this
 // process, the refusal is final, because that incarnation is gone.
-func (o *Owner) foreignRefusal(id ticket.Owner) error {
-	if id.Precedes(o.self) {
+func (o *Owner) foreignRefusal(owner ticket.Owner) error {
+	if owner.Precedes(o.self) {
 		return refusal.New(refusal.OwnerGone, "")
 	}
 	return refusal.New(refusal.OwnerUnreachable, "another process has its address").After(foreignRetryAfter)
@@ -329,19 +330,20 @@
 func (o *Owner) Stats() Stats {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.ticketTable
-	b.evictAnswers(o.now())
+	tt := o.ticketTable
+	tt.evictAnswers(o.now())
 	return Stats{
-		Tickets:   int64(len(b.tickets)),
+		Tickets:   int64(len(tt.tickets)),
 		Running:   int64(o.runningCount),
-		Kept:      int64(b.ended.Len()),
-		KeptBytes: b.keptBytes,
-		Crowded:   b.evictedAnswers,
-		Retired:   b.retiredTickets,
-		Full:      b.refusedTickets,
+		Kept:      int64(tt.ended.Len()),
+		KeptBytes: tt.keptBytes,
+		Crowded:   tt.evictedAnswers,
+		Retired:   tt.retiredTickets,
+		Full:      tt.refusedTickets,
 	}
 }
 
+// workFinished counts one running job or request fewer. The caller must hold o.mu.
 func (o *Owner) workFinished() {
 	o.runningCount--
 	if o.stopping && o.runningCount == 0 {
--- a/job/request_test.go
+++ b/job/request_test.go
@@ -10,13 +10,13 @@
 	"snipehub.example/ticket"
 )
 
-func (b *fixture) request(id ticket.JobID) (job.Reply, error) {
-	return b.owner.Request(context.Background(), job.Request{Caller: lake, ID: &id, Kind: "charge", Body: []byte(`7 euro`)})
+func (f *fixture) request(id ticket.JobID) (job.Reply, error) {
+	return f.owner.Request(context.Background(), job.Request{Caller: lake, ID: &id, Kind: "charge", Body: []byte(`7 euro`)})
 }
 
 // endAtOnce makes the fakeRunner end each batch at once with the result.
-func (b *fixture) endAtOnce(r dispatch.Result) {
-	b.runner.onSubmit = func(batch dispatch.Batch) { batch.Done(0, r) }
+func (f *fixture) endAtOnce(r dispatch.Result) {
+	f.runner.onSubmit = func(batch dispatch.Batch) { batch.Done(0, r) }
 }
 
 // A charge must not run twice. A caller that got no reply and sends it again must get the
@@ -35,19 +35,19 @@
 		{"refused by all", dispatch.Result{Ran: refusal.RanNo, Error: "refused"}, refusal.NoServer, refusal.RanNo},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newFixture(t, smallLimits)
-			id := b.mint(lake).Job(0)
-			b.endAtOnce(c.r)
+			f := newFixture(t, smallLimits)
+			id := f.mint(lake).Job(0)
+			f.endAtOnce(c.r)
 			for range 3 {
-				got, err := b.request(id)
+				got, err := f.request(id)
 				if c.code != "" {
-					b.wantRefusal(err, c.code, c.ran)
+					f.wantRefusal(err, c.code, c.ran)
 				} else if err != nil || got.Status != 201 || string(got.Body) != "charged" || got.Type != "text/plain" {
 					t.Errorf("reply %+v, %v", got, err)
 				}
-				b.endAtOnce(done)
+				f.endAtOnce(done)
 			}
-			b.wantStarts(id, 1)
+			f.wantStarts(id, 1)
 		})
 	}
 }
@@ -56,28 +56,28 @@
 // Its result is reported twice; if it were counted twice, the stop would not wait for
 // another running request.
 func TestPassedRequestIsNotCut(t *testing.T) {
-	b := newFixture(t, smallLimits)
+	f := newFixture(t, smallLimits)
 	stopped, cancel := context.WithCancel(context.Background())
 	cancel()
 	r := job.Request{Caller: lake, Kind: "price"}
 	var first dispatch.Batch
-	b.runner.onSubmit = func(batch dispatch.Batch) {
-		if err := b.owner.Stop(stopped); err == nil {
+	f.runner.onSubmit = func(batch dispatch.Batch) {
+		if err := f.owner.Stop(stopped); err == nil {
 			t.Error("Stop returned while a request runs")
 		}
 		first = batch
 		batch.Done(0, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 200})
 	}
-	if got, err := b.owner.Pass(context.Background(), r); err != nil || got.Status != 200 {
+	if got, err := f.owner.Pass(context.Background(), r); err != nil || got.Status != 200 {
 		t.Errorf("reply %+v, %v", got, err)
 	}
 	first.Done(0, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 200})
-	if err := b.owner.Stop(context.Background()); err != nil {
+	if err := f.owner.Stop(context.Background()); err != nil {
 		t.Error(err)
 	}
-	if n := b.owner.Stats().Running; n != 0 {
+	if n := f.owner.Stats().Running; n != 0 {
 		t.Errorf("%d requests are still counted as running", n)
 	}
-	_, err := b.owner.Pass(context.Background(), r)
-	b.wantRefusal(err, refusal.Stopping, refusal.RanNo)
+	_, err := f.owner.Pass(context.Background(), r)
+	f.wantRefusal(err, refusal.Stopping, refusal.RanNo)
 }
--- a/job/table.go
+++ b/job/table.go
@@ -11,13 +11,13 @@
 // ticketTable holds the tickets of an owner and the outcomes of their sequences. It is a
 // deterministic state machine without a lock, goroutine or clock.
 //
-// Its memory is bounded. Beyond the bounds, answers and idle tickets are evicted, oldest
-// first. Identities whose state was evicted never start; they are answered with "outcome
-// unknown" or, if the window still knows it, "not run".
+// Its memory is bounded. Beyond the bounds, answers are evicted and idle tickets are
+// retired, oldest first. Identities whose state was dropped never start; they are
+// answered with "outcome unknown" or, if the window still knows it, "not run".
 type ticketTable struct {
 	limits Limits
 	// stream is the number of the newest ticket. A ticket with a number up to
-	// it that is not in the map was retired.
+	// it that is not in tickets was retired.
 	stream  uint64
 	tickets map[uint64]*mintedTicket
 	// ticketCounts has the number of tickets of each caller.
@@ -38,13 +38,13 @@
 
 // mintedTicket is the state of a ticket that the owner has minted.
 type mintedTicket struct {
-	stream      uint64
-	caller      string
-	window      *ticket.Window
-	jobs        map[uint64]*entry
-	runningJobs int
-	lastUsed    time.Time
-	element     *list.Element
+	stream         uint64
+	caller         string
+	window         *ticket.Window
+	entries        map[uint64]*entry
+	runningEntries int
+	lastUsed       time.Time
+	element        *list.Element
 	// forKeys is set if the ticket's sequences are reserved one by one for the
 	// caller's own keys. The caller may not use sequences from nextSeq on.
 	forKeys bool
@@ -64,26 +64,26 @@
 
 // mint returns a new ticket for the caller. It refuses if the caller or all callers
 // together have reached their maximum of tickets and none can be retired.
-func (b *ticketTable) mint(now time.Time, caller string, rangeEnd uint64) (*mintedTicket, error) {
-	if b.ticketCounts[caller] >= max(1, b.limits.Tickets/callerShareDivisor) && !b.retireOldest(now, caller) {
-		b.refusedTickets++
+func (tt *ticketTable) mint(now time.Time, caller string, rangeEnd uint64) (*mintedTicket, error) {
+	if tt.ticketCounts[caller] >= max(1, tt.limits.Tickets/callerShareDivisor) && !tt.retireOldest(now, caller) {
+		tt.refusedTickets++
 		return nil, refusal.New(refusal.Overloaded, "too many tickets of this caller").After(time.Second)
 	}
-	if len(b.tickets) >= b.limits.Tickets && !b.retireOldest(now, "") {
-		b.refusedTickets++
+	if len(tt.tickets) >= tt.limits.Tickets && !tt.retireOldest(now, "") {
+		tt.refusedTickets++
 		return nil, refusal.New(refusal.Overloaded, "too many tickets").After(time.Second)
 	}
-	b.stream++
-	b.ticketCounts[caller]++
+	tt.stream++
+	tt.ticketCounts[caller]++
 	t := &mintedTicket{
-		stream:   b.stream,
+		stream:   tt.stream,
 		caller:   caller,
-		window:   ticket.NewWindow(b.limits.Window, rangeEnd),
-		jobs:     make(map[uint64]*entry),
+		window:   ticket.NewWindow(tt.limits.Window, rangeEnd),
+		entries:  make(map[uint64]*entry),
 		lastUsed: now,
 	}
-	t.element = b.byLastUse.PushBack(t)
-	b.tickets[b.stream] = t
+	t.element = tt.byLastUse.PushBack(t)
+	tt.tickets[tt.stream] = t
 	return t, nil
 }
 
@@ -91,66 +91,66 @@
 // this limit a caller that takes a ticket for each job would use up the tickets of the others.
 const callerShareDivisor = 4
 
-// retireOldest drops the least recently used ticket without running jobs, of the caller
+// retireOldest drops the least recently used ticket without running entries, of the caller
 // or of all callers if caller is empty. It reports whether there was one. A ticket that
 // was used within the retention period of answers is not dropped: its caller may be about
 // to use it, and would get "outcome unknown" for work that never ran.
-func (b *ticketTable) retireOldest(now time.Time, caller string) bool {
-	for el := b.byLastUse.Front(); el != nil; el = el.Next() {
+func (tt *ticketTable) retireOldest(now time.Time, caller string) bool {
+	for el := tt.byLastUse.Front(); el != nil; el = el.Next() {
 		t := el.Value.(*mintedTicket)
-		if now.Sub(t.lastUsed) < b.limits.KeptFor {
+		if now.Sub(t.lastUsed) < tt.limits.KeptFor {
 			return false
 		}
-		if t.runningJobs > 0 || caller != "" && t.caller != caller {
+		if t.runningEntries > 0 || caller != "" && t.caller != caller {
 			continue
 		}
-		b.remove(t)
-		b.retiredTickets++
+		tt.remove(t)
+		tt.retiredTickets++
 		return true
 	}
 	return false
 }
 
-func (b *ticketTable) remove(t *mintedTicket) {
-	b.byLastUse.Remove(t.element)
-	delete(b.tickets, t.stream)
-	b.ticketCounts[t.caller]--
-	if b.ticketCounts[t.caller] == 0 {
-		delete(b.ticketCounts, t.caller)
+func (tt *ticketTable) remove(t *mintedTicket) {
+	tt.byLastUse.Remove(t.element)
+	delete(tt.tickets, t.stream)
+	tt.ticketCounts[t.caller]--
+	if tt.ticketCounts[t.caller] == 0 {
+		delete(tt.ticketCounts, t.caller)
 	}
-	if b.forKeys[t.caller] == t {
-		delete(b.forKeys, t.caller)
+	if tt.forKeys[t.caller] == t {
+		delete(tt.forKeys, t.caller)
 	}
-	for _, e := range t.jobs {
-		b.removeEntry(e)
+	for _, e := range t.entries {
+		tt.removeEntry(e)
 	}
 }
 
 // reserve reserves a sequence for one of the caller's own keys.
-func (b *ticketTable) reserve(now time.Time, caller string) (stream, seq uint64, err error) {
-	t := b.forKeys[caller]
-	if t == nil || t.nextSeq >= uint64(b.limits.Window) {
+func (tt *ticketTable) reserve(now time.Time, caller string) (stream, seq uint64, err error) {
+	t := tt.forKeys[caller]
+	if t == nil || t.nextSeq >= uint64(tt.limits.Window) {
 		// The range is as long as the window, so that the low mark never moves.
-		t, err = b.mint(now, caller, uint64(b.limits.Window))
+		t, err = tt.mint(now, caller, uint64(tt.limits.Window))
 		if err != nil {
 			return 0, 0, err
 		}
 		t.forKeys = true
-		b.forKeys[caller] = t
+		tt.forKeys[caller] = t
 	}
 	t.nextSeq++
-	b.markUsed(now, t)
+	tt.markUsed(now, t)
 	return t.stream, t.nextSeq - 1, nil
 }
 
-func (b *ticketTable) markUsed(now time.Time, t *mintedTicket) {
+func (tt *ticketTable) markUsed(now time.Time, t *mintedTicket) {
 	t.lastUsed = now
-	b.byLastUse.MoveToBack(t.element)
+	tt.byLastUse.MoveToBack(t.element)
 }
 
 // find returns the ticket of the identity, if it belongs to the caller.
-func (b *ticketTable) find(caller string, id ticket.JobID) (*mintedTicket, error) {
-	t, ok := b.tickets[id.Stream]
+func (tt *ticketTable) find(caller string, id ticket.JobID) (*mintedTicket, error) {
+	t, ok := tt.tickets[id.Stream]
 	switch {
 	case ok && t.caller != caller:
 		return nil, refusal.New(refusal.NotFound, "")
@@ -158,20 +158,20 @@
 		return nil, refusal.New(refusal.NotFound, "")
 	case ok:
 		return t, nil
-	case id.Stream >= 1 && id.Stream <= b.stream:
+	case id.Stream >= 1 && id.Stream <= tt.stream:
 		return nil, refusal.New(refusal.Forgotten, "its ticket was idle for too long")
 	}
 	return nil, refusal.New(refusal.NotFound, "")
 }
 
-// take returns the entry of the identity, and creates it if the identity is new; created
+// getOrCreate returns the entry of the identity, and creates it if the identity is new; created
 // reports whether it did. It refuses a submission whose digest differs from that of the entry.
-func (b *ticketTable) take(now time.Time, caller string, id ticket.JobID, sum uint64, tasks int) (e *entry, created bool, err error) {
-	t, err := b.find(caller, id)
+func (tt *ticketTable) getOrCreate(now time.Time, caller string, id ticket.JobID, sum uint64, tasks int) (e *entry, created bool, err error) {
+	t, err := tt.find(caller, id)
 	if err != nil {
 		return nil, false, err
 	}
-	b.markUsed(now, t)
+	tt.markUsed(now, t)
 	low := t.window.Low()
 	v := t.window.TryStart(id.Seq)
 	if v != ticket.Start {
@@ -181,8 +181,8 @@
 		}
 		return e, false, err
 	}
-	b.removePassed(t, low)
-	t.runningJobs++
+	tt.removePassed(t, low)
+	t.runningEntries++
 	e = &entry{
 		mintedTicket: t,
 		seq:          id.Seq,
@@ -193,13 +193,13 @@
 		reported:     make([]bool, tasks),
 		outcome:      Outcome{Answer: &Answer{Job: id.String(), State: Queued}},
 	}
-	t.jobs[id.Seq] = e
+	t.entries[id.Seq] = e
 	return e, true, nil
 }
 
 // entryFor returns the entry of a sequence that has the verdict v, or a refusal.
 func (t *mintedTicket) entryFor(seq uint64, v ticket.Verdict) (*entry, error) {
-	e := t.jobs[seq]
+	e := t.entries[seq]
 	switch {
 	case v == ticket.BeyondRange:
 		return nil, refusal.New(refusal.OutOfRange, "")
@@ -220,12 +220,12 @@
 const windowRetryAfter = 250 * time.Millisecond
 
 // lookup returns the entry of the identity, without starting it.
-func (b *ticketTable) lookup(now time.Time, caller string, id ticket.JobID) (*entry, error) {
-	t, err := b.find(caller, id)
+func (tt *ticketTable) lookup(now time.Time, caller string, id ticket.JobID) (*entry, error) {
+	t, err := tt.find(caller, id)
 	if err != nil {
 		return nil, err
 	}
-	b.markUsed(now, t)
+	tt.markUsed(now, t)
 	v := t.window.Peek(id.Seq)
 	if v == ticket.TooFarAhead {
 		v = ticket.Start
@@ -235,55 +235,55 @@
 
 // setOutcome ends an entry with the outcome. A refusal burns the identity: a late copy of
 // the submission must get the same answer, because the caller may have submitted the same
-// order under a new identity since.
-func (b *ticketTable) setOutcome(now time.Time, e *entry, o Outcome) {
+// work under a new identity since.
+func (tt *ticketTable) setOutcome(now time.Time, e *entry, o Outcome) {
 	e.outcome = o
 	e.mintedTicket.window.End(e.seq, o.Refused != nil)
-	e.mintedTicket.runningJobs--
-	b.keepOutcome(now, e)
+	e.mintedTicket.runningEntries--
+	tt.keepOutcome(now, e)
 	close(e.ended)
 }
 
-func (b *ticketTable) keepOutcome(now time.Time, e *entry) {
+func (tt *ticketTable) keepOutcome(now time.Time, e *entry) {
 	e.results, e.reported = nil, nil
 	e.endedAt = now
 	e.sizeBytes = e.outcome.size()
-	b.keptBytes += e.sizeBytes
-	e.element = b.ended.PushBack(e)
-	b.evictAnswers(now)
+	tt.keptBytes += e.sizeBytes
+	e.element = tt.ended.PushBack(e)
+	tt.evictAnswers(now)
 }
 
 // evictAnswers removes ended entries that are older than the retention period or exceed
 // the memory bound.
-func (b *ticketTable) evictAnswers(now time.Time) {
-	for b.ended.Len() > 0 {
-		e := b.ended.Front().Value.(*entry)
-		if b.keptBytes <= b.limits.KeptBytes && now.Sub(e.endedAt) < b.limits.KeptFor {
+func (tt *ticketTable) evictAnswers(now time.Time) {
+	for tt.ended.Len() > 0 {
+		e := tt.ended.Front().Value.(*entry)
+		if tt.keptBytes <= tt.limits.KeptBytes && now.Sub(e.endedAt) < tt.limits.KeptFor {
 			return
 		}
-		if now.Sub(e.endedAt) < b.limits.KeptFor {
-			b.evictedAnswers++
+		if now.Sub(e.endedAt) < tt.limits.KeptFor {
+			tt.evictedAnswers++
 		}
-		b.removeEntry(e)
+		tt.removeEntry(e)
 	}
 }
 
 // removeEntry removes an ended entry from its ticket. The window still knows that the
 // sequence has ended, and whether it was burned. Callers that wait for the entry have a
 // reference to it and can still read its outcome.
-func (b *ticketTable) removeEntry(e *entry) {
-	b.ended.Remove(e.element)
-	b.keptBytes -= e.sizeBytes
-	delete(e.mintedTicket.jobs, e.seq)
+func (tt *ticketTable) removeEntry(e *entry) {
+	tt.ended.Remove(e.element)
+	tt.keptBytes -= e.sizeBytes
+	delete(e.mintedTicket.entries, e.seq)
 }
 
 // removePassed removes the entries that the window has moved past since its low mark was
 // low.
-func (b *ticketTable) removePassed(t *mintedTicket, low uint64) {
-	width := uint64(b.limits.Window)
+func (tt *ticketTable) removePassed(t *mintedTicket, low uint64) {
+	width := uint64(tt.limits.Window)
 	for s := low; s < t.window.Low() && s-low < width; s++ {
-		if e := t.jobs[s]; e != nil {
-			b.removeEntry(e)
+		if e := t.entries[s]; e != nil {
+			tt.removeEntry(e)
 		}
 	}
 }
@@ -291,23 +291,23 @@
 // cancel marks the entry of the identity as cancelled and returns it. An identity that has
 // not been submitted is burned: its submission may still arrive, after the caller was told
 // that it won't run.
-func (b *ticketTable) cancel(now time.Time, caller string, id ticket.JobID) (*entry, error) {
-	t, err := b.find(caller, id)
+func (tt *ticketTable) cancel(now time.Time, caller string, id ticket.JobID) (*entry, error) {
+	t, err := tt.find(caller, id)
 	if err != nil {
 		return nil, err
 	}
 	if t.window.Peek(id.Seq) != ticket.Start {
-		e, err := b.lookup(now, caller, id)
+		e, err := tt.lookup(now, caller, id)
 		if err == nil {
 			e.cancelled = true
 		}
 		return e, err
 	}
-	e, _, err := b.take(now, caller, id, 0, 0)
+	e, _, err := tt.getOrCreate(now, caller, id, 0, 0)
 	if err != nil {
 		return nil, err
 	}
 	r := refusal.New(refusal.Cancelled, "")
-	b.setOutcome(now, e, Outcome{Refused: r})
+	tt.setOutcome(now, e, Outcome{Refused: r})
 	return nil, r
 }
