--- a/delivery/conn.go
+++ b/delivery/conn.go
@@ -83,23 +83,23 @@
 	writtenBefore int64
 }
 
-func (r *connTracker) gotConn(info httptrace.GotConnInfo) {
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.uses = append(r.uses, connUse{c, c.bytesWritten()})
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.uses = append(t.uses, connUse{c, c.bytesWritten()})
 }
 
 // seal seals the connections of the attempt and reports whether any byte of it was
 // written.
-func (r *connTracker) seal() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *connTracker) seal() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	sent := false
-	for _, u := range r.uses {
+	for _, u := range t.uses {
 		if u.conn.seal() > u.writtenBefore {
 			sent = true
 		}
--- a/delivery/delivery.go
+++ b/delivery/delivery.go
@@ -46,7 +46,9 @@
 // Attempt is one attempt of one task on one backend server.
 type Attempt struct {
 	Server netip.AddrPort
-	Kind   string
+	// Kind is the kind of the task, the last element of the request's path. It is
+	// unrelated to the Kind of an Outcome.
+	Kind string
 	// Task is the id of the attempt, which the backend server records and echoes.
 	Task string
 	Body []byte
--- a/delivery/delivery_test.go
+++ b/delivery/delivery_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	task  = "job/0/0"
-	limit = 64
+	task        = "job/0/0"
+	answerLimit = 64
 )
 
 // connHandler handles a request that a rawServer has read from the connection.
@@ -122,7 +122,7 @@
 		{"no last chunk", respondAndClose("HTTP/1.1 200 OK\r\n"+echo+"Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", false), Unknown, Broken},
 		{"ends with the connection", respondAndClose("HTTP/1.1 200 OK\r\n"+echo+"\r\n{}", false), Unknown, Broken},
 		{"short refusal", respondAndClose("HTTP/1.1 429 Too Many Requests\r\nContent-Length: 9\r\n\r\nx", false), Unknown, Broken},
-		{"too large", respond(answer("200 OK", echo, fmt.Sprintf("%0*d", limit+1, 0))), Unknown, Broken},
+		{"too large", respond(answer("200 OK", echo, fmt.Sprintf("%0*d", answerLimit+1, 0))), Unknown, Broken},
 		{"not HTTP", respondAndClose("hello\r\n\r\n", false), Unknown, Broken},
 		{"no answer", respond(""), Unknown, NoTime},
 		{"answer never ends", respond("HTTP/1.1 200 OK\r\n" + echo + "Content-Length: 9\r\n\r\n{}"), Unknown, NoTime},
@@ -131,7 +131,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := startServer(t, tt.handle)
-			c := New(limit, 1, (&net.Dialer{}).DialContext)
+			c := New(answerLimit, 1, (&net.Dialer{}).DialContext)
 			defer c.Close()
 			lease := time.Minute
 			if tt.cause == NoTime {
@@ -153,7 +153,7 @@
 // get the same answer from the owner and from another dispatcher.
 func TestTypeIsText(t *testing.T) {
 	s := startServer(t, respond(answer("200 OK", "Snipe-Task: "+task+"\r\nContent-Type: text/caf\xe9\r\n", "{}")))
-	c := New(limit, 1, (&net.Dialer{}).DialContext)
+	c := New(answerLimit, 1, (&net.Dialer{}).DialContext)
 	defer c.Close()
 	o := c.Deliver(t.Context(), attempt(s.addr, time.Minute))
 	if o.Kind != Done || o.Type != "text/caf\ufffd" {
@@ -170,7 +170,7 @@
 	}
 	addr := ln.Addr().(*net.TCPAddr).AddrPort()
 	_ = ln.Close()
-	o := New(limit, 1, (&net.Dialer{}).DialContext).Deliver(t.Context(), attempt(addr, time.Minute))
+	o := New(answerLimit, 1, (&net.Dialer{}).DialContext).Deliver(t.Context(), attempt(addr, time.Minute))
 	if o.Kind != NotRun || o.Cause != NoConnection {
 		t.Errorf("kind %d, cause %d: %s", o.Kind, o.Cause, o.Reason)
 	}
@@ -181,7 +181,7 @@
 // "unknown", the job would fail although its task never left this process.
 func TestNothingWrittenIsNotRun(t *testing.T) {
 	s := startServer(t, respond(answer("200 OK", "Snipe-Task: "+task+"\r\n", "{}")))
-	c := New(limit, 1, (&net.Dialer{}).DialContext)
+	c := New(answerLimit, 1, (&net.Dialer{}).DialContext)
 	defer c.Close()
 	tr := c.httpClient.Transport.(*http.Transport)
 	var lastConn *countingConn
@@ -248,7 +248,7 @@
 		}
 		_, _ = io.WriteString(c, answer("200 OK", "Snipe-Task: "+id+"\r\n", id))
 	})
-	c := New(limit, 1, (&net.Dialer{}).DialContext)
+	c := New(answerLimit, 1, (&net.Dialer{}).DialContext)
 	defer c.Close()
 	if o := c.Deliver(t.Context(), attempt(s.addr, 50*time.Millisecond)); o.Kind != Unknown || o.Cause != NoTime {
 		t.Errorf("late: kind %d, cause %d: %s", o.Kind, o.Cause, o.Reason)
@@ -273,7 +273,7 @@
 		}
 		_, _ = io.WriteString(c, answer("200 OK", "Snipe-Task: "+task+"\r\n", "{}"))
 	})
-	c := New(limit, 1, (&net.Dialer{}).DialContext)
+	c := New(answerLimit, 1, (&net.Dialer{}).DialContext)
 	defer c.Close()
 	if o := c.Deliver(t.Context(), attempt(s.addr, time.Minute)); o.Kind != Done {
 		t.Fatalf("first: %+v", o)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,8 +1,9 @@
 // Package ledger is a client of the platform's append-only log and VM list.
 //
 // The log keeps numbered records in named streams for a limited time. An append can
-// take effect although its response is lost. Therefore each record that we append
-// carries an id of its own, and a writer that got no response reads the stream.
+// take effect although its response is lost. Therefore a record either carries an id by
+// which a writer that got no response finds it on the stream (an edit of the tables), or
+// does no harm if it is appended twice.
 package ledger
 
 import (
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,6 +1,10 @@
 // Package ticket defines the identities of submissions and ensures that no
 // submission is started twice.
 //
+// A ticket is a range of sequence numbers, each of which identifies one submission: a
+// job or a request. A sequence, for short, is a number with its submission; it starts,
+// runs and ends.
+//
 // A ticket names its owner, the one process incarnation that may start the ticket's
 // sequences. Hence the owner can prevent a second start on its own: it remembers what
 // it has started, and no other process starts anything under that identity, whichever
--- a/ticket/window_test.go
+++ b/ticket/window_test.go
@@ -23,30 +23,30 @@
 
 // A caller submits sequences in any order, copies arrive late, and jobs end or are
 // refused in between. A sequence must not start twice. One that has run must not be
-// called "not run", because the caller would then submit its order again.
+// called "not run", because the caller would then submit its job again.
 func TestWindowStartsEachSequenceOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := rapid.Uint64Range(1, 100).Draw(t, "limit")
-		w := ticket.NewWindow(rapid.IntRange(1, 8).Draw(t, "width"), limit)
+		rangeEnd := rapid.Uint64Range(1, 100).Draw(t, "range end")
+		w := ticket.NewWindow(rapid.IntRange(1, 8).Draw(t, "width"), rangeEnd)
 		started := make(map[uint64]bool)
 		running := make(map[uint64]bool)
 		burned := make(map[uint64]bool)
-		anySeq := rapid.Uint64Range(0, limit+2)
+		anySeq := rapid.Uint64Range(0, rangeEnd+2)
 		t.Repeat(map[string]func(*rapid.T){
-			"take": func(t *rapid.T) {
+			"try start": func(t *rapid.T) {
 				s := anySeq.Draw(t, "seq")
 				peeked := w.Peek(s)
 				v := w.TryStart(s)
 				switch {
 				case v != peeked:
 					t.Fatalf("Peek returns %d, TryStart %d", peeked, v)
-				case v == ticket.Start && (started[s] || s >= limit):
+				case v == ticket.Start && (started[s] || s >= rangeEnd):
 					t.Fatalf("sequence %d starts a second time or out of range", s)
 				case (v == ticket.Running) != running[s]:
 					t.Fatalf("sequence %d: verdict %d, running %t", s, v, running[s])
 				case v == ticket.Burned && !burned[s]:
 					t.Fatalf("sequence %d ran, but its verdict is Burned", s)
-				case (v == ticket.BeyondRange) != (s >= limit):
+				case (v == ticket.BeyondRange) != (s >= rangeEnd):
 					t.Fatalf("sequence %d: verdict %d", s, v)
 				case v == ticket.Start:
 					started[s], running[s] = true, true
@@ -60,7 +60,7 @@
 					w.End(s, burned[s])
 				}
 			},
-			"image": func(t *rapid.T) {
+			"marshal": func(t *rapid.T) {
 				b, err := json.Marshal(w)
 				if err != nil {
 					t.Fatal(err)
