--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -22,13 +22,13 @@
 // fakeRunner replaces the dispatch package and the backend servers. It records every start.
 type fakeRunner struct {
 	refuse    error
-	onSubmit  func(dispatch.Batch)
+	onSubmit  func(dispatch.Submission)
 	starts    map[string]int
-	batches   []dispatch.Batch
+	batches   []dispatch.Submission
 	cancelled []string
 }
 
-func (r *fakeRunner) Submit(b dispatch.Batch) error {
+func (r *fakeRunner) Submit(b dispatch.Submission) error {
 	if r.onSubmit != nil {
 		r.onSubmit(b)
 	}
@@ -59,7 +59,7 @@
 	now    time.Time
 }
 
-var smallLimits = job.Limits{Tickets: 8, Range: 100, Window: 4, KeptBytes: 1 << 20, KeptFor: time.Minute, JobTimeout: time.Minute}
+var smallLimits = job.Limits{Tickets: 8, Range: 100, Window: 4, KeptBytes: 1 << 20, AnswerRetention: time.Minute, JobTimeout: time.Minute}
 
 func newFixture(t *testing.T, l job.Limits) *fixture {
 	f := &fixture{t: t, runner: &fakeRunner{starts: make(map[string]int)}, now: time.Unix(1e9, 0)}
@@ -195,7 +195,7 @@
 	f.wantStarts(tk.Job(0), 0)
 
 	repeatedEarly := false
-	f.runner.onSubmit = func(dispatch.Batch) {
+	f.runner.onSubmit = func(dispatch.Submission) {
 		_, _ = f.owner.Cancel(lake, tk.Job(1))
 		repeatedEarly = len(f.runner.cancelled) > 1
 	}
@@ -214,7 +214,7 @@
 	r := dispatch.Result{Ran: refusal.RanYes, Done: true, Answer: []byte(`"ok"`)}
 	f.runner.batches[0].Done(0, r)
 	f.runner.batches[0].Done(0, r)
-	if a, err := f.owner.Lookup(lake, id); err != nil || a.State != job.Queued || len(a.Tasks) > 0 {
+	if a, err := f.owner.Lookup(lake, id); err != nil || a.State != job.Running || len(a.Tasks) > 0 {
 		t.Errorf("%+v, %v while a task runs", a, err)
 	}
 	f.runner.batches[0].Done(1, dispatch.Result{Ran: refusal.RanUnknown, Error: "reset"})
--- a/job/request_test.go
+++ b/job/request_test.go
@@ -16,7 +16,7 @@
 
 // endAtOnce makes the fakeRunner end each batch at once with the result.
 func (f *fixture) endAtOnce(r dispatch.Result) {
-	f.runner.onSubmit = func(batch dispatch.Batch) { batch.Done(0, r) }
+	f.runner.onSubmit = func(batch dispatch.Submission) { batch.Done(0, r) }
 }
 
 // A charge must not run twice. A caller that got no reply and sends it again must get the
@@ -60,15 +60,15 @@
 	stopped, cancel := context.WithCancel(context.Background())
 	cancel()
 	r := job.Request{Caller: lake, Kind: "price"}
-	var first dispatch.Batch
-	f.runner.onSubmit = func(batch dispatch.Batch) {
+	var first dispatch.Submission
+	f.runner.onSubmit = func(batch dispatch.Submission) {
 		if err := f.owner.Stop(stopped); err == nil {
 			t.Error("Stop returned while a request runs")
 		}
 		first = batch
 		batch.Done(0, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 200})
 	}
-	if got, err := f.owner.Pass(context.Background(), r); err != nil || got.Status != 200 {
+	if got, err := f.owner.PassThrough(context.Background(), r); err != nil || got.Status != 200 {
 		t.Errorf("reply %+v, %v", got, err)
 	}
 	first.Done(0, dispatch.Result{Ran: refusal.RanYes, Done: true, Status: 200})
@@ -78,6 +78,6 @@
 	if n := f.owner.Stats().Running; n != 0 {
 		t.Errorf("%d requests are still counted as running", n)
 	}
-	_, err := f.owner.Pass(context.Background(), r)
+	_, err := f.owner.PassThrough(context.Background(), r)
 	f.wantRefusal(err, refusal.Stopping, refusal.RanNo)
 }
--- a/job/table.go
+++ b/job/table.go
@@ -98,7 +98,7 @@
 func (tt *ticketTable) retireOldest(now time.Time, caller string) bool {
 	for el := tt.byLastUse.Front(); el != nil; el = el.Next() {
 		t := el.Value.(*mintedTicket)
-		if now.Sub(t.lastUsed) < tt.limits.KeptFor {
+		if now.Sub(t.lastUsed) < tt.limits.AnswerRetention {
 			return false
 		}
 		if t.runningEntries > 0 || caller != "" && t.caller != caller {
@@ -150,7 +150,7 @@
 
 // find returns the ticket of the identity, if it belongs to the caller.
 func (tt *ticketTable) find(caller string, id ticket.JobID) (*mintedTicket, error) {
-	t, ok := tt.tickets[id.Stream]
+	t, ok := tt.tickets[id.Number]
 	switch {
 	case ok && t.caller != caller:
 		return nil, refusal.New(refusal.NotFound, "")
@@ -158,7 +158,7 @@
 		return nil, refusal.New(refusal.NotFound, "")
 	case ok:
 		return t, nil
-	case id.Stream >= 1 && id.Stream <= tt.stream:
+	case id.Number >= 1 && id.Number <= tt.stream:
 		return nil, refusal.New(refusal.Forgotten, "its ticket was idle for too long")
 	}
 	return nil, refusal.New(refusal.NotFound, "")
@@ -191,7 +191,7 @@
 		remaining:    tasks,
 		results:      make([]TaskResult, tasks),
 		reported:     make([]bool, tasks),
-		outcome:      Outcome{Answer: &Answer{Job: id.String(), State: Queued}},
+		outcome:      Outcome{Answer: &Answer{Job: id.String(), State: Running}},
 	}
 	t.entries[id.Seq] = e
 	return e, true, nil
@@ -258,10 +258,10 @@
 func (tt *ticketTable) evictAnswers(now time.Time) {
 	for tt.ended.Len() > 0 {
 		e := tt.ended.Front().Value.(*entry)
-		if tt.keptBytes <= tt.limits.KeptBytes && now.Sub(e.endedAt) < tt.limits.KeptFor {
+		if tt.keptBytes <= tt.limits.KeptBytes && now.Sub(e.endedAt) < tt.limits.AnswerRetention {
 			return
 		}
-		if now.Sub(e.endedAt) < tt.limits.KeptFor {
+		if now.Sub(e.endedAt) < tt.limits.AnswerRetention {
 			tt.evictedAnswers++
 		}
 		tt.removeEntry(e)
--- a/lease/away.go
+++ b/lease/away.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// OwnerAway records that the owner of runs is unreachable, and the time from which its
+// OwnerUnreachable records that the owner of runs is unreachable, and the time from which its
 // callers may retry at another process. The runs must be over by then even if this
 // process dies before it has stopped them, so no lease is renewed beyond that time.
-func (b *Book) OwnerAway(o Owner, retryAt time.Time) { b.unreachableOwners[o] = retryAt }
+func (b *WorkerLease) OwnerUnreachable(o Owner, retryAt time.Time) { b.unreachableOwners[o] = retryAt }
 
-// OwnerBack records that the owner is reachable again.
-func (b *Book) OwnerBack(o Owner) { delete(b.unreachableOwners, o) }
+// OwnerReachable records that the owner is reachable again.
+func (b *WorkerLease) OwnerReachable(o Owner) { delete(b.unreachableOwners, o) }
 
 // renewalEnd returns the end of the lease that a call asks for now, or 0 for none.
-func (b *Book) renewalEnd(now time.Time) int64 {
+func (b *WorkerLease) renewalEnd(now time.Time) int64 {
 	until := b.maxWorkerClock(now) + leaseDuration.Milliseconds()
 	for o, retryAt := range b.unreachableOwners {
 		switch {
@@ -27,7 +27,7 @@
 	return until
 }
 
-func (b *Book) hasRuns(o Owner) bool {
+func (b *WorkerLease) hasRuns(o Owner) bool {
 	for _, e := range b.runs {
 		if e.owner == o {
 			return true
@@ -38,6 +38,6 @@
 
 // minWorkerClock returns the lowest value that the worker's clock can have at a local
 // time: the clock may run slow by MaxClockDrift.
-func (b *Book) minWorkerClock(t time.Time) int64 {
+func (b *WorkerLease) minWorkerClock(t time.Time) int64 {
 	return b.clock + int64(float64(t.Sub(b.clockAt).Milliseconds())*(1-MaxClockDrift))
 }
--- a/lease/away_test.go
+++ b/lease/away_test.go
@@ -11,21 +11,21 @@
 	whole := leaseDuration.Milliseconds()
 	for _, tt := range []struct {
 		name   string
-		change func(b *Book)
+		change func(b *WorkerLease)
 		// want is the duration that the next renewal, at 300 ms, asks for.
 		want int64
 	}{
-		{"reachable", func(*Book) {}, whole},
-		{"unreachable", func(b *Book) { b.OwnerAway(alice, ms(1000)) }, 686},
-		{"unreachable, retry is far", func(b *Book) { b.OwnerAway(alice, ms(2000)) }, whole},
-		{"unreachable, retry has passed", func(b *Book) { b.OwnerAway(alice, ms(250)) }, 0},
-		{"reachable again", func(b *Book) { b.OwnerAway(alice, ms(1000)); b.OwnerBack(alice) }, whole},
-		{"another one is unreachable", func(b *Book) { b.OwnerAway(bob, ms(1000)) }, whole},
+		{"reachable", func(*WorkerLease) {}, whole},
+		{"unreachable", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(1000)) }, 686},
+		{"unreachable, retry is far", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(2000)) }, whole},
+		{"unreachable, retry has passed", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(250)) }, 0},
+		{"reachable again", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(1000)); b.OwnerReachable(alice) }, whole},
+		{"another one is unreachable", func(b *WorkerLease) { b.OwnerUnreachable(bob, ms(1000)) }, whole},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, poll, s := newRunningBook(t)
 			tt.change(b)
-			b.Answered(ms(300), poll, listResult(ms(300), []Run{s.Run}))
+			b.HoldAnswered(ms(300), poll, listResult(ms(300), []Run{s.Run}))
 			holds := takeActions(b).holds
 			if len(holds) != 1 {
 				t.Fatalf("calls %+v", holds)
--- a/lease/book.go
+++ b/lease/book.go
@@ -110,8 +110,8 @@
 	stopSentAt time.Time
 }
 
-// Book is the state of one worker at its holder.
-type Book struct {
+// WorkerLease is the state of one worker at its holder.
+type WorkerLease struct {
 	worker Worker
 	// firstFence is the fence with which the holding began, spentFence the last one if
 	// the worker was given up without an answer.
@@ -138,7 +138,7 @@
 	unreachableOwners map[Owner]time.Time
 	// unclaimedEnds are the outcomes of runs that ended before this holder knew their
 	// owners.
-	unclaimedEnds map[Run]How
+	unclaimedEnds map[Run]Outcome
 	claimDeadline time.Time
 
 	// callCount counts the hold calls. openPoll is the number of the unanswered poll (a
@@ -166,7 +166,7 @@
 	draining bool
 
 	speed Speed
-	pool  *Habits
+	pool  *PoolStats
 	// unreported is set if there is something to report to the planner, fullStateSent if
 	// a full state was reported and none is due again. removedRuns are the runs removed
 	// since the last report.
@@ -181,54 +181,56 @@
 	actions []Action
 }
 
-// NewBook begins to hold a worker with a fence above floor, and with what its former
+// NewWorkerLease begins to hold a worker with a fence above floor, and with what its former
 // holder had learned of its speed. The floor must not be below any fence that is known to
 // have been used for the worker, including those of this process (Spent).
-func NewBook(now time.Time, w Worker, own, floor Fence, speed Speed, stats *Habits) *Book {
+func NewWorkerLease(now time.Time, w Worker, own, floor Fence, speed Speed, stats *PoolStats) *WorkerLease {
 	fence := own.Above(floor)
-	b := &Book{worker: w, speed: speed, pool: stats, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]How), nextHoldAt: now}
+	b := &WorkerLease{worker: w, speed: speed, pool: stats, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]Outcome), nextHoldAt: now}
 	b.Tick(now)
 	return b
 }
 
 // Take returns the actions that have come up since the last call.
-func (b *Book) Take() []Action {
+func (b *WorkerLease) Take() []Action {
 	a := b.actions
 	b.actions = nil
 	return a
 }
 
-func (b *Book) Worker() Worker { return b.worker }
+func (b *WorkerLease) Worker() Worker { return b.worker }
 
 // Closed reports whether this process does not hold the worker any more: another holder
 // has taken over, the worker is gone or has never answered, all rounds of the term are
 // used, or the worker was released. There is nothing left to do.
-func (b *Book) Closed() bool { return b.phase == closed }
+func (b *WorkerLease) Closed() bool { return b.phase == closed }
 
-// Why returns the reason why the worker is not held any more, as a short name.
-func (b *Book) Why() string { return b.closeReason }
+// CloseReason returns the reason why the worker is not held any more, as a short name.
+func (b *WorkerLease) CloseReason() string { return b.closeReason }
 
 // maxWorkerClock returns the highest value that the worker's clock can have at a local
 // time: the clock may run slow, but not fast.
-func (b *Book) maxWorkerClock(t time.Time) int64 { return b.clock + t.Sub(b.clockAt).Milliseconds() }
+func (b *WorkerLease) maxWorkerClock(t time.Time) int64 {
+	return b.clock + t.Sub(b.clockAt).Milliseconds()
+}
 
 // LeaseEnd returns when every lease asked for so far has expired.
-func (b *Book) LeaseEnd() time.Time {
+func (b *WorkerLease) LeaseEnd() time.Time {
 	left := time.Duration(float64(b.leaseEnd-b.clock)/(1-MaxClockDrift)) * time.Millisecond
 	return b.clockAt.Add(max(left, 0) + leaseEndMargin)
 }
 
 // usedResources returns the resources that all runs take together.
-func (b *Book) usedResources() Room {
-	var r Room
+func (b *WorkerLease) usedResources() Resources {
+	var r Resources
 	for _, e := range b.runs {
-		r = r.Plus(e.Room)
+		r = r.Plus(e.Resources)
 	}
 	return r
 }
 
 // callMissed records a call that got no answer.
-func (b *Book) callMissed(now time.Time) {
+func (b *WorkerLease) callMissed(now time.Time) {
 	b.failures++
 	b.lossyUntil = now.Add(lossyPeriod)
 	b.checkDue = true
@@ -243,7 +245,7 @@
 }
 
 // Stop stops a run.
-func (b *Book) Stop(now time.Time, r Run) {
+func (b *WorkerLease) Stop(now time.Time, r Run) {
 	e, ok := b.runs[r]
 	if !ok {
 		return
@@ -251,7 +253,7 @@
 	b.stop(now, e)
 }
 
-func (b *Book) stop(now time.Time, e *run) {
+func (b *WorkerLease) stop(now time.Time, e *run) {
 	if e.state == stopping && now.Sub(e.stopSentAt) < stopRetryInterval {
 		return
 	}
@@ -262,7 +264,7 @@
 
 // OwnerLost stops the runs of a process that was lost. Its caller may retry at another
 // process and have the tasks started again.
-func (b *Book) OwnerLost(now time.Time, o Owner) {
+func (b *WorkerLease) OwnerLost(now time.Time, o Owner) {
 	for _, e := range b.sortedRuns() {
 		if e.owner == o {
 			b.stop(now, e)
@@ -271,14 +273,14 @@
 }
 
 // Drain marks the worker as draining: all further starts are refused.
-func (b *Book) Drain() {
+func (b *WorkerLease) Drain() {
 	b.unreported = b.unreported || !b.draining
 	b.draining = true
 }
 
 // Release gives the worker up for another holder: nothing is started any more, and the
 // book closes once no start is unanswered.
-func (b *Book) Release(now time.Time) {
+func (b *WorkerLease) Release(now time.Time) {
 	if b.phase != closed {
 		b.phase = releasing
 		b.unreported = true
@@ -287,7 +289,7 @@
 }
 
 // Tick performs what is due at a time.
-func (b *Book) Tick(now time.Time) {
+func (b *WorkerLease) Tick(now time.Time) {
 	switch b.phase {
 	case closed:
 		return
@@ -296,7 +298,7 @@
 			b.endClaiming(now)
 		}
 	case releasing:
-		if b.Unanswered() == 0 {
+		if b.UnansweredStarts() == 0 {
 			b.close("passed_on")
 			return
 		}
@@ -322,8 +324,8 @@
 	b.callHold(now)
 }
 
-// Unanswered returns the number of unanswered starts.
-func (b *Book) Unanswered() int {
+// UnansweredStarts returns the number of unanswered starts.
+func (b *WorkerLease) UnansweredStarts() int {
 	n := 0
 	for _, e := range b.runs {
 		if e.state == starting {
@@ -334,18 +336,20 @@
 }
 
 // expireRuns reports the runs of an unusable worker as lost: their leases have expired.
-func (b *Book) expireRuns(now time.Time) {
+func (b *WorkerLease) expireRuns(now time.Time) {
 	for _, e := range b.sortedRuns() {
-		b.end(now, e, End{Run: e.Run, How: Lost})
+		b.end(now, e, End{Run: e.Run, Outcome: Lost})
 	}
 }
 
-func (b *Book) emit(a Action) { b.actions = append(b.actions, a) }
+func (b *WorkerLease) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Book) tellOwner(o Owner, e End) { b.emit(Action{Tell: &Told{Owner: o, End: e}}) }
+func (b *WorkerLease) tellOwner(o Owner, e End) {
+	b.emit(Action{Report: &OwnerReport{Owner: o, End: e}})
+}
 
 // end removes a run and reports its end to the owner.
-func (b *Book) end(now time.Time, e *run, end End) {
+func (b *WorkerLease) end(now time.Time, e *run, end End) {
 	if _, ok := b.runs[e.Run]; !ok {
 		return
 	}
@@ -363,14 +367,14 @@
 
 // close ends this holding for a reason, a short name. What still runs there belongs to
 // the next holder.
-func (b *Book) close(why string) {
+func (b *WorkerLease) close(why string) {
 	b.phase, b.closeReason = closed, why
 	b.unreported = true
 }
 
 // sortedRuns returns the runs in the order of their starts, so that the same events have
 // the same outcome.
-func (b *Book) sortedRuns() []*run {
+func (b *WorkerLease) sortedRuns() []*run {
 	out := make([]*run, 0, len(b.runs))
 	for _, e := range b.runs {
 		out = append(out, e)
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -18,11 +18,11 @@
 func ms(n int) time.Time { return epoch.Add(time.Duration(n) * time.Millisecond) }
 
 func testWorker() Worker {
-	return Worker{ID: "w", Pool: "p", Room: Room{CPU: 64000, Memory: 1000}}
+	return Worker{ID: "w", Pool: "p", Resources: Resources{CPU: 64000, Memory: 1000}}
 }
 
 func claim(task Task, n int) Claim {
-	return Claim{Run: Run{task, n}, Room: Room{CPU: 27000, Memory: 10}, Estimate: 100 * time.Millisecond}
+	return Claim{Run: Run{task, n}, Resources: Resources{CPU: 27000, Memory: 10}, Estimate: 100 * time.Millisecond}
 }
 
 func order(task Task, n int) Order {
@@ -32,9 +32,9 @@
 // listResult returns the answer to a hold call. The worker's clock runs like ours,
 // starting at 5 s.
 func listResult(now time.Time, running []Run, ended ...ListedEnd) Result {
-	r := Result{Verdict: OK, Clock: 5000 + now.Sub(epoch).Milliseconds(), Born: 7, Ended: ended}
+	r := Result{Verdict: OK, Clock: 5000 + now.Sub(epoch).Milliseconds(), Incarnation: 7, Ended: ended}
 	for _, k := range running {
-		r.Running = append(r.Running, Listed{Run: k})
+		r.Running = append(r.Running, ListedRun{Run: k})
 	}
 	return r
 }
@@ -44,11 +44,11 @@
 	holds  []HoldCall
 	starts []StartCall
 	stops  []StopCall
-	tells  []Told
+	tells  []OwnerReport
 	held   bool
 }
 
-func takeActions(b *Book) actions {
+func takeActions(b *WorkerLease) actions {
 	var out actions
 	for _, a := range b.Take() {
 		switch {
@@ -58,9 +58,9 @@
 			out.starts = append(out.starts, *a.Start)
 		case a.Stop != nil:
 			out.stops = append(out.stops, *a.Stop)
-		case a.Tell != nil:
-			out.tells = append(out.tells, *a.Tell)
-		case a.Held:
+		case a.Report != nil:
+			out.tells = append(out.tells, *a.Report)
+		case a.AnnounceHeld:
 			out.held = true
 		}
 	}
@@ -68,14 +68,14 @@
 }
 
 // newOpenBook returns a book that holds an idle worker at 0 ms, with its first poll.
-func newOpenBook(t *testing.T) (*Book, HoldCall) {
+func newOpenBook(t *testing.T) (*WorkerLease, HoldCall) {
 	t.Helper()
-	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
+	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
 	first := takeActions(b).holds
 	if len(first) != 1 || first[0].Until != 0 || first[0].Wait != 0 {
 		t.Fatalf("the first call %+v is not a check", first)
 	}
-	b.Answered(ms(0), first[0], listResult(ms(0), nil))
+	b.HoldAnswered(ms(0), first[0], listResult(ms(0), nil))
 	polls := takeActions(b)
 	if !polls.held || len(polls.holds) != 1 || polls.holds[0].Until == 0 {
 		t.Fatalf("no renewal after the first answer: %+v", polls)
@@ -85,7 +85,7 @@
 
 // newRunningBook returns a book with one run, started at 10 ms, with its poll and its
 // start.
-func newRunningBook(t *testing.T) (*Book, HoldCall, StartCall) {
+func newRunningBook(t *testing.T) (*WorkerLease, HoldCall, StartCall) {
 	t.Helper()
 	b, poll := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
@@ -93,13 +93,13 @@
 	if len(s) != 1 {
 		t.Fatalf("%d starts", len(s))
 	}
-	b.Started(ms(11), s[0], Result{Verdict: OK, Clock: 5011})
+	b.StartAnswered(ms(11), s[0], Result{Verdict: OK, Clock: 5011})
 	return b, poll, s[0]
 }
 
-func wantEnd(t *testing.T, tells []Told, owner Owner, how How, why Reason) {
+func wantEnd(t *testing.T, tells []OwnerReport, owner Owner, how Outcome, why Reason) {
 	t.Helper()
-	if len(tells) != 1 || tells[0].Owner != owner || tells[0].End.How != how || tells[0].End.Why != why {
+	if len(tells) != 1 || tells[0].Owner != owner || tells[0].End.Outcome != how || tells[0].End.Why != why {
 		t.Errorf("reported %+v, want %v to %v because of %q", tells, how, owner, why)
 	}
 }
@@ -114,11 +114,11 @@
 	second := takeActions(b).starts[0]
 	b.Stop(ms(13), first.Run)
 	b.Start(ms(14), alice, order("c", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, NoRoom)
+	wantEnd(t, takeActions(b).tells, alice, NeverStarted, InsufficientResources)
 
-	b.Started(ms(100), second, Result{Verdict: NoAnswer})
+	b.StartAnswered(ms(100), second, Result{Verdict: NoAnswer})
 	check := takeActions(b).holds[0]
-	b.Answered(ms(101), check, listResult(ms(101), []Run{second.Run}, ListedEnd{1, first.Run, Stopped}))
+	b.HoldAnswered(ms(101), check, listResult(ms(101), []Run{second.Run}, ListedEnd{1, first.Run, Stopped}))
 	takeActions(b)
 	b.Start(ms(102), alice, order("c", 1))
 	if s := takeActions(b).starts; len(s) != 1 {
@@ -133,17 +133,17 @@
 	tests := []struct {
 		name    string
 		running bool
-		want    How
+		want    Outcome
 	}{
 		{"it runs", true, 0},
-		{"it does not run", false, Never},
+		{"it does not run", false, NeverStarted},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b, _ := newOpenBook(t)
 			b.Start(ms(10), alice, order("a", 1))
 			s := takeActions(b).starts[0]
-			b.Started(ms(90), s, Result{Verdict: NoAnswer})
+			b.StartAnswered(ms(90), s, Result{Verdict: NoAnswer})
 			got := takeActions(b)
 			if len(got.holds) != 1 || got.holds[0].Fence <= s.Fence || got.holds[0].Wait != 0 {
 				t.Fatalf("%+v, want one call that voids the start", got.holds)
@@ -155,7 +155,7 @@
 			if tt.running {
 				runs = append(runs, s.Run)
 			}
-			b.Answered(ms(91), got.holds[0], listResult(ms(91), runs))
+			b.HoldAnswered(ms(91), got.holds[0], listResult(ms(91), runs))
 			tells := takeActions(b).tells
 			if tt.want != 0 {
 				wantEnd(t, tells, alice, tt.want, Unanswered)
@@ -171,11 +171,11 @@
 // renewed anything. The runs continue under the old lease for almost a second. If they
 // were reported as lost earlier, their owner would start them again while they run.
 func TestLeaseOfTheHolderBefore(t *testing.T) {
-	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
+	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
 	check := takeActions(b).holds[0]
-	b.Answered(ms(0), check, listResult(ms(0), []Run{{"a", 1}}))
+	b.HoldAnswered(ms(0), check, listResult(ms(0), []Run{{"a", 1}}))
 	takeActions(b)
-	b.Thawed(ms(1))
+	b.Resumed(ms(1))
 	b.Claim(ms(1), alice, []Claim{claim("a", 1)})
 	for at := 1; at < 990; at += 10 {
 		got := takeActions(b)
@@ -183,7 +183,7 @@
 			t.Fatalf("at %d ms reported %+v", at, got.tells)
 		}
 		for _, h := range got.holds {
-			b.Answered(ms(at), h, Result{Verdict: NoAnswer})
+			b.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
 		}
 		b.Tick(ms(at + 9))
 	}
@@ -191,7 +191,7 @@
 		b.Tick(ms(at))
 		got := takeActions(b)
 		for _, h := range got.holds {
-			b.Answered(ms(at), h, Result{Verdict: NoAnswer})
+			b.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
 		}
 		if len(got.tells) > 0 {
 			wantEnd(t, got.tells, alice, Lost, "")
@@ -204,8 +204,8 @@
 // A new holder finds runs and waits for their owners. A call that waits for ends without
 // renewing would keep it from renewing for its whole wait, and the runs would be killed.
 func TestClaimedRunsAreRenewedAtOnce(t *testing.T) {
-	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}))
+	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}))
 	if h := takeActions(b).holds; len(h) != 0 {
 		t.Fatalf("calls %+v while runs are claimed", h)
 	}
@@ -219,8 +219,8 @@
 // holder finds a run that nobody claims. If its lease were renewed, it would run beside
 // the copy that the caller has sent to another process.
 func TestUnclaimedRunIsStopped(t *testing.T) {
-	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}, {"b", 1}}))
+	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}, {"b", 1}}))
 	takeActions(b)
 	b.Claim(ms(2), alice, []Claim{claim("a", 1)})
 	b.Tick(ms(100))
@@ -237,18 +237,18 @@
 // A new holder gets claims for runs that ended before it took over, that continue, and
 // that it has never seen.
 func TestClaims(t *testing.T) {
-	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
-	b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}, ListedEnd{4, Run{"b", 1}, Done}, ListedEnd{5, Run{"c", 1}, Failed}))
+	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}, ListedEnd{4, Run{"b", 1}, Done}, ListedEnd{5, Run{"c", 1}, Failed}))
 	takeActions(b)
 	b.Claim(ms(2), bob, []Claim{claim("a", 1), claim("b", 1), claim("c", 1), claim("d", 1)})
-	var got []How
+	var got []Outcome
 	for _, e := range takeActions(b).tells {
 		if e.Owner != bob {
 			t.Errorf("reported to %v", e.Owner)
 		}
-		got = append(got, e.End.How)
+		got = append(got, e.End.Outcome)
 	}
-	if want := []How{Done, Failed, Lost}; !slices.Equal(got, want) {
+	if want := []Outcome{Done, Failed, Lost}; !slices.Equal(got, want) {
 		t.Errorf("reported %v, want %v", got, want)
 	}
 }
@@ -258,12 +258,12 @@
 // its own any more.
 func TestReplacedHolder(t *testing.T) {
 	b, poll, s := newRunningBook(t)
-	b.Answered(ms(20), poll, Result{Verdict: Refused, Reason: Fenced})
+	b.HoldAnswered(ms(20), poll, Result{Verdict: Refused, Reason: Fenced})
 	if got := takeActions(b); !b.Closed() || len(got.tells) != 0 || len(got.stops) != 0 {
 		t.Errorf("closed %v, actions %+v", b.Closed(), got)
 	}
 	b.Start(ms(21), alice, order("z", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, NotHeld)
+	wantEnd(t, takeActions(b).tells, alice, NeverStarted, NotHeld)
 	if o := b.Owners(); len(o) != 1 || o[0] != alice {
 		t.Errorf("owners %v of %v", o, s.Run)
 	}
@@ -273,11 +273,11 @@
 // numbers of its ends start over.
 func TestRestartedWorker(t *testing.T) {
 	b, poll, _ := newRunningBook(t)
-	r := Result{Verdict: OK, Clock: 3, Born: 8}
-	b.Answered(ms(300), poll, r)
+	r := Result{Verdict: OK, Clock: 3, Incarnation: 8}
+	b.HoldAnswered(ms(300), poll, r)
 	got := takeActions(b)
 	wantEnd(t, got.tells, alice, Lost, "")
-	if len(got.holds) != 1 || got.holds[0].Seen != 0 || got.holds[0].Until > 3+2000 {
+	if len(got.holds) != 1 || got.holds[0].LastEndSeen != 0 || got.holds[0].Until > 3+2000 {
 		t.Errorf("calls %+v use the clock of the earlier incarnation", got.holds)
 	}
 	b.Start(ms(301), alice, order("a", 2))
@@ -290,11 +290,11 @@
 // a run was started, and does not contain it.
 func TestOldList(t *testing.T) {
 	b, poll, _ := newRunningBook(t)
-	b.Answered(ms(20), poll, listResult(ms(5), nil))
+	b.HoldAnswered(ms(20), poll, listResult(ms(5), nil))
 	if got := takeActions(b).tells; len(got) != 0 {
 		t.Errorf("reported %+v from a list older than the start", got)
 	}
-	b.Answered(ms(30), HoldCall{Fence: b.Fence()}, listResult(ms(30), nil))
+	b.HoldAnswered(ms(30), HoldCall{Fence: b.Fence()}, listResult(ms(30), nil))
 	wantEnd(t, takeActions(b).tells, alice, Lost, "")
 }
 
@@ -302,7 +302,7 @@
 // when every lease that was asked for has expired, also on a clock that is slow.
 func TestRunsAreLostWhenTheLeaseExpires(t *testing.T) {
 	b, poll, _ := newRunningBook(t)
-	b.Answered(ms(500), poll, Result{Verdict: NoAnswer})
+	b.HoldAnswered(ms(500), poll, Result{Verdict: NoAnswer})
 	for at := 500; at < 2000; at += 10 {
 		b.Tick(ms(at))
 		got := takeActions(b)
@@ -310,7 +310,7 @@
 			if h.Until != 0 {
 				t.Fatalf("%+v renews although the worker does not answer", h)
 			}
-			b.Answered(ms(at), h, Result{Verdict: NoAnswer})
+			b.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
 		}
 		if len(got.tells) == 0 {
 			continue
@@ -329,7 +329,7 @@
 // occasional lost calls would take a good part of all workers out of use.
 func TestOneLostCall(t *testing.T) {
 	b, poll, _ := newRunningBook(t)
-	b.Answered(ms(400), poll, Result{Verdict: NoAnswer})
+	b.HoldAnswered(ms(400), poll, Result{Verdict: NoAnswer})
 	got := takeActions(b)
 	if len(got.holds) != 1 || got.holds[0].Wait != 0 {
 		t.Fatalf("calls %+v, want one check at once", got.holds)
@@ -340,13 +340,13 @@
 	}
 	for i := range unreachableThreshold - 1 {
 		check := got.holds[0]
-		b.Answered(ms(410+i), check, Result{Verdict: NoAnswer})
+		b.HoldAnswered(ms(410+i), check, Result{Verdict: NoAnswer})
 		if got = takeActions(b); len(got.holds) == 0 {
 			break
 		}
 	}
 	b.Start(ms(420), alice, order("c", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, Unusable)
+	wantEnd(t, takeActions(b).tells, alice, NeverStarted, Unusable)
 }
 
 // A holder that releases its worker starts nothing more and closes when no start is
@@ -357,11 +357,11 @@
 	s := takeActions(b).starts[0]
 	b.Release(ms(11))
 	b.Start(ms(12), alice, order("b", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, NotHeld)
+	wantEnd(t, takeActions(b).tells, alice, NeverStarted, NotHeld)
 	if b.Closed() {
 		t.Error("closed while a start is unanswered")
 	}
-	b.Started(ms(13), s, Result{Verdict: OK, Clock: 5013})
+	b.StartAnswered(ms(13), s, Result{Verdict: OK, Clock: 5013})
 	b.Tick(ms(14))
 	if !b.Closed() {
 		t.Error("not closed")
@@ -373,7 +373,7 @@
 	b, _ := newOpenBook(t)
 	b.Drain()
 	b.Start(ms(10), alice, order("a", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, Draining)
+	wantEnd(t, takeActions(b).tells, alice, NeverStarted, Draining)
 	if s := b.State(ms(11)); !s.Draining {
 		t.Error("the state does not show that the worker drains")
 	}
@@ -386,9 +386,9 @@
 	b.Start(ms(10), alice, order("a", 1))
 	b.Start(ms(10), alice, order("b", 1))
 	starts := takeActions(b).starts
-	b.Started(ms(90), starts[0], Result{Verdict: NoAnswer})
+	b.StartAnswered(ms(90), starts[0], Result{Verdict: NoAnswer})
 	takeActions(b)
-	b.Started(ms(91), starts[1], Result{Verdict: Refused, Reason: Fenced, Clock: 5091})
+	b.StartAnswered(ms(91), starts[1], Result{Verdict: Refused, Reason: Fenced, Clock: 5091})
 	got := takeActions(b)
 	if len(got.tells) != 0 || len(got.starts) != 1 || got.starts[0].Fence <= starts[1].Fence {
 		t.Errorf("%+v, want the start again with a higher round", got)
@@ -428,18 +428,18 @@
 // time.
 func TestAnswersFromBeforeAPause(t *testing.T) {
 	b, poll, s := newRunningBook(t)
-	b.Thawed(ms(5000))
+	b.Resumed(ms(5000))
 	check := takeActions(b).holds
 	if len(check) != 1 || check[0].Until != 0 {
 		t.Fatalf("calls %+v after a pause, want one that renews nothing", check)
 	}
-	b.Answered(ms(5001), poll, listResult(ms(300), nil))
+	b.HoldAnswered(ms(5001), poll, listResult(ms(300), nil))
 	if got := takeActions(b); len(got.tells) != 0 || len(got.holds) != 0 {
 		t.Errorf("%+v from an answer older than the suspension", got)
 	}
 	b.Start(ms(5002), alice, order("b", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, Unusable)
-	b.Answered(ms(5003), check[0], listResult(ms(5003), []Run{s.Run}))
+	wantEnd(t, takeActions(b).tells, alice, NeverStarted, Unusable)
+	b.HoldAnswered(ms(5003), check[0], listResult(ms(5003), []Run{s.Run}))
 	if got := takeActions(b).tells; len(got) != 0 {
 		t.Errorf("reported %+v of a run that continues", got)
 	}
@@ -451,14 +451,14 @@
 // lost: it was one run in three. So a holder that never got an answer gives up, and does
 // not claim to have used a fence.
 func TestHolderThatNeverGetsAnAnswerGivesUp(t *testing.T) {
-	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
+	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
 	for at := 0; at < 600; at += 20 {
 		for _, h := range takeActions(b).holds {
-			b.Answered(ms(at+20), h, Result{Verdict: NoAnswer})
+			b.HoldAnswered(ms(at+20), h, Result{Verdict: NoAnswer})
 		}
 		b.Tick(ms(at + 20))
 	}
-	if s, _ := b.Changed(ms(700)); !b.Closed() || !s.Gone || s.Fence != 0 {
+	if s, _ := b.Changed(ms(700)); !b.Closed() || !s.Released || s.Fence != 0 {
 		t.Errorf("closed %v, state %+v", b.Closed(), s)
 	}
 }
@@ -470,12 +470,12 @@
 	b, poll := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
 	s := takeActions(b).starts[0]
-	b.Started(ms(11), s, Result{Verdict: OK, Clock: 5011})
-	b.Answered(ms(20), poll, listResult(ms(20), []Run{s.Run}))
+	b.StartAnswered(ms(11), s, Result{Verdict: OK, Clock: 5011})
+	b.HoldAnswered(ms(20), poll, listResult(ms(20), []Run{s.Run}))
 	takeActions(b)
 	for at := 1400; at < 2390; at += 50 {
 		if at == 1400 {
-			b.Thawed(ms(at))
+			b.Resumed(ms(at))
 		}
 		b.Tick(ms(at))
 		if got := takeActions(b).tells; len(got) != 0 {
@@ -493,9 +493,9 @@
 	b.Start(ms(10), alice, order("a", 1))
 	first := takeActions(b).starts[0]
 	b.Start(ms(11), alice, order("b", 1))
-	b.Started(ms(60), takeActions(b).starts[0], Result{Verdict: NoAnswer})
+	b.StartAnswered(ms(60), takeActions(b).starts[0], Result{Verdict: NoAnswer})
 	b.Claim(ms(61), alice, []Claim{claim("a", 1)})
-	b.Started(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
+	b.StartAnswered(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
 	again := takeActions(b).starts
 	if len(again) != 1 || again[0].Spec != "text" {
 		t.Errorf("sent again: %+v", again)
@@ -507,12 +507,12 @@
 // be past: a run that the previous holder has just renewed would be reported as lost at
 // once, and started beside itself.
 func TestSuspendedBeforeTheFirstAnswer(t *testing.T) {
-	b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, &Habits{})
+	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
 	first := takeActions(b).holds[0]
-	b.Thawed(ms(700))
-	b.Answered(ms(701), first, Result{Verdict: NoAnswer})
+	b.Resumed(ms(700))
+	b.HoldAnswered(ms(701), first, Result{Verdict: NoAnswer})
 	for _, h := range takeActions(b).holds {
-		b.Answered(ms(702), h, listResult(ms(702), nil))
+		b.HoldAnswered(ms(702), h, listResult(ms(702), nil))
 	}
 	if end := b.LeaseEnd(); end.Before(ms(1702)) || end.After(ms(3000)) {
 		t.Errorf("the lease ends at %v", end.Sub(epoch))
@@ -532,26 +532,26 @@
 			b, poll, old := newRunningBook(t)
 			b.Start(ms(20), alice, order("b", 1))
 			s := takeActions(b).starts[0]
-			r := Result{Verdict: OK, Clock: 4, Born: 8}
+			r := Result{Verdict: OK, Clock: 4, Incarnation: 8}
 			if tt.running {
-				r.Running = []Listed{{Run: s.Run}}
+				r.Running = []ListedRun{{Run: s.Run}}
 			}
-			b.Answered(ms(21), poll, r)
+			b.HoldAnswered(ms(21), poll, r)
 			got := takeActions(b)
 			wantEnd(t, got.tells, alice, Lost, "")
 			if got.tells[0].End.Run != old.Run {
 				t.Errorf("%v is lost", got.tells[0].End.Run)
 			}
-			b.Started(ms(22), s, Result{Verdict: OK, Clock: 5})
+			b.StartAnswered(ms(22), s, Result{Verdict: OK, Clock: 5})
 			for range 2 {
 				for _, h := range takeActions(b).holds {
-					b.Answered(ms(30), h, Result{Verdict: OK, Clock: 9, Born: 8, Running: []Listed{{Run: s.Run}}})
+					b.HoldAnswered(ms(30), h, Result{Verdict: OK, Clock: 9, Incarnation: 8, Running: []ListedRun{{Run: s.Run}}})
 				}
 			}
 			if got := takeActions(b).tells; len(got) != 0 {
 				t.Errorf("reported %+v of the run on the new incarnation", got)
 			}
-			if n := len(b.Peek(ms(40)).Runs); n != 1 {
+			if n := len(b.Snapshot(ms(40)).Runs); n != 1 {
 				t.Errorf("%d runs, want that of the new incarnation", n)
 			}
 		})
@@ -565,15 +565,15 @@
 	b, poll := newOpenBook(t)
 	b.Start(ms(10), alice, order("a", 1))
 	s := takeActions(b).starts[0]
-	b.Started(ms(11), s, Result{Verdict: Refused, Reason: NoRoom, Clock: 5011})
+	b.StartAnswered(ms(11), s, Result{Verdict: Refused, Reason: InsufficientResources, Clock: 5011})
 	got := takeActions(b)
-	wantEnd(t, got.tells, alice, Never, NoRoom)
+	wantEnd(t, got.tells, alice, NeverStarted, InsufficientResources)
 	if len(got.holds) != 1 || b.State(ms(12)).Open {
 		t.Fatalf("calls %+v, open %v; want a check, and no more starts", got.holds, b.State(ms(12)).Open)
 	}
 	b.Start(ms(13), alice, order("b", 1))
-	wantEnd(t, takeActions(b).tells, alice, Never, NoRoom)
-	b.Answered(ms(14), got.holds[0], listResult(ms(14), nil))
+	wantEnd(t, takeActions(b).tells, alice, NeverStarted, InsufficientResources)
+	b.HoldAnswered(ms(14), got.holds[0], listResult(ms(14), nil))
 	if !b.State(ms(15)).Open {
 		t.Error("not open after the list")
 	}
--- a/lease/call.go
+++ b/lease/call.go
@@ -10,8 +10,8 @@
 	// Until is the requested end of the lease on the worker's clock, in milliseconds; 0
 	// renews nothing.
 	Until int64
-	// Seen is the number of the last end that needn't be listed again.
-	Seen int64
+	// LastEndSeen is the number of the last end that needn't be listed again.
+	LastEndSeen int64
 	// Wait is how long the worker may wait for an end before it answers.
 	Wait time.Duration
 	// Timeout is how long after Sent the call counts as unanswered.
@@ -51,8 +51,8 @@
 	OK Verdict = iota + 1
 	// Refused: it did nothing, for the reason given.
 	Refused
-	// OtherBoot: another incarnation of a worker answers at the address.
-	OtherBoot
+	// OtherIncarnation: another incarnation of a worker answers at the address.
+	OtherIncarnation
 	// NoAnswer: it may have done what it was asked to, or may do it later.
 	NoAnswer
 )
@@ -63,14 +63,14 @@
 	Reason  Reason
 	// Clock is the worker's clock in milliseconds, 0 if the answer has none.
 	Clock int64
-	// Born identifies the worker's incarnation, in the answer to a hold call.
-	Born    int64
-	Running []Listed
-	Ended   []ListedEnd
+	// Incarnation identifies the worker's incarnation, in the answer to a hold call.
+	Incarnation int64
+	Running     []ListedRun
+	Ended       []ListedEnd
 }
 
-// Listed is a run in the worker's list of what it runs.
-type Listed struct {
+// ListedRun is a run in the worker's list of what it runs.
+type ListedRun struct {
 	Run
 	// Percent is how much of the work is done.
 	Percent int
@@ -80,7 +80,7 @@
 type ListedEnd struct {
 	Number int64
 	Run
-	How How
+	Outcome Outcome
 }
 
 // Action is what a book asks its driver to do. One field is set.
@@ -88,15 +88,15 @@
 	Hold  *HoldCall
 	Start *StartCall
 	Stop  *StopCall
-	// Tell reports an end to the owner of the run.
-	Tell *Told
-	// Held announces to all processes that this one holds the worker now; those that have
+	// Report reports an end to the owner of the run.
+	Report *OwnerReport
+	// AnnounceHeld announces to all processes that this one holds the worker now; those that have
 	// runs there claim them.
-	Held bool
+	AnnounceHeld bool
 }
 
-// Told is an end and the owner that must know it.
-type Told struct {
+// OwnerReport is an end and the owner that must know it.
+type OwnerReport struct {
 	Owner Owner
 	End   End
 }
--- a/lease/claim.go
+++ b/lease/claim.go
@@ -6,7 +6,7 @@
 // no text, so that a claim can't replace the text of the order that was given.
 type Claim struct {
 	Run
-	Room Room
+	Resources Resources
 	// Estimate is the expected duration at ordinary speed.
 	Estimate time.Duration
 }
@@ -15,7 +15,7 @@
 // worker, or, in a new session with the owner, for those that it has started itself. Runs
 // that don't exist are reported as lost. It must not be called for runs that were placed
 // under a later holder: this one's list is older than they are.
-func (b *Book) Claim(now time.Time, owner Owner, claims []Claim) {
+func (b *WorkerLease) Claim(now time.Time, owner Owner, claims []Claim) {
 	for _, c := range claims {
 		b.claim(owner, c)
 	}
@@ -24,7 +24,7 @@
 	}
 }
 
-func (b *Book) claim(owner Owner, c Claim) {
+func (b *WorkerLease) claim(owner Owner, c Claim) {
 	if e, ok := b.runs[c.Run]; ok {
 		e.owner, e.orphan = owner, false
 		e.Claim = c
@@ -32,7 +32,7 @@
 		return
 	}
 	if how, ok := b.unclaimedEnds[c.Run]; ok {
-		b.tellOwner(owner, End{Run: c.Run, How: how})
+		b.tellOwner(owner, End{Run: c.Run, Outcome: how})
 		return
 	}
 	// Before the first list nothing is known; the claim is repeated when the worker is
@@ -40,10 +40,10 @@
 	if b.phase == connecting {
 		return
 	}
-	b.tellOwner(owner, End{Run: c.Run, How: Lost})
+	b.tellOwner(owner, End{Run: c.Run, Outcome: Lost})
 }
 
-func (b *Book) hasOrphans() bool {
+func (b *WorkerLease) hasOrphans() bool {
 	for _, e := range b.runs {
 		if e.orphan {
 			return true
@@ -54,9 +54,9 @@
 
 // endClaiming opens the worker after the owners have claimed their runs. Unclaimed runs
 // are stopped: their caller may be served by another process by now.
-func (b *Book) endClaiming(now time.Time) {
+func (b *WorkerLease) endClaiming(now time.Time) {
 	b.phase = open
-	b.unclaimedEnds = make(map[Run]How)
+	b.unclaimedEnds = make(map[Run]Outcome)
 	b.unreported = true
 	for _, e := range b.sortedRuns() {
 		if e.orphan {
--- a/lease/hold.go
+++ b/lease/hold.go
@@ -8,7 +8,7 @@
 // callHold issues hold calls: a poll, which waits for ends, and a check, which returns at
 // once, when the worker does not answer or something has to be known now. No poll is made
 // while runs are being claimed: it would renew nothing and delay the call that renews.
-func (b *Book) callHold(now time.Time) {
+func (b *WorkerLease) callHold(now time.Time) {
 	if b.phase == closed || now.Before(b.nextHoldAt) {
 		return
 	}
@@ -21,7 +21,7 @@
 	}
 }
 
-func (b *Book) nextPollWait(now time.Time) time.Duration {
+func (b *WorkerLease) nextPollWait(now time.Time) time.Duration {
 	switch {
 	case now.Before(b.lossyUntil):
 		return lossyPollWait
@@ -31,9 +31,9 @@
 	return pollWait
 }
 
-func (b *Book) emitHoldCall(now time.Time, wait time.Duration) int {
+func (b *WorkerLease) emitHoldCall(now time.Time, wait time.Duration) int {
 	b.callCount++
-	c := &HoldCall{Number: b.callCount, Fence: b.fence, Seen: b.lastEndSeen, Wait: wait, Timeout: wait + b.pool.timeout(answerTimeout), Sent: now}
+	c := &HoldCall{Number: b.callCount, Fence: b.fence, LastEndSeen: b.lastEndSeen, Wait: wait, Timeout: wait + b.pool.timeout(answerTimeout), Sent: now}
 	// A call to an unreachable worker renews nothing: the renewal may take effect
 	// although the answer is lost, and the runs there would be in doubt for as long as
 	// calls are tried. Nor does the first call after a suspension.
@@ -45,8 +45,8 @@
 	return c.Number
 }
 
-// Answered handles the answer to a hold call.
-func (b *Book) Answered(now time.Time, c HoldCall, r Result) {
+// HoldAnswered handles the answer to a hold call.
+func (b *WorkerLease) HoldAnswered(now time.Time, c HoldCall, r Result) {
 	if b.fromEarlierHolding(c.Fence) {
 		return
 	}
@@ -71,7 +71,7 @@
 		b.handleList(now, c, r)
 	case Refused:
 		b.holdRefused(now, c, r)
-	case OtherBoot:
+	case OtherIncarnation:
 		b.loseAllRuns(now)
 		b.close("worker_gone")
 	case NoAnswer:
@@ -85,14 +85,14 @@
 // by this process. Its answer shows the state before others held the worker: taken for
 // the answer to the first call, it would make this holder report runs as missing that it
 // has never seen.
-func (b *Book) fromEarlierHolding(f Fence) bool { return f < b.firstFence }
+func (b *WorkerLease) fromEarlierHolding(f Fence) bool { return f < b.firstFence }
 
-// Spent returns the highest fence that was used in calls. The next holding of this
+// HighestFence returns the highest fence that was used in calls. The next holding of this
 // process must begin above it, also when the planner does not know of it.
-func (b *Book) Spent() Fence { return max(b.spentFence, b.fence) }
+func (b *WorkerLease) HighestFence() Fence { return max(b.spentFence, b.fence) }
 
 // closeIfNeverAnswered gives up a worker that has never answered.
-func (b *Book) closeIfNeverAnswered() {
+func (b *WorkerLease) closeIfNeverAnswered() {
 	if b.phase == connecting && b.clock == 0 && b.failures >= unreachableThreshold {
 		b.spentFence, b.fence = b.fence, 0
 		b.close("out_of_reach")
@@ -101,7 +101,7 @@
 
 // holdRefused looks for a higher fence at the beginning; later, a refusal of the fence in
 // use means that another holder has taken over.
-func (b *Book) holdRefused(now time.Time, c HoldCall, r Result) {
+func (b *WorkerLease) holdRefused(now time.Time, c HoldCall, r Result) {
 	switch {
 	case r.Reason != Fenced:
 		b.usable = false
@@ -119,11 +119,11 @@
 }
 
 // handleList handles a worker's list of what it runs and what has ended.
-func (b *Book) handleList(now time.Time, c HoldCall, r Result) {
-	if b.incarnation != 0 && r.Born != b.incarnation {
+func (b *WorkerLease) handleList(now time.Time, c HoldCall, r Result) {
+	if b.incarnation != 0 && r.Incarnation != b.incarnation {
 		b.handleRestart(now, c, r)
 	}
-	b.incarnation = r.Born
+	b.incarnation = r.Incarnation
 	b.unreported = b.unreported || b.failures > 0
 	b.failures = 0
 	if c.Fence == b.fence && !b.usable {
@@ -151,8 +151,8 @@
 }
 
 // firstListDone announces the worker as held, and opens it or waits for claims.
-func (b *Book) firstListDone(now time.Time) {
-	b.emit(Action{Held: true})
+func (b *WorkerLease) firstListDone(now time.Time) {
+	b.emit(Action{AnnounceHeld: true})
 	b.unreported = true
 	if len(b.runs) == 0 && len(b.unclaimedEnds) == 0 {
 		b.phase = open
@@ -166,29 +166,29 @@
 // and its clock and the numbers of its ends start over. A start in flight may have
 // reached the new incarnation, which knows no fence yet; it is either listed, or
 // unconfirmed for as long as the worker may still accept it.
-func (b *Book) handleRestart(now time.Time, c HoldCall, r Result) {
+func (b *WorkerLease) handleRestart(now time.Time, c HoldCall, r Result) {
 	b.clock, b.listClock, b.leaseEnd, b.lastEndSeen = 0, 0, 0, 0
-	b.unclaimedEnds = make(map[Run]How)
+	b.unclaimedEnds = make(map[Run]Outcome)
 	for _, e := range b.sortedRuns() {
-		here := slices.ContainsFunc(r.Running, func(l Listed) bool { return l.Run == e.Run })
+		here := slices.ContainsFunc(r.Running, func(l ListedRun) bool { return l.Run == e.Run })
 		switch {
 		case here:
 			e.clock = r.Clock
 		case e.confirmedAt.IsZero() && c.Fence <= e.fence:
 			b.resolveStart(now, e)
 		default:
-			b.end(now, e, End{Run: e.Run, How: Lost})
+			b.end(now, e, End{Run: e.Run, Outcome: Lost})
 		}
 	}
 }
 
-func (b *Book) loseAllRuns(now time.Time) {
+func (b *WorkerLease) loseAllRuns(now time.Time) {
 	for _, e := range b.sortedRuns() {
-		b.end(now, e, End{Run: e.Run, How: Lost})
+		b.end(now, e, End{Run: e.Run, Outcome: Lost})
 	}
 }
 
-func (b *Book) handleListedEnd(now time.Time, l ListedEnd) {
+func (b *WorkerLease) handleListedEnd(now time.Time, l ListedEnd) {
 	if l.Number <= b.lastEndSeen {
 		return
 	}
@@ -197,19 +197,19 @@
 	switch {
 	case ok && e.orphan:
 		delete(b.runs, l.Run)
-		b.unclaimedEnds[l.Run] = l.How
+		b.unclaimedEnds[l.Run] = l.Outcome
 		b.removedRuns = append(b.removedRuns, l.Run)
 		b.unreported = true
 	case ok:
-		b.end(now, e, End{Run: l.Run, How: l.How})
+		b.end(now, e, End{Run: l.Run, Outcome: l.Outcome})
 	case b.phase == connecting || b.phase == claiming:
-		b.unclaimedEnds[l.Run] = l.How
+		b.unclaimedEnds[l.Run] = l.Outcome
 	}
 }
 
 // reconcileRuns updates the known runs from a list.
-func (b *Book) reconcileRuns(now time.Time, c HoldCall, r Result) {
-	listed := make(map[Run]Listed, len(r.Running))
+func (b *WorkerLease) reconcileRuns(now time.Time, c HoldCall, r Result) {
+	listed := make(map[Run]ListedRun, len(r.Running))
 	for _, l := range r.Running {
 		listed[l.Run] = l
 	}
@@ -222,11 +222,11 @@
 				b.confirmStart(now, e, r.Clock)
 			}
 		case e.state == unconfirmed && c.Fence > e.fence:
-			b.end(now, e, End{Run: e.Run, How: Never, Why: Unanswered})
+			b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: Unanswered})
 		case e.state == stopping && e.confirmedAt.IsZero() && c.Fence > e.fence:
-			b.end(now, e, End{Run: e.Run, How: Never, Why: Unanswered})
+			b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: Unanswered})
 		case !e.confirmedAt.IsZero() && r.Clock > e.clock:
-			b.end(now, e, End{Run: e.Run, How: Lost})
+			b.end(now, e, End{Run: e.Run, Outcome: Lost})
 		}
 	}
 	for _, l := range r.Running {
@@ -239,7 +239,7 @@
 // adopt adds a listed run that is unknown here: it was started by the previous holder, or
 // by an order that was carried out late. If tasks may already be started, or the worker
 // is being released, the run is stopped.
-func (b *Book) adopt(now time.Time, l Listed, clock int64) {
+func (b *WorkerLease) adopt(now time.Time, l ListedRun, clock int64) {
 	e := &run{Claim: Claim{Run: l.Run}, state: running, orphan: true, adopted: true, sentAt: now, confirmedAt: now, progressedAt: now, clock: clock, percent: l.Percent}
 	b.runs[l.Run] = e
 	if b.phase == open || b.phase == releasing {
@@ -247,7 +247,7 @@
 	}
 }
 
-func (b *Book) updateClock(now time.Time, r Result) {
+func (b *WorkerLease) updateClock(now time.Time, r Result) {
 	if r.Clock > b.clock {
 		b.clock, b.clockAt = r.Clock, now
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -36,27 +36,33 @@
 	DataCenter string         `json:"dc" cbor:"3,keyasint,omitzero"`
 	Pool       string         `json:"pool" cbor:"4,keyasint,omitzero"`
 	// Kind and Rack are its labels.
-	Kind string `json:"kind,omitempty" cbor:"5,keyasint,omitzero"`
-	Rack string `json:"rack,omitempty" cbor:"6,keyasint,omitzero"`
-	Room Room   `json:"room" cbor:"7,keyasint,omitzero"`
+	Kind      string    `json:"kind,omitempty" cbor:"5,keyasint,omitzero"`
+	Rack      string    `json:"rack,omitempty" cbor:"6,keyasint,omitzero"`
+	Resources Resources `json:"room" cbor:"7,keyasint,omitzero"`
 }
 
-// Room is an amount of a worker's resources: CPU in thousandths of a core, memory in
+// Resources is an amount of a worker's resources: CPU in thousandths of a core, memory in
 // megabytes, and GPUs.
-type Room struct {
+type Resources struct {
 	CPU    int `json:"cpu,omitempty" cbor:"1,keyasint,omitzero"`
 	Memory int `json:"mem,omitempty" cbor:"2,keyasint,omitzero"`
 	GPU    int `json:"gpu,omitempty" cbor:"3,keyasint,omitzero"`
 }
 
 // Plus returns the sum.
-func (r Room) Plus(o Room) Room { return Room{r.CPU + o.CPU, r.Memory + o.Memory, r.GPU + o.GPU} }
+func (r Resources) Plus(o Resources) Resources {
+	return Resources{r.CPU + o.CPU, r.Memory + o.Memory, r.GPU + o.GPU}
+}
 
 // Minus returns the difference.
-func (r Room) Minus(o Room) Room { return Room{r.CPU - o.CPU, r.Memory - o.Memory, r.GPU - o.GPU} }
+func (r Resources) Minus(o Resources) Resources {
+	return Resources{r.CPU - o.CPU, r.Memory - o.Memory, r.GPU - o.GPU}
+}
 
 // Fits reports whether r fits into o.
-func (r Room) Fits(o Room) bool { return r.CPU <= o.CPU && r.Memory <= o.Memory && r.GPU <= o.GPU }
+func (r Resources) Fits(o Resources) bool {
+	return r.CPU <= o.CPU && r.Memory <= o.Memory && r.GPU <= o.GPU
+}
 
 // Fence is a fencing token: higher for each holder of a worker than for the one before,
 // and never the same for two.
@@ -129,48 +135,48 @@
 	Text
 }
 
-// How is the outcome of a run.
-type How int
+// Outcome is the outcome of a run.
+type Outcome int
 
 // The ways in which a run ends.
 const (
 	// Done: it completed its work.
-	Done How = iota + 1
+	Done Outcome = iota + 1
 	// Failed: it failed by its own fault or the worker's.
 	Failed
 	// Stopped: it was stopped by order.
 	Stopped
-	// Lapsed: the worker killed it because the lease had expired.
-	Lapsed
-	// Never: it was not started and will not be.
-	Never
+	// LeaseExpired: the worker killed it because the lease had expired.
+	LeaseExpired
+	// NeverStarted: it was not started and will not be.
+	NeverStarted
 	// Lost: it does not run any more, and its outcome is unknown.
 	Lost
 )
 
-var outcomeNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Never: "never", Lost: "lost"}
+var outcomeNames = map[Outcome]string{Done: "done", Failed: "failed", Stopped: "stopped", LeaseExpired: "lapsed", NeverStarted: "never", Lost: "lost"}
 
 // String returns the outcome's name.
-func (h How) String() string { return outcomeNames[h] }
+func (h Outcome) String() string { return outcomeNames[h] }
 
 // LogValue logs the outcome by its name.
-func (h How) LogValue() slog.Value { return slog.StringValue(h.String()) }
+func (h Outcome) LogValue() slog.Value { return slog.StringValue(h.String()) }
 
 // Reason is why a run was not started.
 type Reason string
 
 // The reasons.
 const (
-	NoRoom  Reason = "room"
-	NotHeld Reason = "not_held"
+	InsufficientResources Reason = "room"
+	NotHeld               Reason = "not_held"
 	// Unusable: the worker does not answer, or does not accept hold calls.
 	Unusable  Reason = "unsound"
 	Draining  Reason = "draining"
 	Unhealthy Reason = "unhealthy"
 	// Late: the order had expired when it reached the worker.
 	Late Reason = "late"
-	// Old: the worker was told before to stop this run of the task, or a later one.
-	Old Reason = "old"
+	// AlreadyStopped: the worker was told before to stop this run of the task, or a later one.
+	AlreadyStopped Reason = "old"
 	// Fenced: the worker has seen a higher fence than the order's.
 	Fenced Reason = "fenced"
 	// Unanswered: the start got no answer, and the worker does not run it.
@@ -184,16 +190,18 @@
 // End is the end of a run.
 type End struct {
 	Run
-	How How `cbor:"3,keyasint,omitzero"`
+	Outcome Outcome `cbor:"3,keyasint,omitzero"`
 	// Why is set if How is Never.
 	Why Reason `cbor:"4,keyasint,omitzero"`
 	// Took is how long it ran as seen by the holder, or 0 if that is unknown.
 	Took time.Duration `cbor:"5,keyasint,omitzero"`
 }
 
-// Unfit reports whether the order itself was wrong, so that no other worker will start
+// IsOrderWrong reports whether the order itself was wrong, so that no other worker will start
 // the run either.
-func (e End) Unfit() bool { return e.How == Never && (e.Why == TextDiffers || e.Why == Invalid) }
+func (e End) IsOrderWrong() bool {
+	return e.Outcome == NeverStarted && (e.Why == TextDiffers || e.Why == Invalid)
+}
 
 // Owner is the process that serves the caller whose task runs.
 type Owner = mesh.ID
--- a/lease/speed.go
+++ b/lease/speed.go
@@ -14,9 +14,9 @@
 	Factor float64 `json:"factor,omitempty" cbor:"1,keyasint,omitzero"`
 	// Ends counts the ends that Factor is based on.
 	Ends int `json:"ends,omitempty" cbor:"2,keyasint,omitzero"`
-	// Bad counts the jobs in a row whose runs failed, were refused or stalled, since the
+	// BadJobs counts the jobs in a row whose runs failed, were refused or stalled, since the
 	// last run that was done. A job whose tasks fail everywhere counts once.
-	Bad int `json:"bad,omitempty" cbor:"3,keyasint,omitzero"`
+	BadJobs int `json:"bad,omitempty" cbor:"3,keyasint,omitzero"`
 
 	lastBadJob string
 }
@@ -52,7 +52,7 @@
 // factorTolerance.
 func (s Speed) nearlyEqual(o Speed) bool {
 	sameKnowledge := s.Ends > 0 == (o.Ends > 0)
-	return s.Bad == o.Bad && sameKnowledge && math.Abs(s.Factor-o.Factor) <= factorTolerance*o.Factor
+	return s.BadJobs == o.BadJobs && sameKnowledge && math.Abs(s.Factor-o.Factor) <= factorTolerance*o.Factor
 }
 
 // factorTolerance is the share of a factor by which it may differ from what the planner
@@ -60,9 +60,9 @@
 const factorTolerance = 0.02
 
 func (s *Speed) learnFromEnd(e *run, end End) {
-	switch end.How {
+	switch end.Outcome {
 	case Done:
-		s.Bad, s.lastBadJob = 0, ""
+		s.BadJobs, s.lastBadJob = 0, ""
 		if !e.sampled && !e.adopted {
 			s.addSample(end.Took, e.Estimate)
 		}
@@ -76,7 +76,7 @@
 func (s *Speed) countBad(r Run) {
 	if job := r.Job(); job != s.lastBadJob {
 		s.lastBadJob = job
-		s.Bad++
+		s.BadJobs++
 	}
 }
 
@@ -92,9 +92,9 @@
 	s.Factor += w * (float64(max(took-messageOverhead, 0))/float64(estimate) - s.Factor)
 }
 
-// Habits is what is known of all workers of a pool together. The books of one process
+// PoolStats is what is known of all workers of a pool together. The books of one process
 // share it.
-type Habits struct {
+type PoolStats struct {
 	// ReportsProgress is set if workers report the progress of their runs. Where none
 	// does, a run without progress is not stalled.
 	ReportsProgress bool
@@ -105,7 +105,7 @@
 // updateProgress learns from the progress of a run. A worker whose tasks are stalled
 // looks healthy and keeps its resources in use; the run is stopped, so that its task can
 // continue on another worker.
-func (b *Book) updateProgress(now time.Time, e *run, percent int) {
+func (b *WorkerLease) updateProgress(now time.Time, e *run, percent int) {
 	if percent != e.percent {
 		e.percent, e.progressedAt = percent, now
 		b.pool.ReportsProgress = b.pool.ReportsProgress || percent > 0 && percent < 100
@@ -122,7 +122,7 @@
 	stallTimeout := max(minStallTimeout, time.Duration(stallShare*float64(e.Estimate)))
 	if b.pool.ReportsProgress && now.Sub(e.progressedAt) > stallTimeout && now.Sub(e.confirmedAt) > stallTimeout {
 		b.speed.countBad(e.Run)
-		b.speed.Bad = max(b.speed.Bad, stallBadCount)
+		b.speed.BadJobs = max(b.speed.BadJobs, stallBadCount)
 		b.stop(now, e)
 	}
 }
--- a/lease/speed_test.go
+++ b/lease/speed_test.go
@@ -24,7 +24,7 @@
 	for _, tt := range tests {
 		var s Speed
 		for range tt.ends {
-			s.learnFromEnd(&run{Claim: Claim{Estimate: tt.est}}, End{How: Done, Took: tt.took})
+			s.learnFromEnd(&run{Claim: Claim{Estimate: tt.est}}, End{Outcome: Done, Took: tt.took})
 		}
 		if s.Factor < tt.least || s.Factor > tt.most {
 			t.Errorf("%s: factor %.2f, want %.2f to %.2f", tt.name, s.Factor, tt.least, tt.most)
@@ -37,14 +37,14 @@
 func TestBadEnds(t *testing.T) {
 	var s Speed
 	for _, task := range []Task{"a.0.0.0", "a.0.0.1", "b.0.0.0", "b.0.0.3"} {
-		s.learnFromEnd(&run{Claim: Claim{Run: Run{Task: task}}}, End{How: Failed})
+		s.learnFromEnd(&run{Claim: Claim{Run: Run{Task: task}}}, End{Outcome: Failed})
 	}
-	if s.Bad != 2 {
-		t.Errorf("%d bad ends of two jobs", s.Bad)
+	if s.BadJobs != 2 {
+		t.Errorf("%d bad ends of two jobs", s.BadJobs)
 	}
-	s.learnFromEnd(&run{}, End{How: Done})
-	if s.Bad != 0 {
-		t.Errorf("%d bad ends after a good one", s.Bad)
+	s.learnFromEnd(&run{}, End{Outcome: Done})
+	if s.BadJobs != 0 {
+		t.Errorf("%d bad ends after a good one", s.BadJobs)
 	}
 }
 
@@ -53,16 +53,16 @@
 // never report progress, none of this may happen.
 func TestStalledRuns(t *testing.T) {
 	for _, reportsProgress := range []bool{true, false} {
-		stats := &Habits{ReportsProgress: reportsProgress}
-		b := NewBook(ms(0), testWorker(), NewFence(9), 0, Speed{}, stats)
-		b.Answered(ms(0), takeActions(b).holds[0], listResult(ms(0), nil))
+		stats := &PoolStats{ReportsProgress: reportsProgress}
+		b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, stats)
+		b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), nil))
 		poll := takeActions(b).holds[0]
 		b.Start(ms(10), alice, order("a", 1))
 		s := takeActions(b).starts[0]
-		b.Started(ms(11), s, Result{Verdict: OK, Clock: 5011})
+		b.StartAnswered(ms(11), s, Result{Verdict: OK, Clock: 5011})
 		stops := 0
 		for at := 300; at <= 1200; at += 300 {
-			b.Answered(ms(at), poll, listResult(ms(at), []Run{s.Run}))
+			b.HoldAnswered(ms(at), poll, listResult(ms(at), []Run{s.Run}))
 			got := takeActions(b)
 			stops += len(got.stops)
 			if len(got.holds) > 0 {
@@ -72,7 +72,7 @@
 		if want := reportsProgress; (stops > 0) != want {
 			t.Errorf("%d stops of a run without progress; progress is reported: %v", stops, reportsProgress)
 		}
-		if reportsProgress && b.State(ms(1300)).Speed.Bad < 2 {
+		if reportsProgress && b.State(ms(1300)).Speed.BadJobs < 2 {
 			t.Error("the worker counts as healthy")
 		}
 	}
@@ -83,8 +83,8 @@
 func TestSpeedFromProgress(t *testing.T) {
 	b, poll, s := newRunningBook(t)
 	r := listResult(ms(310), nil)
-	r.Running = []Listed{{Run: s.Run, Percent: 50}}
-	b.Answered(ms(310), poll, r)
+	r.Running = []ListedRun{{Run: s.Run, Percent: 50}}
+	b.HoldAnswered(ms(310), poll, r)
 	if f := b.State(ms(311)).Speed.Factor; f < 2 {
 		t.Errorf("factor %.2f of a worker that took 300 ms for half of 100 ms of work", f)
 	}
--- a/lease/start.go
+++ b/lease/start.go
@@ -3,14 +3,14 @@
 import "time"
 
 // Start starts a run for its owner, or reports why not.
-func (b *Book) Start(now time.Time, owner Owner, o Order) {
+func (b *WorkerLease) Start(now time.Time, owner Owner, o Order) {
 	if e, ok := b.runs[o.Run]; ok {
 		b.handleRepeatedStart(owner, e, o)
 		return
 	}
 	why := b.refusalReason(o)
 	if why != "" {
-		b.tellOwner(owner, End{Run: o.Run, How: Never, Why: why})
+		b.tellOwner(owner, End{Run: o.Run, Outcome: NeverStarted, Why: why})
 		b.removedRuns = append(b.removedRuns, o.Run)
 		b.reportFullState()
 		return
@@ -22,15 +22,15 @@
 
 // handleRepeatedStart handles the start of a run that exists already. If the order is
 // that of another job under the same id, its owner must not be given the end of this run.
-func (b *Book) handleRepeatedStart(owner Owner, e *run, o Order) {
+func (b *WorkerLease) handleRepeatedStart(owner Owner, e *run, o Order) {
 	if e.text != (Text{}) && e.text != o.Text {
-		b.tellOwner(owner, End{Run: o.Run, How: Never, Why: TextDiffers})
+		b.tellOwner(owner, End{Run: o.Run, Outcome: NeverStarted, Why: TextDiffers})
 		return
 	}
 	e.owner, e.orphan = owner, false
 }
 
-func (b *Book) refusalReason(o Order) Reason {
+func (b *WorkerLease) refusalReason(o Order) Reason {
 	switch {
 	case b.phase != open:
 		return NotHeld
@@ -38,8 +38,8 @@
 		return Draining
 	case !b.usable:
 		return Unusable
-	case b.resourcesRefused || !b.usedResources().Plus(o.Room).Fits(b.worker.Room):
-		return NoRoom
+	case b.resourcesRefused || !b.usedResources().Plus(o.Resources).Fits(b.worker.Resources):
+		return InsufficientResources
 	}
 	return ""
 }
@@ -47,9 +47,9 @@
 // sendStart issues the start of a run. A worker would run whatever text comes with the
 // order, so a text that is not the job's is not sent; the owner has the task placed
 // again.
-func (b *Book) sendStart(now time.Time, e *run) {
+func (b *WorkerLease) sendStart(now time.Time, e *run) {
 	if !e.text.matches(e.Job()) {
-		b.end(now, e, End{Run: e.Run, How: Never, Why: TextDiffers})
+		b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: TextDiffers})
 		return
 	}
 	e.state, e.fence, e.sentAt = starting, b.fence, now
@@ -59,15 +59,15 @@
 	b.emit(Action{Start: &StartCall{Order: Order{Claim: e.Claim, Text: e.text}, Until: until, Fence: e.fence, Attempt: e.attempt, Clock: b.clock, Timeout: b.nextStartTimeout(now), Sent: now}})
 }
 
-func (b *Book) nextStartTimeout(now time.Time) time.Duration {
+func (b *WorkerLease) nextStartTimeout(now time.Time) time.Duration {
 	if now.Before(b.lossyUntil) {
 		return b.pool.timeout(lossyStartTimeout)
 	}
 	return b.pool.timeout(startTimeout)
 }
 
-// Started handles the answer to a start.
-func (b *Book) Started(now time.Time, c StartCall, r Result) {
+// StartAnswered handles the answer to a start.
+func (b *WorkerLease) StartAnswered(now time.Time, c StartCall, r Result) {
 	if b.fromEarlierHolding(c.Fence) {
 		return
 	}
@@ -90,37 +90,37 @@
 		b.confirmStart(now, e, r.Clock)
 	case r.Verdict == Refused:
 		b.startRefused(now, e, c, r.Reason)
-	case r.Verdict == OtherBoot:
-		b.end(now, e, End{Run: e.Run, How: Never, Why: NotHeld})
+	case r.Verdict == OtherIncarnation:
+		b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: NotHeld})
 		b.close("worker_gone")
 	default:
 		b.resolveStart(now, e)
 	}
 }
 
-func (b *Book) confirmStart(now time.Time, e *run, clock int64) {
+func (b *WorkerLease) confirmStart(now time.Time, e *run, clock int64) {
 	e.confirmedAt, e.progressedAt, e.clock = now, now, clock
 	if e.state != stopping {
 		e.state = running
 	}
 }
 
-func (b *Book) startRefused(now time.Time, e *run, c StartCall, why Reason) {
+func (b *WorkerLease) startRefused(now time.Time, e *run, c StartCall, why Reason) {
 	if why != Fenced {
 		switch why {
 		case Unhealthy:
 			b.speed.countBad(e.Run)
-		case NoRoom:
+		case InsufficientResources:
 			b.handleResourcesRefused(now)
 		}
-		b.end(now, e, End{Run: e.Run, How: Never, Why: why})
+		b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: why})
 		return
 	}
 	if c.Fence < b.fence && e.state == starting && b.phase == open {
 		b.sendStart(now, e)
 		return
 	}
-	b.end(now, e, End{Run: e.Run, How: Never, Why: Fenced})
+	b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: Fenced})
 	if c.Fence == b.fence {
 		b.close(string(Fenced))
 	}
@@ -130,7 +130,7 @@
 // resources although some seemed free: it runs something unknown here. Until the next
 // list nothing is started: the planner would give the resources that seem free to one
 // task after the other.
-func (b *Book) handleResourcesRefused(now time.Time) {
+func (b *WorkerLease) handleResourcesRefused(now time.Time) {
 	b.resourcesRefused, b.checkDue = true, true
 	b.reportFullState()
 	b.nextHoldAt = now
@@ -140,12 +140,12 @@
 // reportFullState has the full state reported to the planner: it has granted a task that
 // could not be started. A new planner that was told only of the refused run, and did not
 // know the others, granted the same resources again every two milliseconds.
-func (b *Book) reportFullState() { b.unreported, b.fullStateSent = true, false }
+func (b *WorkerLease) reportFullState() { b.unreported, b.fullStateSent = true, false }
 
 // resolveStart begins to find out what became of an unanswered start. The order may still
 // be in flight. A hold call with a higher fence resolves this: the worker refuses the
 // order from then on, so the list in the answer is final.
-func (b *Book) resolveStart(now time.Time, e *run) {
+func (b *WorkerLease) resolveStart(now time.Time, e *run) {
 	if e.state == starting {
 		e.state = unconfirmed
 	}
--- a/lease/state.go
+++ b/lease/state.go
@@ -8,59 +8,59 @@
 // State is what a holder reports of a worker to the planner.
 type State struct {
 	ID string `json:"id" cbor:"1,keyasint,omitzero"`
-	// Part is set if whatever is left out is unchanged since the last state of this
+	// Partial is set if whatever is left out is unchanged since the last state of this
 	// worker: Fence and Speed if they are zero, and the runs that are neither in Runs nor
 	// in Ended. With all of it in each state a planner received four times as much.
-	Part bool `json:"-" cbor:"11,keyasint,omitzero"`
+	Partial bool `json:"-" cbor:"11,keyasint,omitzero"`
 	// Worker is set from time to time; a planner that does not know the worker waits for
 	// it.
 	Worker *Worker `json:"worker,omitempty" cbor:"2,keyasint,omitzero"`
 	Fence  Fence   `json:"fence" cbor:"3,keyasint,omitzero"`
 	// Open is set if tasks may be started there now.
 	Open bool `json:"open,omitempty" cbor:"4,keyasint,omitzero"`
-	// Gone is set if this process does not hold the worker any more.
-	Gone bool `json:"gone,omitempty" cbor:"5,keyasint,omitzero"`
+	// Released is set if this process does not hold the worker any more.
+	Released bool `json:"gone,omitempty" cbor:"5,keyasint,omitzero"`
 	// Draining is set if the worker takes no new tasks.
 	Draining bool `json:"draining,omitempty" cbor:"6,keyasint,omitzero"`
 	// Failures counts the unanswered hold calls since the last answer.
-	Failures int       `json:"failures,omitempty" cbor:"7,keyasint,omitzero"`
-	Runs     []Holding `json:"runs,omitempty" cbor:"8,keyasint,omitzero"`
+	Failures int        `json:"failures,omitempty" cbor:"7,keyasint,omitzero"`
+	Runs     []RunState `json:"runs,omitempty" cbor:"8,keyasint,omitzero"`
 	// Ended are the runs that were removed since the last state.
 	Ended []Run `json:"ended,omitempty" cbor:"9,keyasint,omitzero"`
 	Speed Speed `json:"speed" cbor:"10,keyasint,omitzero"`
 }
 
-// Holding is the state of one run on a worker.
-type Holding struct {
+// RunState is the state of one run on a worker.
+type RunState struct {
 	Run
-	Room     Room          `json:"room" cbor:"3,keyasint,omitzero"`
-	Age      time.Duration `json:"age" cbor:"4,keyasint,omitzero"`
-	Estimate time.Duration `json:"estimate,omitempty" cbor:"5,keyasint,omitzero"`
+	Resources Resources     `json:"room" cbor:"3,keyasint,omitzero"`
+	Age       time.Duration `json:"age" cbor:"4,keyasint,omitzero"`
+	Estimate  time.Duration `json:"estimate,omitempty" cbor:"5,keyasint,omitzero"`
 	// Percent is how much of the work was done when it last changed, which is Seen ago.
-	Percent  int           `json:"percent,omitempty" cbor:"6,keyasint,omitzero"`
-	Seen     time.Duration `json:"seen,omitempty" cbor:"7,keyasint,omitzero"`
-	Stopping bool          `json:"stopping,omitempty" cbor:"8,keyasint,omitzero"`
+	Percent     int           `json:"percent,omitempty" cbor:"6,keyasint,omitzero"`
+	ProgressAge time.Duration `json:"seen,omitempty" cbor:"7,keyasint,omitzero"`
+	Stopping    bool          `json:"stopping,omitempty" cbor:"8,keyasint,omitzero"`
 }
 
 // Changed returns what has changed of the state since the last call of Changed, Part or
 // State, or false if nothing has.
-func (b *Book) Changed(now time.Time) (State, bool) {
+func (b *WorkerLease) Changed(now time.Time) (State, bool) {
 	if !b.unreported {
 		return State{}, false
 	}
-	return b.Part(now), true
+	return b.Changes(now), true
 }
 
-// Part returns what has changed of the state, which may be nothing, or the full state
+// Changes returns what has changed of the state, which may be nothing, or the full state
 // without the worker while that is due.
-func (b *Book) Part(now time.Time) State {
+func (b *WorkerLease) Changes(now time.Time) State {
 	if !b.fullStateSent {
 		s := b.State(now)
 		s.Worker = nil
 		return s
 	}
 	s := b.summary()
-	s.Part = true
+	s.Partial = true
 	if s.Speed.nearlyEqual(b.lastReported.Speed) {
 		s.Speed = Speed{}
 	}
@@ -79,7 +79,7 @@
 }
 
 // recordReported records what the planner is told now.
-func (b *Book) recordReported(s State) {
+func (b *WorkerLease) recordReported(s State) {
 	if s.Fence != 0 {
 		b.lastReported.Fence = s.Fence
 	}
@@ -89,8 +89,8 @@
 }
 
 // State returns the full state and marks everything as reported.
-func (b *Book) State(now time.Time) State {
-	s := b.Peek(now)
+func (b *WorkerLease) State(now time.Time) State {
+	s := b.Snapshot(now)
 	b.unreported, b.removedRuns, b.fullStateSent = false, nil, true
 	b.recordReported(s)
 	for _, e := range b.runs {
@@ -99,8 +99,8 @@
 	return s
 }
 
-// Peek returns the full state without marking it as reported.
-func (b *Book) Peek(now time.Time) State {
+// Snapshot returns the full state without marking it as reported.
+func (b *WorkerLease) Snapshot(now time.Time) State {
 	s := b.summary()
 	s.Worker = &b.worker
 	for _, e := range b.sortedRuns() {
@@ -110,12 +110,12 @@
 }
 
 // summary returns the state without the worker and its runs.
-func (b *Book) summary() State {
+func (b *WorkerLease) summary() State {
 	return State{
 		ID:       b.worker.ID,
 		Fence:    b.fence,
 		Open:     b.phase == open && b.usable && !b.resourcesRefused,
-		Gone:     b.phase == closed,
+		Released: b.phase == closed,
 		Draining: b.draining,
 		Failures: b.failures,
 		Ended:    b.removedRuns,
@@ -123,15 +123,15 @@
 	}
 }
 
-func (e *run) report(now time.Time) Holding {
-	return Holding{
-		Run:      e.Run,
-		Room:     e.Room,
-		Age:      now.Sub(e.sentAt),
-		Estimate: e.Estimate,
-		Percent:  e.percent,
-		Seen:     progressAge(now, e),
-		Stopping: e.state == stopping,
+func (e *run) report(now time.Time) RunState {
+	return RunState{
+		Run:         e.Run,
+		Resources:   e.Resources,
+		Age:         now.Sub(e.sentAt),
+		Estimate:    e.Estimate,
+		Percent:     e.percent,
+		ProgressAge: progressAge(now, e),
+		Stopping:    e.state == stopping,
 	}
 }
 
@@ -145,12 +145,12 @@
 }
 
 // Fence returns the fence in use.
-func (b *Book) Fence() Fence { return b.fence }
+func (b *WorkerLease) Fence() Fence { return b.fence }
 
-// Thawed handles the end of a suspension of this process. The worker is checked before
+// Resumed handles the end of a suspension of this process. The worker is checked before
 // anything is started: another holder may have taken over in the meantime, and have
 // renewed the lease until just now.
-func (b *Book) Thawed(now time.Time) {
+func (b *WorkerLease) Resumed(now time.Time) {
 	b.resumedAt = now
 	if b.clock != 0 {
 		b.leaseEnd = max(b.leaseEnd, b.maxWorkerClock(now)+leaseDuration.Milliseconds())
@@ -162,13 +162,13 @@
 }
 
 // Claiming reports whether runs of unknown owners were found, who may claim them now.
-func (b *Book) Claiming() bool { return b.phase == claiming }
+func (b *WorkerLease) Claiming() bool { return b.phase == claiming }
 
-// Known reports whether the worker has accepted this holder and has listed its runs.
-func (b *Book) Known() bool { return b.phase != connecting && b.phase != closed }
+// Established reports whether the worker has accepted this holder and has listed its runs.
+func (b *WorkerLease) Established() bool { return b.phase != connecting && b.phase != closed }
 
 // Owners returns the processes that have runs on the worker.
-func (b *Book) Owners() []Owner {
+func (b *WorkerLease) Owners() []Owner {
 	var out []Owner
 	for _, e := range b.sortedRuns() {
 		if !e.orphan && !slices.Contains(out, e.owner) {
--- a/lease/text_test.go
+++ b/lease/text_test.go
@@ -27,7 +27,7 @@
 			if sent := len(got.starts) == 1; sent != tt.sent {
 				t.Fatalf("sent %v, want %v", sent, tt.sent)
 			}
-			if !tt.sent && (len(got.tells) != 1 || got.tells[0].End.How != Never || got.tells[0].End.Why != TextDiffers) {
+			if !tt.sent && (len(got.tells) != 1 || got.tells[0].End.Outcome != NeverStarted || got.tells[0].End.Why != TextDiffers) {
 				t.Errorf("reported to the owner: %+v", got.tells)
 			}
 		})
@@ -40,8 +40,8 @@
 	b, _, s := newRunningBook(t)
 	o := Order{Claim: Claim{Run: s.Run}, Text: NewText(s.Job(), "another")}
 	b.Start(ms(20), bob, o)
-	wantEnd(t, takeActions(b).tells, bob, Never, TextDiffers)
-	b.Answered(ms(120), HoldCall{Fence: b.Fence()}, listResult(ms(120), nil, ListedEnd{Number: 1, Run: s.Run, How: Done}))
+	wantEnd(t, takeActions(b).tells, bob, NeverStarted, TextDiffers)
+	b.HoldAnswered(ms(120), HoldCall{Fence: b.Fence()}, listResult(ms(120), nil, ListedEnd{Number: 1, Run: s.Run, Outcome: Done}))
 	wantEnd(t, takeActions(b).tells, alice, Done, "")
 }
 
@@ -52,13 +52,13 @@
 	b.Start(ms(10), alice, order("a", 1))
 	first := takeActions(b).starts[0]
 	b.Start(ms(11), alice, order("b", 1))
-	b.Started(ms(60), takeActions(b).starts[0], Result{Verdict: NoAnswer})
+	b.StartAnswered(ms(60), takeActions(b).starts[0], Result{Verdict: NoAnswer})
 	c := claim("a", 1)
-	c.Room.CPU = 30000
+	c.Resources.CPU = 30000
 	b.Claim(ms(61), bob, []Claim{c})
-	b.Started(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
+	b.StartAnswered(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
 	again := takeActions(b).starts
-	if len(again) != 1 || again[0].Text != first.Text || again[0].Room.CPU != 30000 {
+	if len(again) != 1 || again[0].Text != first.Text || again[0].Resources.CPU != 30000 {
 		t.Errorf("sent again: %+v", again)
 	}
 }
--- a/lease/trip.go
+++ b/lease/trip.go
@@ -24,7 +24,7 @@
 
 // recordAnswer learns from a call that does not wait. The time is tracked for all workers
 // together: what makes it long is this process's own link or processor.
-func (s *Habits) recordAnswer(d time.Duration, r Result) {
+func (s *PoolStats) recordAnswer(d time.Duration, r Result) {
 	if r.Verdict == NoAnswer {
 		s.answerTime.Longer(answerTimeRange)
 		return
@@ -40,6 +40,6 @@
 // one more call. On links of 2 Mbit/s that carried a task in 70 ms, more than half of the
 // starts were taken for lost within 50 ms, and checks of workers came to 30 a second
 // each.
-func (s *Habits) timeout(usual time.Duration) time.Duration {
+func (s *PoolStats) timeout(usual time.Duration) time.Duration {
 	return max(usual, timeoutFactor*s.answerTime.Value(answerTimeRange))
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -57,12 +57,12 @@
 
 // The errors of a Client.
 var (
-	// ErrDown means that there was no valid response: an append may have taken
+	// ErrUnreachable means that there was no valid response: an append may have taken
 	// effect.
-	ErrDown = errors.New("ledger: no answer from the platform")
-	// ErrRate means that the platform refused the call because of a rate limit: an
+	ErrUnreachable = errors.New("ledger: no answer from the platform")
+	// ErrRateLimited means that the platform refused the call because of a rate limit: an
 	// append took no effect.
-	ErrRate = errors.New("ledger: over the append rate")
+	ErrRateLimited = errors.New("ledger: over the append rate")
 )
 
 const maxAnswerBytes = 64 << 20
@@ -128,20 +128,20 @@
 	}
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return errors.Wrap(ErrDown, err.Error())
+		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	switch {
 	case err != nil:
-		return errors.Wrap(ErrDown, err.Error())
+		return errors.Wrap(ErrUnreachable, err.Error())
 	case resp.StatusCode == http.StatusTooManyRequests:
-		return ErrRate
+		return ErrRateLimited
 	case resp.StatusCode != http.StatusOK:
-		return errors.Wrapf(ErrDown, "status %d", resp.StatusCode)
+		return errors.Wrapf(ErrUnreachable, "status %d", resp.StatusCode)
 	}
 	if err := json.Unmarshal(b, out); err != nil {
-		return errors.Wrap(ErrDown, err.Error())
+		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 	return nil
 }
--- a/load/bound.go
+++ b/load/bound.go
@@ -73,11 +73,11 @@
 	s := boundSite{goal: read.Goal}
 	for _, d := range read.Days {
 		b := boundDay{name: d.Name, config: func(seed int) model.Config { return d.Config(uint64(seed)) }}
-		if len(d.Unplayed) > 0 {
-			b.notes = append(b.notes, "not played: "+strings.Join(d.Unplayed, ", "))
+		if len(d.Unsupported) > 0 {
+			b.notes = append(b.notes, "not played: "+strings.Join(d.Unsupported, ", "))
 		}
-		if len(d.Otherwise) > 0 {
-			b.notes = append(b.notes, "played otherwise: "+strings.Join(d.Otherwise, "; "))
+		if len(d.Approximated) > 0 {
+			b.notes = append(b.notes, "played otherwise: "+strings.Join(d.Approximated, "; "))
 		}
 		s.days = append(s.days, b)
 	}
--- a/load/model.go
+++ b/load/model.go
@@ -23,12 +23,12 @@
 	policy cell.Policy
 }{
 	{"default", cell.Policy{}},
-	{"nothing put aside", cell.Policy{AsideAfter: -1}},
+	{"nothing put aside", cell.Policy{EjectAfter: -1}},
 	{"no waiting for faster", cell.Policy{WaitForFaster: cell.Off}},
 	{"no looking ahead", cell.Policy{LookAhead: cell.Off}},
-	{"any holder", cell.Policy{Gather: cell.Off}},
+	{"any holder", cell.Policy{FewHolders: cell.Off}},
 	{"margin 0.8", cell.Policy{Margin: 0.8}},
-	{"by objective", cell.Policy{Order: cell.ByAim}},
+	{"by objective", cell.Policy{Order: cell.ByObjective}},
 	{"by work", cell.Policy{Order: cell.ByWork}},
 	{"by rank and work", cell.Policy{Order: cell.ByRankWork}},
 }
--- a/load/submit.go
+++ b/load/submit.go
@@ -96,7 +96,7 @@
 	c := d.clients[o.caller][o.dispatcher]
 	for {
 		a, err := c.Put(ctx, entry, id, spec)
-		if err == nil && a.State != job.Queued {
+		if err == nil && a.State != job.Running {
 			o.take(a)
 			return nil
 		}
--- a/mesh/member.go
+++ b/mesh/member.go
@@ -101,18 +101,18 @@
 	ID         ID     `json:"id" cbor:"1,keyasint,omitzero"`
 	VM         string `json:"vm" cbor:"2,keyasint,omitzero"`
 	DataCenter string `json:"dc" cbor:"3,keyasint,omitzero"`
-	// Share is the size of the VM, in cores.
-	Share float64 `json:"share" cbor:"4,keyasint,omitzero"`
+	// Cores is the size of the VM, in cores.
+	Cores float64 `json:"share" cbor:"4,keyasint,omitzero"`
 	// Number is unique among all incarnations of all processes and higher for those that
 	// joined later; 0 until the store has assigned one.
 	Number uint64 `json:"number" cbor:"5,keyasint,omitzero"`
 	// Leaving is set if the process accepts no new assignments and is about to stop.
 	Leaving bool `json:"leaving,omitempty" cbor:"6,keyasint,omitzero"`
-	// Blind is set if the process can't reach the platform's store.
-	Blind bool `json:"blind,omitempty" cbor:"7,keyasint,omitzero"`
-	// Plans counts how often the process has become the planner of the cell. Each time it
+	// StoreUnreachable is set if the process can't reach the platform's store.
+	StoreUnreachable bool `json:"blind,omitempty" cbor:"7,keyasint,omitzero"`
+	// PlannerTerms counts how often the process has become the planner of the cell. Each time it
 	// starts with an empty state: it no longer has what was sent to it before.
-	Plans uint64 `json:"plans,omitempty" cbor:"8,keyasint,omitzero"`
+	PlannerTerms uint64 `json:"plans,omitempty" cbor:"8,keyasint,omitzero"`
 	// Catalog is the version of the routes and pools that are in force on the process.
 	Catalog catalog.Version `json:"catalog" cbor:"9,keyasint,omitzero"`
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -22,19 +22,19 @@
 	// HeartbeatInterval is the longest time that a process sends nothing on a session
 	// that either side watches.
 	HeartbeatInterval = 200 * time.Millisecond
-	// DownAfter is the silence after which a watched session ends: three lost heartbeats.
+	// SessionTimeout is the silence after which a watched session ends: three lost heartbeats.
 	// It bounds how long a suspended process delays others, and must leave time to stop
 	// its runs before a retry of the caller can start them again on another process.
-	DownAfter = 650 * time.Millisecond
-	// QuietAfter is the silence after which the heartbeat of a watched member is reported
+	SessionTimeout = 650 * time.Millisecond
+	// HeartbeatOverdueAfter is the silence after which the heartbeat of a watched member is reported
 	// as overdue.
-	QuietAfter = 250 * time.Millisecond
+	HeartbeatOverdueAfter = 250 * time.Millisecond
 	// IdleHeartbeatInterval and IdleDownAfter correspond to HeartbeatInterval and
 	// DownAfter for sessions that neither side watches. These are most sessions of a
 	// large cell, and their heartbeats were most of the work of a process with a hundred
 	// members.
 	IdleHeartbeatInterval = 2 * time.Second
-	IdleDownAfter         = 6500 * time.Millisecond
+	IdleSessionTimeout    = 6500 * time.Millisecond
 	// greetingTimeout bounds the greeting on a new connection. On a small VM that
 	// connects to a hundred members at once it takes far longer than a heartbeat.
 	greetingTimeout = 2 * time.Second
@@ -75,10 +75,10 @@
 	Changed
 	// Mail: messages of the member have arrived.
 	Mail
-	// Quiet: the heartbeat of a watched member is overdue.
-	Quiet
-	// Back: a member whose heartbeat was overdue has sent something.
-	Back
+	// Overdue: the heartbeat of a watched member is overdue.
+	Overdue
+	// Recovered: a member whose heartbeat was overdue has sent something.
+	Recovered
 )
 
 // Event is what the mesh reports to the process.
@@ -88,12 +88,12 @@
 	Member Member
 	// Session numbers the sessions of this process. Messages of a session that has ended
 	// must be ignored.
-	Session uint64
-	Mail    []M
-	// Heard is when the member was last heard from; set with Quiet and Down.
-	Heard time.Time
-	// Why is the reason of the end of the session; set with Down.
-	Why string
+	Session  uint64
+	Messages []M
+	// LastHeard is when the member was last heard from; set with Overdue and Down.
+	LastHeard time.Time
+	// Reason is the reason of the end of the session; set with Down.
+	Reason string
 }
 
 // hello is the greeting, the first notification of both sides.
@@ -106,9 +106,9 @@
 // batch is the content of a notification with messages. From is set if the sender's
 // advertised state has changed, Watch if the sender watches the receiver.
 type batch[M any] struct {
-	From  *Member `cbor:"1,keyasint,omitzero"`
-	Mail  []M     `cbor:"2,keyasint,omitzero"`
-	Watch bool    `cbor:"3,keyasint,omitzero"`
+	From     *Member `cbor:"1,keyasint,omitzero"`
+	Messages []M     `cbor:"2,keyasint,omitzero"`
+	Watch    bool    `cbor:"3,keyasint,omitzero"`
 }
 
 // Mesh holds the sessions of one process. It is safe for concurrent use.
@@ -158,9 +158,9 @@
 	}
 }
 
-// Say sets the state that this process advertises; the members receive it with the next
+// Advertise sets the state that this process advertises; the members receive it with the next
 // message.
-func (m *Mesh[M]) Say(self Member) {
+func (m *Mesh[M]) Advertise(self Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self = self
@@ -170,8 +170,8 @@
 	}
 }
 
-// Learn adds addresses at which there may be members.
-func (m *Mesh[M]) Learn(addrs ...netip.AddrPort) {
+// AddAddresses adds addresses at which there may be members.
+func (m *Mesh[M]) AddAddresses(addrs ...netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -334,7 +334,7 @@
 	}
 	m.mu.Unlock()
 	s.codec.onNotification = s.handle
-	stream := jsonrpc2.NewBufferedStream(peer.Patient(c, DownAfter), &s.codec)
+	stream := jsonrpc2.NewBufferedStream(peer.Patient(c, SessionTimeout), &s.codec)
 	s.conn = jsonrpc2.NewConn(ctx, stream, unused{}, jsonrpc2.SetLogger(discardLogger))
 	m.wg.Go(func() { s.run(ctx) })
 	return s
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -66,7 +66,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.events {
-		out = append(out, e.Mail...)
+		out = append(out, e.Messages...)
 	}
 	return out
 }
@@ -82,7 +82,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
 		a, b := startProcess(t, n, "127.0.0.1", 1), startProcess(t, n, "127.0.0.2", 2)
-		b.mesh.Learn(a.member.ID.Address)
+		b.mesh.AddAddresses(a.member.ID.Address)
 		time.Sleep(time.Second)
 		test(t, n, a, b)
 		for _, p := range []*process{a, b} {
@@ -124,7 +124,7 @@
 func TestMembersAreFoundThroughOthers(t *testing.T) {
 	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
 		c := startProcess(t, n, "127.0.0.3", 3)
-		c.mesh.Learn(a.member.ID.Address, c.member.ID.Address)
+		c.mesh.AddAddresses(a.member.ID.Address, c.member.ID.Address)
 		time.Sleep(2 * time.Second)
 		wantKinds(t, "c", c.kinds(), []Kind{Up, Up})
 		wantKinds(t, "b", b.kinds(), []Kind{Up, Up})
@@ -137,7 +137,7 @@
 	withTwoMembers(t, func(t *testing.T, _ *memnet.Net, a, b *process) {
 		m := a.member
 		m.Leaving = true
-		a.mesh.Say(m)
+		a.mesh.Advertise(m)
 		time.Sleep(50 * time.Millisecond)
 		wantKinds(t, "b", b.kinds(), []Kind{Up, Changed})
 	})
@@ -178,9 +178,9 @@
 				time.Sleep(HeartbeatInterval)
 				tt.begin(n)
 				a.mesh.Send(b.member.ID, "lost")
-				time.Sleep(DownAfter + HeartbeatInterval + 50*time.Millisecond)
+				time.Sleep(SessionTimeout + HeartbeatInterval + 50*time.Millisecond)
 				for _, p := range []*process{a, b} {
-					k := slices.DeleteFunc(p.kinds(), func(k Kind) bool { return k == Quiet })
+					k := slices.DeleteFunc(p.kinds(), func(k Kind) bool { return k == Overdue })
 					if len(k) < 2 || k[1] != Down {
 						t.Errorf("%s got events %v, want the end of the session", p.member.VM, k)
 					}
@@ -215,9 +215,9 @@
 		latest     time.Duration
 		earliest   time.Duration
 	}{
-		{"watched before", 0, DownAfter + HeartbeatInterval, DownAfter},
-		{"watched from later on", time.Second, time.Second + DownAfter + HeartbeatInterval, time.Second + DownAfter},
-		{"never watched", -1, IdleDownAfter + IdleHeartbeatInterval, DownAfter + HeartbeatInterval},
+		{"watched before", 0, SessionTimeout + HeartbeatInterval, SessionTimeout},
+		{"watched from later on", time.Second, time.Second + SessionTimeout + HeartbeatInterval, time.Second + SessionTimeout},
+		{"never watched", -1, IdleSessionTimeout + IdleHeartbeatInterval, SessionTimeout + HeartbeatInterval},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -267,10 +267,10 @@
 		time.Sleep(2 * time.Second)
 		n.SetCut(a.member.ID.Address.Addr(), b.member.ID.Address.Addr(), true)
 		n.SetCut(b.member.ID.Address.Addr(), a.member.ID.Address.Addr(), true)
-		time.Sleep(QuietAfter + 50*time.Millisecond)
-		wantKinds(t, "a", a.kinds(), []Kind{Up, Quiet})
-		time.Sleep(DownAfter)
-		wantKinds(t, "a", a.kinds(), []Kind{Up, Quiet, Down})
+		time.Sleep(HeartbeatOverdueAfter + 50*time.Millisecond)
+		wantKinds(t, "a", a.kinds(), []Kind{Up, Overdue})
+		time.Sleep(SessionTimeout)
+		wantKinds(t, "a", a.kinds(), []Kind{Up, Overdue, Down})
 	})
 }
 
@@ -281,10 +281,10 @@
 		a.mesh.Watch(b.member.ID, true)
 		time.Sleep(2 * time.Second)
 		n.SetCut(b.member.ID.Address.Addr(), a.member.ID.Address.Addr(), true)
-		time.Sleep(QuietAfter + HeartbeatInterval)
+		time.Sleep(HeartbeatOverdueAfter + HeartbeatInterval)
 		n.SetCut(b.member.ID.Address.Addr(), a.member.ID.Address.Addr(), false)
 		time.Sleep(time.Second)
-		wantKinds(t, "a", a.kinds(), []Kind{Up, Quiet, Back})
+		wantKinds(t, "a", a.kinds(), []Kind{Up, Overdue, Recovered})
 	})
 }
 
@@ -308,8 +308,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(2 * higherAddressDialDelay)
 		a, b := startProcess(t, n, "127.0.0.1", 1), startProcess(t, n, "127.0.0.2", 2)
-		a.mesh.Learn(b.member.ID.Address)
-		b.mesh.Learn(a.member.ID.Address)
+		a.mesh.AddAddresses(b.member.ID.Address)
+		b.mesh.AddAddresses(a.member.ID.Address)
 		time.Sleep(10 * time.Second)
 		for _, p := range []*process{a, b} {
 			if k := p.kinds(); len(k) > 3 || k[len(k)-1] != Up {
@@ -346,7 +346,7 @@
 				accepted.Add(1)
 			}
 		}()
-		a.mesh.Learn(netip.MustParseAddrPort("127.0.0.2:7000"))
+		a.mesh.AddAddresses(netip.MustParseAddrPort("127.0.0.2:7000"))
 		time.Sleep(time.Second)
 		if got := accepted.Load(); got != 1 {
 			t.Errorf("dialled %d times within a second, want once", got)
@@ -367,7 +367,7 @@
 		time.Sleep(50 * time.Millisecond)
 		wantKinds(t, "a", a.kinds(), []Kind{Up, Down})
 		restarted := startProcess(t, n, "127.0.0.2", 9)
-		restarted.mesh.Learn(a.member.ID.Address)
+		restarted.mesh.AddAddresses(a.member.ID.Address)
 		time.Sleep(2 * time.Second)
 		wantKinds(t, "a", a.kinds(), []Kind{Up, Down, Up})
 		a.mesh.Send(b.member.ID, "for the one before")
@@ -447,11 +447,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
 		a, b := startProcess(t, n, "127.0.0.1", 1), startProcess(t, n, "127.0.0.2", 2)
-		b.mesh.Learn(a.member.ID.Address)
+		b.mesh.AddAddresses(a.member.ID.Address)
 		time.Sleep(higherAddressDialDelay + delay)
 		m := a.member
 		m.Number = 7
-		a.mesh.Say(m)
+		a.mesh.Advertise(m)
 		time.Sleep(time.Second)
 		if got := b.lastMemberState().Number; got != m.Number {
 			t.Errorf("number is %d, want %d", got, m.Number)
--- a/mesh/session.go
+++ b/mesh/session.go
@@ -97,7 +97,7 @@
 			return
 		}
 		if heard, overdue := s.overdue(now); overdue {
-			s.deliver(Event[M]{Kind: Quiet, Member: Member{ID: s.id}, Session: s.number, Heard: heard})
+			s.deliver(Event[M]{Kind: Overdue, Member: Member{ID: s.id}, Session: s.number, LastHeard: heard})
 		}
 		if err := s.flush(ctx); err != nil {
 			s.end("write failed: " + err.Error())
@@ -126,9 +126,9 @@
 // heartbeatDeadline returns when the heartbeat of a watched member becomes overdue.
 func (s *session[M]) heartbeatDeadline() time.Time {
 	if s.watchingSince.After(s.lastHeard) {
-		return s.watchingSince.Add(QuietAfter)
+		return s.watchingSince.Add(HeartbeatOverdueAfter)
 	}
-	return s.lastHeard.Add(QuietAfter)
+	return s.lastHeard.Add(HeartbeatOverdueAfter)
 }
 
 // overdue reports, once for each silence, whether the heartbeat of a watched member is
@@ -161,9 +161,9 @@
 	case s.member.ID == (ID{}):
 		return greetingTimeout
 	case s.watchingSince.IsZero():
-		return IdleDownAfter
+		return IdleSessionTimeout
 	}
-	return min(IdleDownAfter, DownAfter+max(0, s.watchingSince.Sub(s.lastHeard)))
+	return min(IdleSessionTimeout, SessionTimeout+max(0, s.watchingSince.Sub(s.lastHeard)))
 }
 
 // watch starts or stops watching the member.
@@ -201,7 +201,7 @@
 	member, reason, heard := s.member, s.reason, s.lastHeard
 	s.mu.Unlock()
 	event.SessionDown.Log(s.mesh.log, "member", member.VM, "id", member.ID, "why", reason, "silent_ms", time.Since(heard).Milliseconds())
-	s.mesh.deliver(Event[M]{Kind: Down, Member: member, Session: s.number, Heard: heard, Why: reason})
+	s.mesh.deliver(Event[M]{Kind: Down, Member: member, Session: s.number, LastHeard: heard, Reason: reason})
 }
 
 // deliver delivers an event if the session is up.
@@ -221,14 +221,14 @@
 		s.mu.Unlock()
 		return nil
 	}
-	b := batch[M]{Mail: s.queue, Watch: !s.watchingSince.IsZero()}
+	b := batch[M]{Messages: s.queue, Watch: !s.watchingSince.IsZero()}
 	s.queue = nil
 	s.mu.Unlock()
 	if self, revision := s.mesh.localMember(); revision != s.sentRevision {
 		b.From, s.sentRevision = &self, revision
 	}
 	switch {
-	case b.From != nil || len(b.Mail) > 0:
+	case b.From != nil || len(b.Messages) > 0:
 		return s.notify(ctx, methodMessages, b)
 	case b.Watch:
 		return s.notify(ctx, methodWatch, nil)
@@ -275,7 +275,7 @@
 // handle handles one notification of the member.
 func (s *session[M]) handle(method string) {
 	if s.noteMessage(true) {
-		s.deliver(Event[M]{Kind: Back, Member: Member{ID: s.id}, Session: s.number})
+		s.deliver(Event[M]{Kind: Recovered, Member: Member{ID: s.id}, Session: s.number})
 	}
 	defer s.noteMessage(false)
 	if err := s.dispatch(method); err != nil {
@@ -360,7 +360,7 @@
 		s.mu.Unlock()
 		s.deliver(Event[M]{Kind: Changed, Member: *b.From, Session: s.number})
 	}
-	if len(b.Mail) > 0 {
-		s.deliver(Event[M]{Kind: Mail, Member: Member{ID: s.id}, Session: s.number, Mail: b.Mail})
+	if len(b.Messages) > 0 {
+		s.deliver(Event[M]{Kind: Mail, Member: Member{ID: s.id}, Session: s.number, Messages: b.Messages})
 	}
 }
--- a/meter/table.go
+++ b/meter/table.go
@@ -7,9 +7,9 @@
 // tables, 300 roster, 400 jobs, 500 placement, 600 backend servers, 700 callers, 800 the
 // mesh and the platform's store, 900 jobs under leases.
 const (
-	MetricSeries Name = "metric_series"
-	KeysExpire   Name = "certificates_expire_seconds"
-	KeysChanges  Name = "certificate_changes"
+	MetricSeries       Name = "metric_series"
+	CertificatesExpire Name = "certificates_expire_seconds"
+	CertificateChanges Name = "certificate_changes"
 
 	TablesVersion Name = "tables_version"
 	TablesAge     Name = "tables_age_seconds"
@@ -112,8 +112,8 @@
 
 var table = []Entry{
 	{100, MetricSeries, Gauge, "series", nil, "Series of callers, kinds and codes that are told apart. At limits.metric_series further ones count as \"other\".", "0.1"},
-	{101, KeysExpire, Gauge, "seconds since 1970", nil, "When the first certificate of the process expires; missing without certificates.", "0.1"},
-	{102, KeysChanges, Counter, "changes", nil, "Changed certificate files that came into force without a restart.", "0.1"},
+	{101, CertificatesExpire, Gauge, "seconds since 1970", nil, "When the first certificate of the process expires; missing without certificates.", "0.1"},
+	{102, CertificateChanges, Counter, "changes", nil, "Changed certificate files that came into force without a restart.", "0.1"},
 	{200, TablesVersion, Gauge, "log offset", nil, "The version of the tables in force on this process; -1 before the first.", "0.1"},
 	{201, TablesAge, Gauge, "seconds", nil, "Time since this process last confirmed that its tables are the newest.", "0.1"},
 	{202, LogReads, Counter, "calls", nil, "Reads of the platform's log, all streams.", "0.1"},
--- a/model/bound.go
+++ b/model/bound.go
@@ -96,7 +96,7 @@
 		if x.kind.Speed < v.speed {
 			continue
 		}
-		most := v.size.most(x.Room.CPU) * x.kind.Speed * float64(slot) / float64(time.Millisecond)
+		most := v.size.most(x.Resources.CPU) * x.kind.Speed * float64(slot) / float64(time.Millisecond)
 		for i, p := range b.line.pace[k] {
 			out[i] += most * p
 		}
--- a/model/caller.go
+++ b/model/caller.go
@@ -125,7 +125,7 @@
 		j.fails = append(j.fails, fails)
 	}
 	j.est = time.Duration(w.lognormal(mean, cmp.Or(cl.Misjudged, cl.Spread), 10*mean))
-	j.aim = time.Duration(cl.Stretch*float64(longest)) + cl.Aim
+	j.aim = time.Duration(cl.Stretch*float64(longest)) + cl.Objective
 	j.until = j.sent.Add(patience + lateFactor*j.aim)
 	w.jobs = append(w.jobs, j)
 }
@@ -236,11 +236,11 @@
 	cl := w.cfg.Classes[j.class]
 	q, _ := w.catalog.Queue(cl.Name)
 	r := entry.Request{
-		ID:       j.id,
-		Queue:    q,
-		Spec:     w.textOf(j),
-		Patience: j.until.Sub(w.now),
-		Steps:    []entry.Step{{Count: j.width, Room: lease.Room{CPU: j.cpu, Memory: cl.Memory}, Estimate: j.est}},
+		ID:      j.id,
+		Queue:   q,
+		Spec:    w.textOf(j),
+		Timeout: j.until.Sub(w.now),
+		Steps:   []entry.Step{{Count: j.width, Resources: lease.Resources{CPU: j.cpu, Memory: cl.Memory}, Estimate: j.est}},
 	}
 	n.waiters[id] = func(a entry.Answer) { w.after(w.cfg.Caller, func() { w.answered(j, a, try) }) }
 	if catalogVersion(n) == 0 {
@@ -256,7 +256,7 @@
 	w.at(leave, func() {
 		if n.boots == boots && !j.over {
 			delete(n.waiters, id)
-			n.do(func(now time.Time) { n.core.Leave(now, id) })
+			n.do(func(now time.Time) { n.core.CallerLeft(now, id) })
 		}
 	})
 	w.watch(j, n, boots, try)
--- a/model/drawn_test.go
+++ b/model/drawn_test.go
@@ -55,7 +55,7 @@
 	d.spread(cfg.DataCenters, workers, vms)
 	for i := range 1 + d.IntN(4) {
 		speed, cpu := d.between(0.4, 2.5), d.count(32000, 128000)
-		cfg.Kinds = append(cfg.Kinds, Kind{Name: fmt.Sprintf("k%d", i), Speed: speed, Room: lease.Room{CPU: cpu, Memory: 262144}})
+		cfg.Kinds = append(cfg.Kinds, Kind{Name: fmt.Sprintf("k%d", i), Speed: speed, Resources: lease.Resources{CPU: cpu, Memory: 262144}})
 	}
 	demand, misjudged := 0.5+d.Float64(), math.Log1p(d.Float64())
 	classes := 1 + d.IntN(4)
@@ -85,17 +85,17 @@
 // class draws a kind of request that keeps so many workers busy with at most so many starts
 // a second.
 func (d draws) class(kinds []Kind, workers, starts float64) Class {
-	smallest := slices.MinFunc(kinds, func(x, y Kind) int { return cmp.Compare(x.Room.CPU, y.Room.CPU) }).Room.CPU
+	smallest := slices.MinFunc(kinds, func(x, y Kind) int { return cmp.Compare(x.Resources.CPU, y.Resources.CPU) }).Resources.CPU
 	cl := Class{
-		Width:    d.count(1, 16),
-		CPU:      int(float64(smallest) * d.between(0.25, 0.7)),
-		Memory:   64,
-		Spread:   0.4,
-		Uneven:   0.15,
-		Aim:      d.duration(40*time.Millisecond, 200*time.Millisecond),
-		Stretch:  d.between(1.4, 3),
-		Attempts: 2 + d.IntN(3),
-		Fails:    0.002,
+		Width:     d.count(1, 16),
+		CPU:       int(float64(smallest) * d.between(0.25, 0.7)),
+		Memory:    64,
+		Spread:    0.4,
+		Uneven:    0.15,
+		Objective: d.duration(40*time.Millisecond, 200*time.Millisecond),
+		Stretch:   d.between(1.4, 3),
+		Attempts:  2 + d.IntN(3),
+		Fails:     0.002,
 	}
 	capacity := workers * places(kinds, cl.CPU)
 	work := max(d.between(0.05, 0.8), capacity/starts)
@@ -111,7 +111,7 @@
 func places(kinds []Kind, cpu int) float64 {
 	sum := 0.0
 	for _, k := range kinds {
-		sum += k.Speed * float64(k.Room.CPU/cpu)
+		sum += k.Speed * float64(k.Resources.CPU/cpu)
 	}
 	return sum / float64(len(kinds))
 }
@@ -127,7 +127,7 @@
 	perSecond, longest := 0.0, time.Duration(0)
 	for _, cl := range classes {
 		perSecond += cl.PerSecond * float64(cl.Width)
-		longest = max(longest, time.Duration(cl.Stretch*float64(cl.Work))+cl.Aim)
+		longest = max(longest, time.Duration(cl.Stretch*float64(cl.Work))+cl.Objective)
 	}
 	return max(objectives*longest, min(time.Duration(tasks/perSecond*float64(time.Second)), most))
 }
@@ -139,7 +139,7 @@
 }{
 	{"first come, first served, nothing refused", func(cfg *Config) {
 		cfg.Objective = time.Hour
-		cfg.Policy = cell.Policy{Order: cell.ByAim, LookAhead: cell.Off}
+		cfg.Policy = cell.Policy{Order: cell.ByObjective, LookAhead: cell.Off}
 	}},
 	{"refused by the time left alone", func(cfg *Config) {
 		cfg.Policy = cell.Policy{LookAhead: cell.Off}
--- a/model/fault.go
+++ b/model/fault.go
@@ -76,7 +76,7 @@
 func (n *vm) thaw(d time.Duration) {
 	n.frozen = false
 	if d > frozenAfter {
-		n.do(func(now time.Time) { n.core.Thawed(now) })
+		n.do(func(now time.Time) { n.core.Resumed(now) })
 	}
 	backlog := n.backlog
 	n.backlog = nil
--- a/model/link.go
+++ b/model/link.go
@@ -120,13 +120,13 @@
 		if !l.bOver && l.b.givesUp(lifeOf(l.a.index, l.aBoots), l.quiet) {
 			l.tellB(w)
 		}
-		if !l.aLate && !l.aOver && l.a.waits(lifeOf(l.b.index, l.bBoots), l.quiet, mesh.QuietAfter) {
+		if !l.aLate && !l.aOver && l.a.waits(lifeOf(l.b.index, l.bBoots), l.quiet, mesh.HeartbeatOverdueAfter) {
 			l.aLate = true
-			l.a.on(l, func(now time.Time) { l.a.core.MemberQuiet(now, lifeOf(l.b.index, l.bBoots), l.session, l.quiet) })
+			l.a.on(l, func(now time.Time) { l.a.core.MemberOverdue(now, lifeOf(l.b.index, l.bBoots), l.session, l.quiet) })
 		}
-		if !l.bLate && !l.bOver && l.b.waits(lifeOf(l.a.index, l.aBoots), l.quiet, mesh.QuietAfter) {
+		if !l.bLate && !l.bOver && l.b.waits(lifeOf(l.a.index, l.aBoots), l.quiet, mesh.HeartbeatOverdueAfter) {
 			l.bLate = true
-			l.b.on(l, func(now time.Time) { l.b.core.MemberQuiet(now, lifeOf(l.a.index, l.aBoots), l.session, l.quiet) })
+			l.b.on(l, func(now time.Time) { l.b.core.MemberOverdue(now, lifeOf(l.a.index, l.aBoots), l.session, l.quiet) })
 		}
 		switch {
 		case l.aOver && l.bOver:
@@ -136,10 +136,10 @@
 			w.tellDown(l)
 		default:
 			if l.aLate {
-				l.a.on(l, func(time.Time) { l.a.core.MemberBack(l.b.id, l.session) })
+				l.a.on(l, func(time.Time) { l.a.core.MemberRecovered(l.b.id, l.session) })
 			}
 			if l.bLate {
-				l.b.on(l, func(time.Time) { l.b.core.MemberBack(l.a.id, l.session) })
+				l.b.on(l, func(time.Time) { l.b.core.MemberRecovered(l.a.id, l.session) })
 			}
 			l.quiet, l.aLate, l.bLate = time.Time{}, false, false
 			stalled := l.stalled
@@ -153,7 +153,7 @@
 
 // givesUp tells whether a process that last heard a member then takes it for lost now.
 func (n *vm) givesUp(member mesh.ID, heard time.Time) bool {
-	return !n.frozen && n.world.now.Sub(heard) > mesh.IdleDownAfter || n.waits(member, heard, downAfter)
+	return !n.frozen && n.world.now.Sub(heard) > mesh.IdleSessionTimeout || n.waits(member, heard, downAfter)
 }
 
 // waits tells whether a process watches a member that has been silent for longer.
@@ -210,7 +210,7 @@
 }
 
 // send carries a message.
-func (w *World) send(from *vm, to mesh.ID, m node.Mail) {
+func (w *World) send(from *vm, to mesh.ID, m node.Message) {
 	n := w.node(to)
 	if n == nil {
 		return
@@ -225,7 +225,7 @@
 	w.after(w.pass(&from.out, size)+w.delay(from.dc, n.dc), func() {
 		w.after(w.pass(&n.in, size), func() {
 			l.deliver(func() {
-				n.on(l, func(now time.Time) { n.core.Receive(now, id, l.session, []node.Mail{m}) })
+				n.on(l, func(now time.Time) { n.core.Receive(now, id, l.session, []node.Message{m}) })
 			})
 		})
 	})
--- a/model/model.go
+++ b/model/model.go
@@ -77,9 +77,9 @@
 
 // Kind is a kind of worker. Kinds are dealt in turn.
 type Kind struct {
-	Name  string
-	Speed float64
-	Room  lease.Room
+	Name      string
+	Speed     float64
+	Resources lease.Resources
 }
 
 // Class is a kind of request.
@@ -100,11 +100,11 @@
 	// estimate; Misjudged is that of the estimate, if it is set.
 	Spread, Misjudged float64
 	// Uneven is by how much the tasks of a job differ.
-	Uneven   float64
-	Aim      time.Duration
-	Stretch  float64
-	Attempts int
-	Rank     int
+	Uneven    float64
+	Objective time.Duration
+	Stretch   float64
+	Attempts  int
+	Rank      int
 	// Worth is what a job in time is worth on average, Late one that is late.
 	Worth, Late float64
 	// Fails is the share of tasks that fail by their own fault.
@@ -264,17 +264,17 @@
 	c := &catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: Pool, Guarded: true}}}
 	for _, cl := range w.cfg.Classes {
 		q := catalog.Queue{
-			Name:     cl.Name,
-			Host:     "host",
-			Prefix:   "/" + cl.Name + "/",
-			Pool:     Pool,
-			Rank:     cl.Rank,
-			Attempts: cl.Attempts,
-			Stretch:  cl.Stretch,
-			Aim:      cl.Aim,
+			Name:      cl.Name,
+			Host:      "host",
+			Prefix:    "/" + cl.Name + "/",
+			Pool:      Pool,
+			Rank:      cl.Rank,
+			Attempts:  cl.Attempts,
+			Stretch:   cl.Stretch,
+			Objective: cl.Objective,
 		}
 		if w.cfg.Objective != 0 {
-			q.Stretch, q.Aim = 0, w.cfg.Objective
+			q.Stretch, q.Objective = 0, w.cfg.Objective
 		}
 		c.Queues = append(c.Queues, q)
 	}
--- a/model/outage.go
+++ b/model/outage.go
@@ -16,7 +16,7 @@
 			return
 		}
 		n.leaving = true
-		n.do(func(now time.Time) { n.core.Say(now, func(m *mesh.Member) { m.Leaving = true }) })
+		n.do(func(now time.Time) { n.core.Advertise(now, func(m *mesh.Member) { m.Leaving = true }) })
 		n.endWhenIdle(n.boots, w.now.Add(grace), down)
 	}
 }
@@ -51,7 +51,7 @@
 	return func(w *World) {
 		chosen := -1
 		for _, n := range w.nodes {
-			if n.up && (chosen < 0 || n.core.Plans()) {
+			if n.up && (chosen < 0 || n.core.IsPlanner()) {
 				chosen = n.index
 			}
 		}
--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -16,7 +16,7 @@
 		name  string
 		fault Fault
 		took  time.Duration
-		how   lease.How
+		how   lease.Outcome
 	}{
 		{"nothing", Fault{0, func(*World) {}}, 200 * time.Millisecond, lease.Done},
 		{"three times as slow for 150 ms", Fault{100 * time.Millisecond, Drag(0, 3, 150*time.Millisecond)}, 300 * time.Millisecond, lease.Done},
@@ -31,7 +31,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			w := New(Config{
 				DataCenters: []DataCenter{{Name: "a", Workers: 2}},
-				Kinds:       []Kind{{Speed: 1, Room: lease.Room{CPU: 1000}}},
+				Kinds:       []Kind{{Speed: 1, Resources: lease.Resources{CPU: 1000}}},
 				Lead:        time.Second, Length: 2 * time.Second,
 				Faults: []Fault{tt.fault},
 			})
--- a/model/recovery.go
+++ b/model/recovery.go
@@ -80,7 +80,7 @@
 
 // victim returns the planner, or the first process that does not plan.
 func (w *World) victim(planner bool) *vm {
-	i := slices.IndexFunc(w.nodes, func(n *vm) bool { return n.up && n.core.Plans() == planner })
+	i := slices.IndexFunc(w.nodes, func(n *vm) bool { return n.up && n.core.IsPlanner() == planner })
 	return w.nodes[i]
 }
 
@@ -99,7 +99,7 @@
 // open counts the workers that a planner sees open at others than the holder before.
 func (w *World) open(before mesh.ID, ids []string) (n int) {
 	for _, vm := range w.nodes {
-		if !vm.up || vm.frozen || vm.id == before || !vm.core.Plans() {
+		if !vm.up || vm.frozen || vm.id == before || !vm.core.IsPlanner() {
 			continue
 		}
 		for _, h := range vm.core.Status(w.now).Cell.Holders {
--- a/model/score.go
+++ b/model/score.go
@@ -79,7 +79,7 @@
 	return s
 }
 
-func (w *World) ended(s *span, how lease.How) {
+func (w *World) ended(s *span, how lease.Outcome) {
 	s.end, s.how = w.now, how
 	if how != lease.Done {
 		w.result.Waste += s.end.Sub(s.begin)
--- a/model/site.go
+++ b/model/site.go
@@ -20,9 +20,9 @@
 		Far:    1400 * time.Microsecond,
 		Caller: time.Millisecond,
 		Kinds: []Kind{
-			{Name: "a", Speed: 0.6, Room: lease.Room{CPU: 64000, Memory: 262144}},
-			{Name: "a", Speed: 1.0, Room: lease.Room{CPU: 64000, Memory: 262144}},
-			{Name: "b", Speed: 1.6, Room: lease.Room{CPU: 96000, Memory: 393216}},
+			{Name: "a", Speed: 0.6, Resources: lease.Resources{CPU: 64000, Memory: 262144}},
+			{Name: "a", Speed: 1.0, Resources: lease.Resources{CPU: 64000, Memory: 262144}},
+			{Name: "b", Speed: 1.6, Resources: lease.Resources{CPU: 96000, Memory: 393216}},
 		},
 		Classes: classes("stock-check", "wire-price", "slot-confirm", 27000, 41000),
 		Lead:    5 * time.Second,
@@ -41,9 +41,9 @@
 	}
 	c.Far = 500 * time.Microsecond
 	c.Kinds = []Kind{
-		{Name: "a", Speed: 0.7, Room: lease.Room{CPU: 32000, Memory: 65536}},
-		{Name: "a", Speed: 0.7, Room: lease.Room{CPU: 32000, Memory: 65536}},
-		{Name: "b", Speed: 1.7, Room: lease.Room{CPU: 48000, Memory: 98304}},
+		{Name: "a", Speed: 0.7, Resources: lease.Resources{CPU: 32000, Memory: 65536}},
+		{Name: "a", Speed: 0.7, Resources: lease.Resources{CPU: 32000, Memory: 65536}},
+		{Name: "b", Speed: 1.7, Resources: lease.Resources{CPU: 48000, Memory: 98304}},
 	}
 	c.Classes = classes("menu-check", "diet-swap", "portion-confirm", 14000, 21000)
 	return c
@@ -58,9 +58,9 @@
 		{Name: "bus", VMs: 2, Workers: 16, Callers: 42.7},
 	}
 	c.Kinds = []Kind{
-		{Name: "a", Speed: 0.6, Room: lease.Room{CPU: 32000, Memory: 65536}},
-		{Name: "a", Speed: 1.0, Room: lease.Room{CPU: 32000, Memory: 65536}},
-		{Name: "b", Speed: 1.6, Room: lease.Room{CPU: 48000, Memory: 98304}},
+		{Name: "a", Speed: 0.6, Resources: lease.Resources{CPU: 32000, Memory: 65536}},
+		{Name: "a", Speed: 1.0, Resources: lease.Resources{CPU: 32000, Memory: 65536}},
+		{Name: "b", Speed: 1.6, Resources: lease.Resources{CPU: 48000, Memory: 98304}},
 	}
 	c.Classes = classes("shelf-check", "van-route", "price-tag", 14000, 21000)
 	for i := range c.Classes {
@@ -73,7 +73,7 @@
 // short tasks, a heavy request of few long ones, and a small frequent one. Load 1
 // is the sum of the rates in their sheets.
 func classes(check, heavy, confirm string, cpu, most int) []Class {
-	base := Class{CPU: cpu, CPUMost: most, Memory: 64, Spread: 0.4, Uneven: 0.15, Aim: 60 * time.Millisecond, Stretch: 1.6, Fails: 0.002}
+	base := Class{CPU: cpu, CPUMost: most, Memory: 64, Spread: 0.4, Uneven: 0.15, Objective: 60 * time.Millisecond, Stretch: 1.6, Fails: 0.002}
 	a, b, c := base, base, base
 	a.Name, a.PerSecond, a.Work, a.WorkMost, a.Width, a.WidthMost = check, 34.4, 60*time.Millisecond, 240*time.Millisecond, 8, 32
 	a.Attempts, a.Rank, a.Worth, a.Late = 2, 0, 0.0291, 0.00582
--- a/model/size.go
+++ b/model/size.go
@@ -20,7 +20,7 @@
 	out := []size{{}}
 	var rooms []int
 	for _, k := range w.cfg.Kinds {
-		rooms = append(rooms, k.Room.CPU)
+		rooms = append(rooms, k.Resources.CPU)
 	}
 	slices.Sort(rooms)
 	for _, r := range slices.Compact(rooms) {
--- a/model/vm.go
+++ b/model/vm.go
@@ -48,7 +48,7 @@
 	// listEvery is how often the list of workers is read.
 	listEvery = 400 * time.Millisecond
 	// downAfter is when silence ends a session that is watched.
-	downAfter = mesh.DownAfter
+	downAfter = mesh.SessionTimeout
 	// listenEvery is how often it is looked whether a silent session has ended.
 	listenEvery = 5 * time.Millisecond
 	// resetAfter is when a session ends whose connection is reset.
@@ -83,7 +83,7 @@
 	n.boots++
 	n.up, n.frozen, n.leaving = true, false, false
 	n.id = lifeOf(n.index, n.boots)
-	self := mesh.Member{ID: n.id, VM: n.name, DataCenter: n.dc, Share: n.share}
+	self := mesh.Member{ID: n.id, VM: n.name, DataCenter: n.dc, Cores: n.share}
 	n.core = node.NewCore(w.log.With("vm", n.name), self, &catalog.Shelf{}, w.cfg.Policy)
 	n.waiters = make(map[entry.Waiter]func(entry.Answer))
 	n.backlog = nil
@@ -123,8 +123,8 @@
 	}
 	n.do(func(now time.Time) {
 		n.core.Catalog(now, w.catalog, "store")
-		n.core.Known(now, known)
-		n.core.Say(now, func(m *mesh.Member) { m.Number = number })
+		n.core.SetRecordedAddrs(now, known)
+		n.core.Advertise(now, func(m *mesh.Member) { m.Number = number })
 	})
 }
 
@@ -147,20 +147,20 @@
 	}
 	blind := n.noStore()
 	n.do(func(now time.Time) {
-		n.core.Say(now, func(m *mesh.Member) { m.Blind = blind })
-		planner, _, ok := n.core.Reads()
+		n.core.Advertise(now, func(m *mesh.Member) { m.StoreUnreachable = blind })
+		planner, _, ok := n.core.ListReader()
 		if !ok || blind {
 			n.reading = mesh.ID{}
 			return
 		}
-		l := cell.Listing{Whole: true}
+		l := cell.WorkerList{Full: true}
 		for _, x := range w.workers {
 			if x.up && x.reachable && !w.severed(n.dc, x.DataCenter) {
-				l.Listed = append(l.Listed, x.listed())
+				l.Workers = append(l.Workers, x.listed())
 			}
 		}
 		n.reading = planner
-		n.core.Workers(now, l)
+		n.core.WorkersListed(now, l)
 	})
 	w.after(listEvery, func() { n.list(boots) })
 }
@@ -186,10 +186,10 @@
 func (n *vm) perform(out []node.Output) {
 	for _, o := range out {
 		switch {
-		case o.Mail != nil:
-			n.world.send(n, o.To, *o.Mail)
-		case o.Say != nil:
-			n.world.say(n, *o.Say)
+		case o.Message != nil:
+			n.world.send(n, o.To, *o.Message)
+		case o.Advertise != nil:
+			n.world.say(n, *o.Advertise)
 		case o.Watch != nil && o.Watch.On:
 			n.watched[o.Watch.Member] = n.world.now
 		case o.Watch != nil:
@@ -206,7 +206,7 @@
 	}
 }
 
-func (n *vm) answer(a entry.Answered) {
+func (n *vm) answer(a entry.CallerAnswer) {
 	to, ok := n.waiters[a.Waiter]
 	if !ok {
 		return
@@ -256,13 +256,13 @@
 func (n *vm) hold(id string, c lease.HoldCall) {
 	n.call(id, c.Timeout, holdBytes,
 		func(x *worker, to func(lease.Result)) { x.hold(c, to) },
-		func(now time.Time, r lease.Result) { n.core.Held(now, id, c, r) })
+		func(now time.Time, r lease.Result) { n.core.HoldAnswered(now, id, c, r) })
 }
 
 func (n *vm) start(id string, c lease.StartCall) {
 	n.call(id, c.Timeout, startBytes+len(c.Spec),
 		func(x *worker, to func(lease.Result)) { to(x.start(c)) },
-		func(now time.Time, r lease.Result) { n.core.Started(now, id, c, r) })
+		func(now time.Time, r lease.Result) { n.core.StartAnswered(now, id, c, r) })
 }
 
 func (n *vm) stop(id string, c lease.StopCall) {
--- a/model/wire.go
+++ b/model/wire.go
@@ -46,7 +46,7 @@
 }
 
 // mailSize is what a message takes on a link.
-func (w *World) mailSize(m node.Mail) int {
+func (w *World) mailSize(m node.Message) int {
 	if w.cfg.Link == 0 {
 		return 0
 	}
--- a/model/worker.go
+++ b/model/worker.go
@@ -58,7 +58,7 @@
 // execution is a run on a worker.
 type execution struct {
 	lease.Run
-	room  lease.Room
+	room  lease.Resources
 	began time.Time
 	total time.Duration
 	// full is the time of the whole run at pace 1, done the part of it that was done at
@@ -66,7 +66,7 @@
 	full  time.Duration
 	done  float64
 	since time.Time
-	how   lease.How
+	how   lease.Outcome
 	// paced counts the changes of the worker's pace: an end that was reckoned before the
 	// last one is not its end.
 	paced int
@@ -86,7 +86,7 @@
 	worker     string
 	run        int
 	begin, end time.Time
-	how        lease.How
+	how        lease.Outcome
 }
 
 func (w *World) makeWorkers() {
@@ -108,7 +108,7 @@
 			Pool:       Pool,
 			Kind:       k.Name,
 			Rack:       fmt.Sprintf("r%d", n/8),
-			Room:       k.Room,
+			Resources:  k.Resources,
 		},
 		world: w,
 		kind:  k,
@@ -132,7 +132,9 @@
 	x.ended, x.waiting = nil, nil
 }
 
-func (x *worker) listed() cell.Listed { return cell.Listed{Worker: x.Worker, Draining: x.draining} }
+func (x *worker) listed() cell.ListedWorker {
+	return cell.ListedWorker{Worker: x.Worker, Draining: x.draining}
+}
 
 // clock is the worker's clock in milliseconds.
 func (x *worker) clock() int64 { return x.world.now.Sub(x.born).Milliseconds() + 1 }
@@ -145,7 +147,7 @@
 const leaseMost = time.Second
 
 func (x *worker) result(v lease.Verdict, why lease.Reason) lease.Result {
-	return lease.Result{Verdict: v, Reason: why, Clock: x.clock(), Born: x.born.UnixMilli()}
+	return lease.Result{Verdict: v, Reason: why, Clock: x.clock(), Incarnation: x.born.UnixMilli()}
 }
 
 // fenced tells whether a call is of a holder that was replaced.
@@ -181,7 +183,7 @@
 // lapse kills everything.
 func (x *worker) lapse() {
 	for _, k := range slices.SortedFunc(maps.Keys(x.runs), compareRuns) {
-		x.finish(x.runs[k], lease.Lapsed)
+		x.finish(x.runs[k], lease.LeaseExpired)
 	}
 }
 
@@ -191,7 +193,7 @@
 		return
 	}
 	x.extend(c.Until)
-	x.ended = slices.DeleteFunc(x.ended, func(e lease.ListedEnd) bool { return e.Number <= c.Seen })
+	x.ended = slices.DeleteFunc(x.ended, func(e lease.ListedEnd) bool { return e.Number <= c.LastEndSeen })
 	if len(x.ended) > 0 || c.Wait == 0 {
 		to(x.list())
 		return
@@ -217,7 +219,7 @@
 		if e.total > 0 && x.health != hanging {
 			percent = min(99, int(100*x.world.now.Sub(e.began)/e.total))
 		}
-		r.Running = append(r.Running, lease.Listed{Run: k, Percent: percent})
+		r.Running = append(r.Running, lease.ListedRun{Run: k, Percent: percent})
 	}
 	r.Ended = slices.Clone(x.ended)
 	return r
@@ -227,8 +229,8 @@
 	return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Number, b.Number))
 }
 
-func (x *worker) used() lease.Room {
-	var r lease.Room
+func (x *worker) used() lease.Resources {
+	var r lease.Resources
 	for _, e := range x.runs {
 		r = r.Plus(e.room)
 	}
@@ -253,12 +255,12 @@
 	}
 	if c.Number <= x.stopped[c.Task] {
 		x.extend(c.Until)
-		return x.result(lease.Refused, lease.Old)
+		return x.result(lease.Refused, lease.AlreadyStopped)
 	}
-	if !x.used().Plus(c.Room).Fits(x.Room) {
+	if !x.used().Plus(c.Resources).Fits(x.Resources) {
 		x.extend(c.Until)
 		x.world.result.Rejected++
-		return x.result(lease.Refused, lease.NoRoom)
+		return x.result(lease.Refused, lease.InsufficientResources)
 	}
 	x.begin(c)
 	return x.result(lease.OK, "")
@@ -268,7 +270,7 @@
 	now := x.world.now
 	total, fails := x.world.work(c.Run)
 	total = time.Duration(float64(total) / x.kind.Speed * x.slow)
-	e := &execution{Run: c.Run, room: c.Room, began: now, total: total, full: total, since: now, how: lease.Done}
+	e := &execution{Run: c.Run, room: c.Resources, began: now, total: total, full: total, since: now, how: lease.Done}
 	x.runs[c.Run] = e
 	e.span = x.world.began(x, c.Run)
 	x.extend(c.Until)
@@ -327,14 +329,14 @@
 	x.endAfter(e, e.total-passed)
 }
 
-func (x *worker) finish(e *execution, how lease.How) {
+func (x *worker) finish(e *execution, how lease.Outcome) {
 	if e.over {
 		return
 	}
 	e.over = true
 	delete(x.runs, e.Run)
 	x.last++
-	x.ended = append(x.ended, lease.ListedEnd{Number: x.last, Run: e.Run, How: how})
+	x.ended = append(x.ended, lease.ListedEnd{Number: x.last, Run: e.Run, Outcome: how})
 	x.stopped[e.Task] = max(x.stopped[e.Task], e.Number)
 	x.world.ended(e.span, how)
 	waiting := x.waiting
--- a/node/callers.go
+++ b/node/callers.go
@@ -32,7 +32,7 @@
 	if n.refusing.Load() {
 		n.meter.CountCode(meter.LeasedJobs, entry.Refused.String(), 1)
 		event.JobAnswered.Log(n.log, "job", r.ID, "queue", r.Queue.Name, "status", entry.Refused, "why", reasonProcessEnds, "age_ms", 0)
-		return entry.Answer{Status: entry.Refused, Why: reasonProcessEnds, After: time.Second}
+		return entry.Answer{Status: entry.Refused, Why: reasonProcessEnds, RetryAfter: time.Second}
 	}
 	answers := make(chan entry.Answer, 1)
 	n.mu.Lock()
@@ -54,7 +54,7 @@
 	n.mu.Lock()
 	delete(n.waiters, waiter)
 	n.mu.Unlock()
-	n.enqueue(n.root, func(now time.Time, c *Core) { c.Leave(now, waiter) })
+	n.enqueue(n.root, func(now time.Time, c *Core) { c.CallerLeft(now, waiter) })
 	return entry.Answer{Status: entry.Unknown, Why: "caller_left"}
 }
 
@@ -62,7 +62,7 @@
 // stopped accepting them.
 const reasonProcessEnds = "process_ends"
 
-func (n *Node) answer(a entry.Answered) {
+func (n *Node) answer(a entry.CallerAnswer) {
 	n.mu.Lock()
 	answers, ok := n.waiters[a.Waiter]
 	delete(n.waiters, a.Waiter)
--- a/node/calls.go
+++ b/node/calls.go
@@ -17,7 +17,7 @@
 	defer cancel()
 	r, err := n.platform.Workers.Hold(ctx, w, h)
 	n.recordCall("hold", w, lease.Run{}, err)
-	n.enqueue(n.root, func(now time.Time, c *Core) { c.Held(now, w.ID, h, r) })
+	n.enqueue(n.root, func(now time.Time, c *Core) { c.HoldAnswered(now, w.ID, h, r) })
 }
 
 func (n *Node) callStart(w lease.Worker, s lease.StartCall) {
@@ -31,7 +31,7 @@
 	if r.Reason == lease.Invalid {
 		event.OrderUnreadable.Log(n.log, "worker", w.ID, "task", s.Task, "run", s.Number, "attempt", s.Attempt, "fence", uint64(s.Fence), "text_bytes", len(s.Spec))
 	}
-	n.enqueue(n.root, func(now time.Time, c *Core) { c.Started(now, w.ID, s, r) })
+	n.enqueue(n.root, func(now time.Time, c *Core) { c.StartAnswered(now, w.ID, s, r) })
 }
 
 func (n *Node) callStop(w lease.Worker, s lease.StopCall) {
--- a/node/cells.go
+++ b/node/cells.go
@@ -64,9 +64,9 @@
 }
 
 // ownCellWorkers returns the list without the workers of other cells.
-func (c *Core) ownCellWorkers(l cell.Listing) cell.Listing {
+func (c *Core) ownCellWorkers(l cell.WorkerList) cell.WorkerList {
 	if c.cellPerDataCenter {
-		l.Listed = slices.DeleteFunc(slices.Clone(l.Listed), func(w cell.Listed) bool { return w.DataCenter != c.self.DataCenter })
+		l.Workers = slices.DeleteFunc(slices.Clone(l.Workers), func(w cell.ListedWorker) bool { return w.DataCenter != c.self.DataCenter })
 	}
 	return l
 }
--- a/node/cells_test.go
+++ b/node/cells_test.go
@@ -17,7 +17,7 @@
 		known = append(known, i)
 	}
 	c := newCore(0, known...)
-	c.Say(ms(1), func(m *mesh.Member) { m.Number, m.DataCenter = uint64(n), "even" })
+	c.Advertise(ms(1), func(m *mesh.Member) { m.Number, m.DataCenter = uint64(n), "even" })
 	var all []mesh.Member
 	for i := 1; i < n; i++ {
 		m := member(i)
@@ -53,7 +53,7 @@
 // would have to be requested again.
 func TestCellsStayAsProcessesComeAndGo(t *testing.T) {
 	c, all := newTwoDataCenterCore(splitThreshold)
-	c.Known(ms(5), nil)
+	c.SetRecordedAddrs(ms(5), nil)
 	for _, m := range all[mergeThreshold:] {
 		c.MemberDown(ms(10), m.ID, 1, ms(9))
 	}
@@ -72,21 +72,21 @@
 // holders would take them from each other in turn.
 func TestPlannerTakesItsOwnCellsWorkersOnly(t *testing.T) {
 	c, _ := newTwoDataCenterCore(splitThreshold)
-	c.Say(ms(5), func(m *mesh.Member) { m.Share = 9 })
-	if !c.Plans() {
+	c.Advertise(ms(5), func(m *mesh.Member) { m.Cores = 9 })
+	if !c.IsPlanner() {
 		t.Fatal("this process is not the planner")
 	}
-	var l cell.Listing
+	var l cell.WorkerList
 	for i, dc := range []string{"even", "odd"} {
 		w := testWorker()
 		w.ID, w.DataCenter = []string{"x", "y"}[i], dc
-		l.Listed = append(l.Listed, cell.Listed{Worker: w})
+		l.Workers = append(l.Workers, cell.ListedWorker{Worker: w})
 	}
-	c.Workers(ms(6), l)
+	c.WorkersListed(ms(6), l)
 	c.Tick(ms(3000))
 	for _, o := range c.Take(ms(3000)) {
-		if o.Mail != nil && o.Mail.Duty != nil && o.Mail.Duty.Worker.ID != "x" {
-			t.Errorf("worker %s is assigned to %s", o.Mail.Duty.Worker.ID, o.To)
+		if o.Message != nil && o.Message.Assignment != nil && o.Message.Assignment.Worker.ID != "x" {
+			t.Errorf("worker %s is assigned to %s", o.Message.Assignment.Worker.ID, o.To)
 		}
 	}
 	if v := c.Status(ms(3001)).Cell; v == nil || len(v.Holders) != 1 || v.Holders[0].Worker != "x" {
@@ -97,14 +97,14 @@
 // A process of another cell asks this planner after its own planner has refused.
 func TestOtherCellsAreServed(t *testing.T) {
 	c, all := newTwoDataCenterCore(splitThreshold)
-	c.Say(ms(5), func(m *mesh.Member) { m.Share = 9 })
+	c.Advertise(ms(5), func(m *mesh.Member) { m.Cores = 9 })
 	other := all[0]
 	w := testWorker()
 	w.DataCenter = "even"
 	state := lease.State{ID: w.ID, Worker: &w, Fence: lease.NewFence(1), Open: true}
-	c.Receive(ms(6), all[1].ID, 1, []Mail{{Report: &cell.Report{Whole: true, States: []lease.State{state}}}})
-	a := cell.Ask{Job: "j", Pool: w.Pool, Room: lease.Room{CPU: 1}, Estimate: 1e6, Aim: 1e9, Limit: 1e9, Tasks: []lease.Run{{Task: "j.0.0.0", Number: 1}}}
-	c.Receive(ms(7), other.ID, 1, []Mail{{Ask: &a}})
+	c.Receive(ms(6), all[1].ID, 1, []Message{{Report: &cell.Report{Full: true, States: []lease.State{state}}}})
+	a := cell.Request{Job: "j", Pool: w.Pool, Resources: lease.Resources{CPU: 1}, Estimate: 1e6, Objective: 1e9, Timeout: 1e9, Tasks: []lease.Run{{Task: "j.0.0.0", Number: 1}}}
+	c.Receive(ms(7), other.ID, 1, []Message{{Request: &a}})
 	got := messagesTo(c.Take(ms(7)), other.ID)
 	if len(got) != 1 || got[0].Grant == nil || got[0].Grant.Items[0].Holder != all[1].ID {
 		t.Errorf("answered %+v, want a grant", got)
--- a/node/core.go
+++ b/node/core.go
@@ -15,17 +15,17 @@
 	"snipehub.example/mesh"
 )
 
-// Mail is a message between processes. Exactly one field is set.
-type Mail struct {
-	Ask            *cell.Ask        `cbor:"1,keyasint,omitzero"`
+// Message is a message between processes. Exactly one field is set.
+type Message struct {
+	Request        *cell.Request    `cbor:"1,keyasint,omitzero"`
 	Grant          *cell.Grant      `cbor:"2,keyasint,omitzero"`
 	Refusal        *cell.Refusal    `cbor:"3,keyasint,omitzero"`
 	Withdraw       *cell.Withdrawal `cbor:"4,keyasint,omitzero"`
-	Duty           *cell.Duty       `cbor:"5,keyasint,omitzero"`
-	Relief         *cell.Relief     `cbor:"6,keyasint,omitzero"`
+	Assignment     *cell.Assignment `cbor:"5,keyasint,omitzero"`
+	Release        *cell.Release    `cbor:"6,keyasint,omitzero"`
 	Report         *cell.Report     `cbor:"7,keyasint,omitzero"`
 	Drain          *cell.Drain      `cbor:"8,keyasint,omitzero"`
-	Listing        *cell.Listing    `cbor:"9,keyasint,omitzero"`
+	WorkerList     *cell.WorkerList `cbor:"9,keyasint,omitzero"`
 	CatalogRequest *CatalogRequest  `cbor:"10,keyasint,omitzero"`
 	Catalog        *catalog.Catalog `cbor:"11,keyasint,omitzero"`
 	Start          *entry.Start     `cbor:"12,keyasint,omitzero"`
@@ -46,12 +46,12 @@
 // is set.
 type Output struct {
 	// To is the recipient of Mail.
-	To     mesh.ID
-	Mail   *Mail
-	Answer *entry.Answered
-	// Say is the new state that this process advertises to the members.
-	Say   *mesh.Member
-	Watch *Watch
+	To      mesh.ID
+	Message *Message
+	Answer  *entry.CallerAnswer
+	// Advertise is the new state that this process advertises to the members.
+	Advertise *mesh.Member
+	Watch     *Watch
 	// Worker is the target of Hold, Start or Stop.
 	Worker lease.Worker
 	Hold   *lease.HoldCall
@@ -91,13 +91,13 @@
 	// which this process copies the list while it is the planner.
 	list     workerList
 	deputies map[mesh.ID]struct{}
-	entry    *entry.Book
-	cell     *cell.Book
-	held     map[string]*lease.Book
+	entry    *entry.Jobs
+	cell     *cell.Planner
+	held     map[string]*lease.WorkerLease
 	// sortedHeld caches the sorted keys of held, since they are iterated after each event.
 	// It is nil when held has changed.
 	sortedHeld []string
-	poolHabits map[string]*lease.Habits
+	poolHabits map[string]*lease.PoolStats
 	// unannounced are the workers that became held since the members were last notified.
 	unannounced []string
 	// maxUsedFence is the highest fence used by leases of this process that have ended.
@@ -137,8 +137,8 @@
 		recordedAddrs: make(map[netip.AddrPort]struct{}),
 		entry:         entry.New(log),
 		cell:          cell.New(log, self.ID, policy),
-		held:          make(map[string]*lease.Book),
-		poolHabits:    make(map[string]*lease.Habits),
+		held:          make(map[string]*lease.WorkerLease),
+		poolHabits:    make(map[string]*lease.PoolStats),
 		lostMembers:   make(map[mesh.ID]time.Time),
 		watched:       make(map[mesh.ID]struct{}),
 	}
@@ -150,8 +150,8 @@
 // Planner returns the elected planner, or the zero ID if there is none.
 func (c *Core) Planner() mesh.ID { return c.planner }
 
-// Plans reports whether this process is the planner.
-func (c *Core) Plans() bool { return c.cell.Active() }
+// IsPlanner reports whether this process is the planner.
+func (c *Core) IsPlanner() bool { return c.cell.Active() }
 
 // Idle reports whether no job is in progress here and no worker is held.
 func (c *Core) Idle() bool { return c.entry.Len() == 0 && len(c.held) == 0 }
@@ -175,7 +175,7 @@
 
 func (c *Core) runActionsOnce(now time.Time) bool {
 	c.cell.Place(now)
-	entryActions, plannerActions := c.entry.Take(), c.cell.Take()
+	entryActions, plannerActions := c.entry.Take(), c.cell.TakeActions()
 	for _, a := range entryActions {
 		c.handleEntryAction(now, a)
 	}
@@ -198,18 +198,18 @@
 	switch {
 	case a.Answer != nil:
 		c.out = append(c.out, Output{Answer: a.Answer})
-	case a.Ask != nil:
-		c.send(now, c.plannerFor(a.To), Mail{Ask: a.Ask})
+	case a.Request != nil:
+		c.send(now, c.plannerFor(a.To), Message{Request: a.Request})
 	case a.Withdraw != nil:
-		c.send(now, c.plannerFor(a.To), Mail{Withdraw: a.Withdraw})
+		c.send(now, c.plannerFor(a.To), Message{Withdraw: a.Withdraw})
 	case a.Start != nil:
 		c.watch(a.To)
-		c.send(now, a.To, Mail{Start: a.Start})
+		c.send(now, a.To, Message{Start: a.Start})
 	case a.Stop != nil:
-		c.send(now, a.To, Mail{Stop: a.Stop})
+		c.send(now, a.To, Message{Stop: a.Stop})
 	case a.Claim != nil:
 		c.watch(a.To)
-		c.send(now, a.To, Mail{Claim: a.Claim})
+		c.send(now, a.To, Message{Claim: a.Claim})
 	}
 }
 
@@ -224,10 +224,10 @@
 }
 
 func (c *Core) handlePlannerAction(now time.Time, a cell.Action) {
-	c.send(now, a.To, Mail{Grant: a.Grant, Refusal: a.Refusal, Duty: a.Duty, Relief: a.Relief, Drain: a.Drain})
+	c.send(now, a.To, Message{Grant: a.Grant, Refusal: a.Refusal, Assignment: a.Assignment, Release: a.Release, Drain: a.Drain})
 }
 
-func (c *Core) handleLeaseAction(now time.Time, b *lease.Book, a lease.Action) {
+func (c *Core) handleLeaseAction(now time.Time, b *lease.WorkerLease, a lease.Action) {
 	w := b.Worker()
 	switch {
 	case a.Hold != nil:
@@ -236,12 +236,12 @@
 		c.out = append(c.out, Output{Worker: w, Start: a.Start})
 	case a.Stop != nil:
 		c.out = append(c.out, Output{Worker: w, Stop: a.Stop})
-	case a.Tell != nil:
-		if a.Tell.End.Why == lease.TextDiffers {
-			event.TextDiffers.Log(c.log, "worker", w.ID, "task", a.Tell.End.Task, "run", a.Tell.End.Number, "owner", a.Tell.Owner)
+	case a.Report != nil:
+		if a.Report.End.Why == lease.TextDiffers {
+			event.TextDiffers.Log(c.log, "worker", w.ID, "task", a.Report.End.Task, "run", a.Report.End.Number, "owner", a.Report.Owner)
 		}
-		c.send(now, a.Tell.Owner, Mail{Ended: &entry.Ended{Worker: w.ID, End: a.Tell.End}})
-	case a.Held:
+		c.send(now, a.Report.Owner, Message{Ended: &entry.Ended{Worker: w.ID, End: a.Report.End}})
+	case a.AnnounceHeld:
 		event.WorkerHeld.Log(c.log, "worker", w.ID, "fence", uint64(b.Fence()))
 		c.unannounced = append(c.unannounced, w.ID)
 		if b.Claiming() {
@@ -252,13 +252,13 @@
 
 // send delivers a message. One to this process itself does not pass through the mesh, and
 // one to the zero ID is dropped.
-func (c *Core) send(now time.Time, to mesh.ID, m Mail) {
+func (c *Core) send(now time.Time, to mesh.ID, m Message) {
 	switch {
 	case to == (mesh.ID{}):
 	case to == c.self.ID:
 		c.handleMessage(now, to, m)
 	default:
-		c.out = append(c.out, Output{To: to, Mail: &m})
+		c.out = append(c.out, Output{To: to, Message: &m})
 	}
 }
 
@@ -274,7 +274,7 @@
 
 // Receive handles messages of a member. Messages of an ended session are dropped, because
 // what they ask for was settled when its end was noticed.
-func (c *Core) Receive(now time.Time, from mesh.ID, session uint64, messages []Mail) {
+func (c *Core) Receive(now time.Time, from mesh.ID, session uint64, messages []Message) {
 	if c.members[from].session != session {
 		return
 	}
@@ -283,10 +283,10 @@
 	}
 }
 
-func (c *Core) handleMessage(now time.Time, from mesh.ID, m Mail) {
+func (c *Core) handleMessage(now time.Time, from mesh.ID, m Message) {
 	switch {
-	case m.Ask != nil:
-		c.cell.Ask(now, from, *m.Ask)
+	case m.Request != nil:
+		c.cell.Request(now, from, *m.Request)
 	case m.Withdraw != nil:
 		c.cell.Withdraw(*m.Withdraw)
 	case m.Report != nil:
@@ -301,22 +301,22 @@
 		c.entry.Held(from, m.Held.Worker, m.Held.Fence)
 	case m.Unheld != nil:
 		c.entry.Unheld(now, from, m.Unheld.Worker)
-	case m.Duty != nil:
-		c.startHolding(now, *m.Duty)
+	case m.Assignment != nil:
+		c.startHolding(now, *m.Assignment)
 	case m.Drain != nil:
 		if b := c.held[m.Drain.Worker]; b != nil {
 			b.Drain()
 		}
-	case m.Listing != nil:
-		c.handleWorkerList(now, from, *m.Listing)
+	case m.WorkerList != nil:
+		c.handleWorkerList(now, from, *m.WorkerList)
 	case m.CatalogRequest != nil:
 		if have := c.catalogs.Current(); have.Version != 0 {
-			c.send(now, from, Mail{Catalog: have})
+			c.send(now, from, Message{Catalog: have})
 		}
 	case m.Catalog != nil:
 		c.Catalog(now, m.Catalog, "member")
-	case m.Relief != nil:
-		c.releaseWorker(now, m.Relief.Worker)
+	case m.Release != nil:
+		c.releaseWorker(now, m.Release.Worker)
 	case m.Start != nil:
 		c.watch(from)
 		c.startRuns(now, from, *m.Start)
@@ -331,8 +331,8 @@
 // Submit accepts a job of a caller.
 func (c *Core) Submit(now time.Time, w entry.Waiter, r entry.Request) { c.entry.Submit(now, w, r) }
 
-// Leave records that a caller has disconnected.
-func (c *Core) Leave(now time.Time, w entry.Waiter) { c.entry.Leave(now, w) }
+// CallerLeft records that a caller has disconnected.
+func (c *Core) CallerLeft(now time.Time, w entry.Waiter) { c.entry.CallerLeft(now, w) }
 
 // Cancel cancels a job.
 func (c *Core) Cancel(now time.Time, id string) bool { return c.entry.Cancel(now, id) }
@@ -348,23 +348,25 @@
 // Pending returns the number of pending jobs of a queue.
 func (c *Core) Pending(queue string) int { return c.entry.Pending(queue) }
 
-// Held handles the answer to a hold call.
-func (c *Core) Held(now time.Time, worker string, call lease.HoldCall, r lease.Result) {
+// HoldAnswered handles the answer to a hold call.
+func (c *Core) HoldAnswered(now time.Time, worker string, call lease.HoldCall, r lease.Result) {
 	if b := c.held[worker]; b != nil {
-		b.Answered(now, call, r)
+		b.HoldAnswered(now, call, r)
 	}
 }
 
-// Started handles the answer to a start call.
-func (c *Core) Started(now time.Time, worker string, call lease.StartCall, r lease.Result) {
+// StartAnswered handles the answer to a start call.
+func (c *Core) StartAnswered(now time.Time, worker string, call lease.StartCall, r lease.Result) {
 	if b := c.held[worker]; b != nil {
-		b.Started(now, call, r)
+		b.StartAnswered(now, call, r)
 	}
 }
 
-// Workers forwards the platform's list of workers, as read by this process, to the
+// WorkersListed forwards the platform's list of workers, as read by this process, to the
 // planner.
-func (c *Core) Workers(now time.Time, l cell.Listing) { c.send(now, c.planner, Mail{Listing: &l}) }
+func (c *Core) WorkersListed(now time.Time, l cell.WorkerList) {
+	c.send(now, c.planner, Message{WorkerList: &l})
+}
 
 // Catalog brings a catalog into force if it is newer, and advertises its version.
 func (c *Core) Catalog(now time.Time, cat *catalog.Catalog, source string) {
@@ -372,14 +374,14 @@
 		return
 	}
 	event.CatalogInForce.Log(c.log, "version", uint64(cat.Version), "queues", len(cat.Queues), "pools", len(cat.Pools), "source", source)
-	c.Say(now, func(m *mesh.Member) { m.Catalog = cat.Version })
+	c.Advertise(now, func(m *mesh.Member) { m.Catalog = cat.Version })
 }
 
 // requestNewerCatalog asks a member for its catalog if that is newer: the store may
 // reject this process while it serves the others.
 func (c *Core) requestNewerCatalog(now time.Time, m mesh.Member) {
 	if m.Catalog > c.catalogs.Current().Version {
-		c.send(now, m.ID, Mail{CatalogRequest: &CatalogRequest{Version: m.Catalog}})
+		c.send(now, m.ID, Message{CatalogRequest: &CatalogRequest{Version: m.Catalog}})
 	}
 }
 
@@ -406,12 +408,12 @@
 	}
 }
 
-// Thawed handles a suspension of the process, in which it did not run for a while: its
+// Resumed handles a suspension of the process, in which it did not run for a while: its
 // jobs are given up, and its leases are verified before anything else is done.
-func (c *Core) Thawed(now time.Time) {
+func (c *Core) Resumed(now time.Time) {
 	c.quorumSince = now
-	c.entry.Thawed(now)
+	c.entry.Resumed(now)
 	for _, id := range c.heldIDs() {
-		c.held[id].Thawed(now)
+		c.held[id].Resumed(now)
 	}
 }
--- a/node/core_test.go
+++ b/node/core_test.go
@@ -19,7 +19,7 @@
 
 func member(n int) mesh.Member {
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
-	return mesh.Member{ID: mesh.ID{Address: a, Boot: uint64(n)}, DataCenter: "dc", Share: 1, Number: uint64(n)}
+	return mesh.Member{ID: mesh.ID{Address: a, Boot: uint64(n)}, DataCenter: "dc", Cores: 1, Number: uint64(n)}
 }
 
 // newCore returns the core of member n, which has the first catalog and the store's list
@@ -32,36 +32,36 @@
 	for _, k := range append(known, n) {
 		addrs = append(addrs, member(k).ID.Address)
 	}
-	c.Known(ms(0), addrs)
+	c.SetRecordedAddrs(ms(0), addrs)
 	c.Catalog(ms(0), &catalog.Catalog{Version: 1}, "store")
-	c.Say(ms(0), func(m *mesh.Member) { m.Number = uint64(n) })
+	c.Advertise(ms(0), func(m *mesh.Member) { m.Number = uint64(n) })
 	c.Take(ms(0))
 	return c
 }
 
 // messagesTo returns the messages to a member.
-func messagesTo(out []Output, to mesh.ID) (all []Mail) {
+func messagesTo(out []Output, to mesh.ID) (all []Message) {
 	for _, o := range out {
-		if o.Mail != nil && o.To == to {
-			all = append(all, *o.Mail)
+		if o.Message != nil && o.To == to {
+			all = append(all, *o.Message)
 		}
 	}
 	return all
 }
 
 func testWorker() lease.Worker {
-	return lease.Worker{ID: "w", Address: netip.MustParseAddrPort("10.1.0.1:1"), DataCenter: "dc", Pool: "p", Room: lease.Room{CPU: 60}}
+	return lease.Worker{ID: "w", Address: netip.MustParseAddrPort("10.1.0.1:1"), DataCenter: "dc", Pool: "p", Resources: lease.Resources{CPU: 60}}
 }
 
 // holdWorker makes a core hold a worker with a run that nobody has claimed yet.
 func holdWorker(t *testing.T, c *Core, from mesh.Member) {
 	t.Helper()
 	c.MemberUp(ms(1), from, 1)
-	c.Receive(ms(2), from.ID, 1, []Mail{{Duty: &cell.Duty{Worker: testWorker()}}})
+	c.Receive(ms(2), from.ID, 1, []Message{{Assignment: &cell.Assignment{Worker: testWorker()}}})
 	for _, o := range c.Take(ms(2)) {
 		if o.Hold != nil {
-			r := lease.Result{Verdict: lease.OK, Clock: 100, Born: 1, Running: []lease.Listed{{Run: lease.Run{Task: "j.0.0.0", Number: 1}}}}
-			c.Held(ms(3), "w", *o.Hold, r)
+			r := lease.Result{Verdict: lease.OK, Clock: 100, Incarnation: 1, Running: []lease.ListedRun{{Run: lease.Run{Task: "j.0.0.0", Number: 1}}}}
+			c.HoldAnswered(ms(3), "w", *o.Hold, r)
 		}
 	}
 	c.Take(ms(3))
@@ -93,12 +93,12 @@
 	c.MemberDown(ms(10), member(2).ID, 1, ms(5))
 	c.MemberUp(ms(20), member(2), 2)
 	c.Take(ms(20))
-	start := entry.Start{Runs: []entry.Placed{{Run: lease.Run{Task: "j.0.0.0", Number: 1}, Worker: "w"}}}
-	c.Receive(ms(21), member(2).ID, 1, []Mail{{Start: &start}})
+	start := entry.Start{Runs: []entry.PlacedRun{{Run: lease.Run{Task: "j.0.0.0", Number: 1}, Worker: "w"}}}
+	c.Receive(ms(21), member(2).ID, 1, []Message{{Start: &start}})
 	if got := messagesTo(c.Take(ms(21)), member(2).ID); len(got) != 0 {
 		t.Errorf("answered %+v to messages of an ended session", got)
 	}
-	c.Receive(ms(22), member(2).ID, 2, []Mail{{Start: &start}})
+	c.Receive(ms(22), member(2).ID, 2, []Message{{Start: &start}})
 	if got := messagesTo(c.Take(ms(22)), member(2).ID); len(got) != 1 || got[0].Ended == nil || got[0].Ended.End.Why != lease.NotHeld {
 		t.Errorf("answered %+v, want the run ended with reason not held", got)
 	}
@@ -108,11 +108,11 @@
 // have to be requested again. It changes when the planner leaves.
 func TestPlannerElection(t *testing.T) {
 	c := newCore(3, 1, 2)
-	if c.Planner() != member(3).ID || !c.Plans() {
+	if c.Planner() != member(3).ID || !c.IsPlanner() {
 		t.Fatalf("alone, the planner is %v", c.Planner())
 	}
 	c.MemberUp(ms(1), member(1), 1)
-	if c.Planner() != member(1).ID || c.Plans() {
+	if c.Planner() != member(1).ID || c.IsPlanner() {
 		t.Errorf("the planner is %v, want the one that joined first", c.Planner())
 	}
 	late := member(9)
@@ -121,7 +121,7 @@
 		t.Errorf("the planner changed to %v for one that joined", c.Planner())
 	}
 	large := member(8)
-	large.Share = 4
+	large.Cores = 4
 	c.MemberUp(ms(3), large, 3)
 	if c.Planner() != large.ID {
 		t.Errorf("the planner is %v, want the largest", c.Planner())
@@ -139,19 +139,19 @@
 	c := newCore(2, 1)
 	first := member(1)
 	c.MemberUp(ms(1), first, 1)
-	if _, _, ok := c.Reads(); ok {
+	if _, _, ok := c.ListReader(); ok {
 		t.Error("reads the worker list although the planner can")
 	}
-	first.Blind = true
+	first.StoreUnreachable = true
 	c.MemberChanged(ms(2), first)
-	planner, _, ok := c.Reads()
+	planner, _, ok := c.ListReader()
 	if !ok || planner != first.ID {
 		t.Errorf("reads the worker list: %v, for %v; want true, for the planner", ok, planner)
 	}
 	c.Take(ms(2))
-	c.Workers(ms(3), cell.Listing{Whole: true, Listed: []cell.Listed{{Worker: testWorker()}}})
+	c.WorkersListed(ms(3), cell.WorkerList{Full: true, Workers: []cell.ListedWorker{{Worker: testWorker()}}})
 	got := messagesTo(c.Take(ms(3)), first.ID)
-	if len(got) != 1 || got[0].Listing == nil || !got[0].Listing.Whole {
+	if len(got) != 1 || got[0].WorkerList == nil || !got[0].WorkerList.Full {
 		t.Errorf("sent %+v, want the list", got)
 	}
 }
@@ -172,7 +172,7 @@
 	}
 	a.MemberUp(ms(2), b.Self(), 1)
 	a.Take(ms(2))
-	a.Receive(ms(3), b.Self().ID, 1, []Mail{{CatalogRequest: want}})
+	a.Receive(ms(3), b.Self().ID, 1, []Message{{CatalogRequest: want}})
 	b.Receive(ms(4), a.Self().ID, 1, messagesTo(a.Take(ms(3)), b.Self().ID))
 	if v := b.Self().Catalog; v != 7 {
 		t.Errorf("catalog version %d, want 7", v)
@@ -192,7 +192,7 @@
 		e := member(3)
 		c.MemberUp(ms(10), e, 5)
 		run := lease.Run{Task: "j.0.0.0", Number: 1}
-		c.Receive(ms(11), e.ID, 5, []Mail{{Claim: &entry.Claim{Worker: "w", Runs: []entry.Claimed{{Run: run}}}}})
+		c.Receive(ms(11), e.ID, 5, []Message{{Claim: &entry.Claim{Worker: "w", Runs: []entry.ClaimedRun{{Run: run}}}}})
 		c.Take(ms(11))
 		c.MemberDown(ms(700), e.ID, 5, ms(50))
 		if back {
@@ -228,7 +228,7 @@
 	planner.MemberUp(ms(1), member(3), 2)
 	other.MemberUp(ms(1), first, 1)
 	other.MemberUp(ms(1), planner.Self(), 2)
-	other.Submit(ms(2), 1, entry.Request{ID: "1", Queue: catalog.Queue{Name: "q"}, Steps: []entry.Step{{Count: 1}}, Patience: time.Minute})
+	other.Submit(ms(2), 1, entry.Request{ID: "1", Queue: catalog.Queue{Name: "q"}, Steps: []entry.Step{{Count: 1}}, Timeout: time.Minute})
 	planner.Take(ms(2))
 	other.Take(ms(2))
 
@@ -238,8 +238,8 @@
 	planner.MemberChanged(ms(12), first)
 	var advertised *mesh.Member
 	for _, o := range planner.Take(ms(12)) {
-		if o.Say != nil {
-			advertised = o.Say
+		if o.Advertise != nil {
+			advertised = o.Advertise
 		}
 	}
 	if advertised == nil {
@@ -248,8 +248,8 @@
 	other.MemberChanged(ms(13), *advertised)
 	var asked, reported bool
 	for _, m := range messagesTo(other.Take(ms(13)), planner.Self().ID) {
-		asked = asked || m.Ask != nil
-		reported = reported || m.Report != nil && m.Report.Whole
+		asked = asked || m.Request != nil
+		reported = reported || m.Report != nil && m.Report.Full
 	}
 	if !asked || !reported {
 		t.Errorf("requests sent again: %v, held workers reported again: %v", asked, reported)
@@ -265,7 +265,7 @@
 	c := newCore(2, 1, 3)
 	c.MemberUp(ms(1), member(1), 1)
 	assign := func(at int, floor lease.Fence) (calls []lease.HoldCall) {
-		c.Receive(ms(at), member(1).ID, 1, []Mail{{Duty: &cell.Duty{Worker: testWorker(), Floor: floor}}})
+		c.Receive(ms(at), member(1).ID, 1, []Message{{Assignment: &cell.Assignment{Worker: testWorker(), MinFence: floor}}})
 		for _, o := range c.Take(ms(at)) {
 			if o.Hold != nil {
 				calls = append(calls, *o.Hold)
@@ -274,25 +274,25 @@
 		return calls
 	}
 	firstHold := assign(2, 0)[0]
-	c.Held(ms(3), "w", firstHold, lease.Result{Verdict: lease.OK, Clock: 100, Born: 1})
+	c.HoldAnswered(ms(3), "w", firstHold, lease.Result{Verdict: lease.OK, Clock: 100, Incarnation: 1})
 	var longHold lease.HoldCall
 	for _, o := range c.Take(ms(3)) {
 		if o.Hold != nil {
 			longHold = *o.Hold
 		}
 	}
-	c.Receive(ms(10), member(1).ID, 1, []Mail{{Relief: &cell.Relief{Worker: "w"}}})
+	c.Receive(ms(10), member(1).ID, 1, []Message{{Release: &cell.Release{Worker: "w"}}})
 	c.Take(ms(10))
 	again := assign(20, 0)
 	if len(again) != 1 || again[0].Fence.Base() <= longHold.Fence.Base() {
 		t.Fatalf("calls %+v, want one with a fence above %d", again, longHold.Fence)
 	}
-	c.Held(ms(30), "w", longHold, lease.Result{Verdict: lease.OK, Clock: 127, Born: 1})
-	if c.held["w"].Known() {
+	c.HoldAnswered(ms(30), "w", longHold, lease.Result{Verdict: lease.OK, Clock: 127, Incarnation: 1})
+	if c.held["w"].Established() {
 		t.Error("the worker is held after an answer to a call of the former lease")
 	}
-	c.Held(ms(31), "w", again[0], lease.Result{Verdict: lease.OK, Clock: 128, Born: 1})
-	if !c.held["w"].Known() {
+	c.HoldAnswered(ms(31), "w", again[0], lease.Result{Verdict: lease.OK, Clock: 128, Incarnation: 1})
+	if !c.held["w"].Established() {
 		t.Error("the worker is not held after the answer to the first call")
 	}
 }
@@ -302,12 +302,12 @@
 // changes instead of the whole list, it would not know the workers that nobody holds.
 func TestReaderReadsAnewForAPlannerThatBeganAgain(t *testing.T) {
 	c := newCore(1, 2)
-	_, first, _ := c.Reads()
+	_, first, _ := c.ListReader()
 	large := member(2)
-	large.Share = 4
+	large.Cores = 4
 	c.MemberUp(ms(1), large, 1)
 	c.MemberDown(ms(2), large.ID, 1, ms(2))
-	planner, again, ok := c.Reads()
+	planner, again, ok := c.ListReader()
 	if planner != member(1).ID || !ok || again == first {
 		t.Errorf("reads the worker list: %v, for %v, which has begun %d times; want a new count", ok, planner, again)
 	}
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -21,7 +21,7 @@
 	view                 cell.View
 	granted              int64
 	refused              map[string]int64
-	ended                map[lease.How]int64
+	ended                map[lease.Outcome]int64
 	notStarted           map[lease.Reason]int64
 }
 
@@ -31,7 +31,7 @@
 		sessions:   len(c.members),
 		held:       len(c.held),
 		jobs:       c.entry.Len(),
-		isPlanner:  c.Plans(),
+		isPlanner:  c.IsPlanner(),
 		granted:    c.cell.Counts().Granted,
 		refused:    copied(c.cell.Counts().Refused),
 		ended:      copied(c.entry.Counts().Ended),
@@ -105,5 +105,5 @@
 	return out
 }
 
-// LinesDropped counts log lines that were dropped.
-func (n *Node) LinesDropped(lines int) { n.meter.Count(meter.LogLinesDropped, int64(lines)) }
+// CountDroppedLines counts log lines that were dropped.
+func (n *Node) CountDroppedLines(lines int) { n.meter.Count(meter.LogLinesDropped, int64(lines)) }
--- a/node/holder.go
+++ b/node/holder.go
@@ -14,22 +14,22 @@
 )
 
 // startHolding opens a lease on a worker that the planner has assigned to this process.
-func (c *Core) startHolding(now time.Time, d cell.Duty) {
+func (c *Core) startHolding(now time.Time, d cell.Assignment) {
 	if b := c.held[d.Worker.ID]; b != nil && !b.Closed() || c.self.Leaving || c.self.Number == 0 {
 		return
 	}
-	event.HoldingBegan.Log(c.log, "worker", d.Worker.ID, "address", d.Worker.Address, "floor", uint64(d.Floor))
+	event.HoldingBegan.Log(c.log, "worker", d.Worker.ID, "address", d.Worker.Address, "floor", uint64(d.MinFence))
 	c.dropHolding(d.Worker.ID)
 	c.sortedHeld = nil
-	minFence := max(d.Floor, c.maxUsedFence)
-	c.held[d.Worker.ID] = lease.NewBook(now, d.Worker, lease.NewFence(c.self.Number), minFence, d.Speed, c.habitsOf(d.Worker.Pool))
+	minFence := max(d.MinFence, c.maxUsedFence)
+	c.held[d.Worker.ID] = lease.NewWorkerLease(now, d.Worker, lease.NewFence(c.self.Number), minFence, d.Speed, c.habitsOf(d.Worker.Pool))
 }
 
 // dropHolding removes the lease on a worker and keeps the highest fence that it used,
 // which the next lease must exceed.
 func (c *Core) dropHolding(worker string) {
 	if b := c.held[worker]; b != nil {
-		c.maxUsedFence = max(c.maxUsedFence, b.Spent())
+		c.maxUsedFence = max(c.maxUsedFence, b.HighestFence())
 		delete(c.held, worker)
 		c.sortedHeld = nil
 	}
@@ -44,10 +44,10 @@
 }
 
 // habitsOf returns what is known of the workers of a pool as a whole.
-func (c *Core) habitsOf(pool string) *lease.Habits {
+func (c *Core) habitsOf(pool string) *lease.PoolStats {
 	h := c.poolHabits[pool]
 	if h == nil {
-		h = &lease.Habits{}
+		h = &lease.PoolStats{}
 		c.poolHabits[pool] = h
 	}
 	return h
@@ -59,7 +59,7 @@
 		return
 	}
 	// The planner's state is stale: it takes this process for the holder.
-	c.send(now, c.planner, Mail{Report: &cell.Report{States: []lease.State{{ID: worker, Gone: true}}}})
+	c.send(now, c.planner, Message{Report: &cell.Report{States: []lease.State{{ID: worker, Released: true}}}})
 }
 
 func (c *Core) startRuns(now time.Time, from mesh.ID, s entry.Start) {
@@ -70,12 +70,12 @@
 		// were started here, a holder from between the two leases could make the owner
 		// believe that the run is lost.
 		if b == nil || b.Fence().Base() != r.Fence.Base() {
-			end := lease.End{Run: r.Run, How: lease.Never, Why: lease.NotHeld}
-			c.send(now, from, Mail{Ended: &entry.Ended{Worker: r.Worker, End: end}})
+			end := lease.End{Run: r.Run, Outcome: lease.NeverStarted, Why: lease.NotHeld}
+			c.send(now, from, Message{Ended: &entry.Ended{Worker: r.Worker, End: end}})
 			continue
 		}
 		b.Start(now, from, lease.Order{
-			Claim: lease.Claim{Run: r.Run, Room: s.Room, Estimate: cmp.Or(r.Estimate, s.Estimate)},
+			Claim: lease.Claim{Run: r.Run, Resources: s.Resources, Estimate: cmp.Or(r.Estimate, s.Estimate)},
 			Text:  lease.Text{Spec: string(s.Spec), Sum: s.Sum},
 		})
 	}
@@ -92,7 +92,7 @@
 func (c *Core) claimRuns(now time.Time, from mesh.ID, cl entry.Claim) {
 	b := c.held[cl.Worker]
 	if b == nil {
-		c.send(now, from, Mail{Unheld: &entry.Unheld{Worker: cl.Worker}})
+		c.send(now, from, Message{Unheld: &entry.Unheld{Worker: cl.Worker}})
 		return
 	}
 	claims := make([]lease.Claim, 0, len(cl.Runs))
@@ -100,8 +100,8 @@
 		if r.Fence.Base() > b.Fence().Base() {
 			continue
 		}
-		claims = append(claims, lease.Claim{Run: r.Run, Room: r.Room, Estimate: r.Estimate})
+		claims = append(claims, lease.Claim{Run: r.Run, Resources: r.Resources, Estimate: r.Estimate})
 	}
-	event.RunsClaimed.Log(c.log, "worker", cl.Worker, "owner", from, "runs", len(claims), "unanswered", b.Unanswered())
+	event.RunsClaimed.Log(c.log, "worker", cl.Worker, "owner", from, "runs", len(claims), "unanswered", b.UnansweredStarts())
 	b.Claim(now, from, claims)
 }
--- a/node/list.go
+++ b/node/list.go
@@ -20,7 +20,7 @@
 	// expires is when the list becomes too old to be used. It is zero until source is no
 	// longer the planner.
 	expires time.Time
-	workers map[string]cell.Listed
+	workers map[string]cell.ListedWorker
 }
 
 const (
@@ -39,27 +39,27 @@
 
 // apply applies an update sent by a process and returns the changes that result. If the
 // list came from another process, it is discarded first.
-func (l *workerList) apply(from mesh.ID, update cell.Listing) (changes cell.Listing) {
+func (l *workerList) apply(from mesh.ID, update cell.WorkerList) (changes cell.WorkerList) {
 	if from != l.source || l.workers == nil {
-		l.source, l.workers = from, make(map[string]cell.Listed)
+		l.source, l.workers = from, make(map[string]cell.ListedWorker)
 	}
-	if update.Whole {
-		l.dropUnlisted(update.Listed, &changes)
+	if update.Full {
+		l.dropUnlisted(update.Workers, &changes)
 	}
-	for _, w := range update.Listed {
+	for _, w := range update.Workers {
 		if have, ok := l.workers[w.ID]; !ok || have != w {
 			l.workers[w.ID] = w
-			changes.Listed = append(changes.Listed, w)
+			changes.Workers = append(changes.Workers, w)
 		}
 	}
-	for _, id := range update.Dropped {
+	for _, id := range update.Removed {
 		l.drop(id, &changes)
 	}
 	return changes
 }
 
 // dropUnlisted removes the workers that a full update does not list.
-func (l *workerList) dropUnlisted(listed []cell.Listed, changes *cell.Listing) {
+func (l *workerList) dropUnlisted(listed []cell.ListedWorker, changes *cell.WorkerList) {
 	keep := make(map[string]struct{}, len(listed))
 	for _, w := range listed {
 		keep[w.ID] = struct{}{}
@@ -71,18 +71,18 @@
 	}
 }
 
-func (l *workerList) drop(id string, changes *cell.Listing) {
+func (l *workerList) drop(id string, changes *cell.WorkerList) {
 	if _, ok := l.workers[id]; ok {
 		delete(l.workers, id)
-		changes.Dropped = append(changes.Dropped, id)
+		changes.Removed = append(changes.Removed, id)
 	}
 }
 
 // full returns the whole list as a message.
-func (l *workerList) full() cell.Listing {
-	out := cell.Listing{Whole: true, Copy: true}
+func (l *workerList) full() cell.WorkerList {
+	out := cell.WorkerList{Full: true, FromPlanner: true}
 	for _, id := range slices.Sorted(maps.Keys(l.workers)) {
-		out.Listed = append(out.Listed, l.workers[id])
+		out.Workers = append(out.Workers, l.workers[id])
 	}
 	return out
 }
@@ -90,16 +90,16 @@
 // handleWorkerList handles a list of workers: either one read from the store for the
 // planner, by this process or another one, or the copy of a planner. Only the planner uses
 // the former. A member ignores a copy from another process while it has the planner's.
-func (c *Core) handleWorkerList(now time.Time, from mesh.ID, l cell.Listing) {
+func (c *Core) handleWorkerList(now time.Time, from mesh.ID, l cell.WorkerList) {
 	switch {
-	case c.cell.Active() && l.Copy:
+	case c.cell.Active() && l.FromPlanner:
 		c.adoptList(now, from, l)
 	case c.cell.Active():
 		l = c.ownCellWorkers(l)
-		c.cell.Workers(now, l)
+		c.cell.UpdateWorkers(now, l)
 		c.list.expires = time.Time{}
 		c.forwardChanges(now, c.list.apply(c.self.ID, l))
-	case l.Copy && (from == c.planner || c.list.source != c.planner):
+	case l.FromPlanner && (from == c.planner || c.list.source != c.planner):
 		c.list.apply(from, l)
 		c.list.expires = time.Time{}
 		c.updateListExpiry(now)
@@ -108,15 +108,15 @@
 
 // adoptList uses a former planner's copy of the list until the store's list has been
 // read.
-func (c *Core) adoptList(now time.Time, from mesh.ID, l cell.Listing) {
+func (c *Core) adoptList(now time.Time, from mesh.ID, l cell.WorkerList) {
 	l = c.ownCellWorkers(l)
-	if c.cell.HasList() || len(l.Listed) == 0 {
+	if c.cell.HasWorkerList() || len(l.Workers) == 0 {
 		return
 	}
-	event.WorkerListInherited.Log(c.log, "workers", len(l.Listed), "from", from)
-	c.cell.Workers(now, l)
+	event.WorkerListInherited.Log(c.log, "workers", len(l.Workers), "from", from)
+	c.cell.UpdateWorkers(now, l)
 	c.list.expires = time.Time{}
-	c.forwardChanges(now, c.list.apply(c.self.ID, cell.Listing{Listed: l.Listed}))
+	c.forwardChanges(now, c.list.apply(c.self.ID, cell.WorkerList{Workers: l.Workers}))
 }
 
 // adoptOwnList makes a process that becomes the planner adopt the copy that it has. An
@@ -130,13 +130,13 @@
 }
 
 // forwardChanges sends changes of the list to the deputies.
-func (c *Core) forwardChanges(now time.Time, changes cell.Listing) {
-	if len(changes.Listed)+len(changes.Dropped) == 0 {
+func (c *Core) forwardChanges(now time.Time, changes cell.WorkerList) {
+	if len(changes.Workers)+len(changes.Removed) == 0 {
 		return
 	}
-	changes.Copy = true
+	changes.FromPlanner = true
 	for _, id := range slices.SortedFunc(maps.Keys(c.deputies), mesh.ID.Compare) {
-		c.send(now, id, Mail{Listing: &changes})
+		c.send(now, id, Message{WorkerList: &changes})
 	}
 }
 
@@ -164,9 +164,9 @@
 		switch {
 		case is && !was && len(c.list.workers) > 0:
 			full := c.list.full()
-			c.send(now, m.ID, Mail{Listing: &full})
+			c.send(now, m.ID, Message{WorkerList: &full})
 		case was && !is:
-			c.send(now, m.ID, Mail{Listing: &cell.Listing{Whole: true, Copy: true}})
+			c.send(now, m.ID, Message{WorkerList: &cell.WorkerList{Full: true, FromPlanner: true}})
 		}
 	}
 }
--- a/node/list_test.go
+++ b/node/list_test.go
@@ -18,8 +18,8 @@
 	got := make(map[string]mesh.ID)
 	for _, o := range out {
 		switch {
-		case o.Mail != nil && o.Mail.Duty != nil:
-			got[o.Mail.Duty.Worker.ID] = o.To
+		case o.Message != nil && o.Message.Assignment != nil:
+			got[o.Message.Assignment.Worker.ID] = o.To
 		case o.Hold != nil:
 			got[o.Worker.ID] = c.Self().ID
 		}
@@ -28,12 +28,12 @@
 }
 
 // fullList returns a full list of workers with these IDs.
-func fullList(ids ...string) cell.Listing {
-	l := cell.Listing{Whole: true}
+func fullList(ids ...string) cell.WorkerList {
+	l := cell.WorkerList{Full: true}
 	for _, id := range ids {
 		w := testWorker()
 		w.ID = id
-		l.Listed = append(l.Listed, cell.Listed{Worker: w})
+		l.Workers = append(l.Workers, cell.ListedWorker{Worker: w})
 	}
 	return l
 }
@@ -63,17 +63,17 @@
 // workers of the killed process, and jobs are refused until the store is back.
 func TestNextPlannerKnowsTheWorkersWithoutTheStore(t *testing.T) {
 	planner, second, third := threeCores()
-	planner.Workers(ms(10), fullList("w", "x"))
+	planner.WorkersListed(ms(10), fullList("w", "x"))
 	out := planner.Take(ms(10))
 	deliver(ms(11), planner, second, out)
 	deliver(ms(11), planner, third, out)
 	second.Take(ms(11))
 
 	second.MemberDown(ms(100), planner.Self().ID, 1, ms(90))
-	if !second.Plans() {
+	if !second.IsPlanner() {
 		t.Fatal("the second process is not the planner")
 	}
-	second.Receive(ms(101), member(3).ID, 1, []Mail{{Report: &cell.Report{Whole: true}}})
+	second.Receive(ms(101), member(3).ID, 1, []Message{{Report: &cell.Report{Full: true}}})
 	second.Tick(ms(3000))
 	if got := assignments(second, second.Take(ms(3000))); len(got) != 2 {
 		t.Errorf("assigned workers %v, want both", got)
@@ -86,8 +86,8 @@
 	planner, second, _ := threeCores()
 	var log bytes.Buffer
 	second.log = slog.New(slog.NewTextHandler(&log, nil))
-	second.Say(ms(5), func(m *mesh.Member) { m.Blind = true })
-	planner.Workers(ms(10), fullList("w"))
+	second.Advertise(ms(5), func(m *mesh.Member) { m.StoreUnreachable = true })
+	planner.WorkersListed(ms(10), fullList("w"))
 	deliver(ms(11), planner, second, planner.Take(ms(10)))
 	second.MemberDown(ms(100), planner.Self().ID, 1, ms(90))
 	second.Take(ms(100))
@@ -100,13 +100,13 @@
 // long announced that it drains.
 func TestDeputiesAreToldOfChanges(t *testing.T) {
 	planner, second, _ := threeCores()
-	planner.Workers(ms(10), fullList("w", "x"))
+	planner.WorkersListed(ms(10), fullList("w", "x"))
 	deliver(ms(11), planner, second, planner.Take(ms(10)))
 	change := fullList("y", "x")
-	change.Whole, change.Listed[1].Draining, change.Dropped = false, true, []string{"w"}
-	planner.Workers(ms(20), change)
+	change.Full, change.Workers[1].Draining, change.Removed = false, true, []string{"w"}
+	planner.WorkersListed(ms(20), change)
 	deliver(ms(21), planner, second, planner.Take(ms(20)))
-	planner.Workers(ms(30), fullList("x", "y"))
+	planner.WorkersListed(ms(30), fullList("x", "y"))
 	if out := planner.Take(ms(30)); len(messagesTo(out, second.Self().ID)) != 1 {
 		t.Errorf("sent %+v, want the change of x alone", messagesTo(out, second.Self().ID))
 	} else {
@@ -115,7 +115,7 @@
 	second.Take(ms(31))
 
 	second.MemberDown(ms(100), planner.Self().ID, 1, ms(90))
-	second.Receive(ms(101), member(3).ID, 1, []Mail{{Report: &cell.Report{Whole: true}}})
+	second.Receive(ms(101), member(3).ID, 1, []Message{{Report: &cell.Report{Full: true}}})
 	second.Tick(ms(3000))
 	v := second.Status(ms(3000)).Cell
 	if len(v.Holders) != 2 || v.Holders[0].Worker != "x" || v.Holders[1].Worker != "y" {
@@ -126,18 +126,18 @@
 // The list of a planner that ended long ago names workers that have left since.
 func TestOldListIsNotUsed(t *testing.T) {
 	planner, second, _ := threeCores()
-	planner.Workers(ms(10), fullList("w"))
+	planner.WorkersListed(ms(10), fullList("w"))
 	deliver(ms(11), planner, second, planner.Take(ms(10)))
 	first := planner.Self()
 	first.Leaving = true
 	large := member(3)
-	large.Share = 4
+	large.Cores = 4
 	second.MemberChanged(ms(20), large)
 	second.Take(ms(20))
 	later := ms(21).Add(listRetention)
 	second.MemberDown(later, large.ID, 1, later)
 	second.MemberChanged(later, first)
-	if !second.Plans() {
+	if !second.IsPlanner() {
 		t.Fatal("the second process is not the planner")
 	}
 	if v := second.Status(later).Cell; len(v.Holders) > 0 {
@@ -146,8 +146,8 @@
 	fresh := member(9)
 	second.MemberUp(later, fresh, 9)
 	for _, m := range messagesTo(second.Take(later), fresh.ID) {
-		if m.Listing != nil {
-			t.Errorf("sends a deputy %+v", m.Listing)
+		if m.WorkerList != nil {
+			t.Errorf("sends a deputy %+v", m.WorkerList)
 		}
 	}
 }
@@ -156,14 +156,14 @@
 // store sends its list to the next one.
 func TestFormerPlannerTellsTheNext(t *testing.T) {
 	planner, second, _ := threeCores()
-	planner.Workers(ms(10), fullList("w"))
-	planner.Say(ms(11), func(m *mesh.Member) { m.Blind = true })
+	planner.WorkersListed(ms(10), fullList("w"))
+	planner.Advertise(ms(11), func(m *mesh.Member) { m.StoreUnreachable = true })
 	planner.Take(ms(11))
 	large := second.Self()
-	large.Share = 4
+	large.Cores = 4
 	planner.MemberChanged(ms(20), large)
 	out := planner.Take(ms(20))
-	second.Say(ms(20), func(m *mesh.Member) { m.Share = 4 })
+	second.Advertise(ms(20), func(m *mesh.Member) { m.Cores = 4 })
 	second.Take(ms(20))
 	deliver(ms(21), planner, second, out)
 	second.Take(ms(21))
@@ -171,8 +171,8 @@
 		t.Errorf("knows %+v, want the worker", v)
 	}
 	// A list read from the store takes precedence.
-	second.Workers(ms(30), fullList("x"))
-	deliver(ms(31), planner, second, []Output{{To: second.Self().ID, Mail: &Mail{Listing: &cell.Listing{Whole: true, Copy: true, Listed: []cell.Listed{{Worker: lease.Worker{ID: "old"}}}}}}})
+	second.WorkersListed(ms(30), fullList("x"))
+	deliver(ms(31), planner, second, []Output{{To: second.Self().ID, Message: &Message{WorkerList: &cell.WorkerList{Full: true, FromPlanner: true, Workers: []cell.ListedWorker{{Worker: lease.Worker{ID: "old"}}}}}}})
 	second.Take(ms(31))
 	for _, h := range second.Status(ms(32)).Cell.Holders {
 		if h.Worker == "old" {
@@ -196,12 +196,12 @@
 	}
 	for _, tt := range tests {
 		c, _ := newTwoDataCenterCore(tt.processes)
-		c.Say(ms(5), func(m *mesh.Member) { m.Share = 9 })
+		c.Advertise(ms(5), func(m *mesh.Member) { m.Cores = 9 })
 		c.Take(ms(5))
-		c.Workers(ms(6), cell.Listing{Whole: true, Listed: []cell.Listed{{Worker: lease.Worker{ID: "w", DataCenter: "even"}}}})
+		c.WorkersListed(ms(6), cell.WorkerList{Full: true, Workers: []cell.ListedWorker{{Worker: lease.Worker{ID: "w", DataCenter: "even"}}}})
 		notified := make(map[mesh.ID]bool)
 		for _, o := range c.Take(ms(6)) {
-			if o.Mail != nil && o.Mail.Listing != nil {
+			if o.Message != nil && o.Message.WorkerList != nil {
 				notified[o.To] = true
 			}
 		}
--- a/node/members.go
+++ b/node/members.go
@@ -19,9 +19,9 @@
 	c.elect(now)
 	delete(c.lostMembers, m.ID)
 	for _, w := range c.heldIDs() {
-		c.held[w].OwnerBack(m.ID)
+		c.held[w].OwnerReachable(m.ID)
 	}
-	c.entry.HolderUp(m.ID)
+	c.entry.HolderReachable(m.ID)
 	c.announceHeld(now, m.ID)
 	c.requestNewerCatalog(now, m)
 	c.updateWatches(now)
@@ -53,8 +53,8 @@
 
 func (c *Core) announceWorkers(now time.Time, to mesh.ID, workers []string) {
 	for _, id := range workers {
-		if b := c.held[id]; b != nil && b.Known() {
-			c.send(now, to, Mail{Held: &entry.Held{Worker: id, Fence: b.Fence()}})
+		if b := c.held[id]; b != nil && b.Established() {
+			c.send(now, to, Message{Held: &entry.Held{Worker: id, Fence: b.Fence()}})
 		}
 	}
 }
@@ -86,9 +86,9 @@
 	}
 	c.lostMembers[id] = lastHeard
 	for _, w := range c.heldIDs() {
-		c.held[w].OwnerAway(id, lastHeard.Add(callerRetryDelay))
+		c.held[w].OwnerUnreachable(id, lastHeard.Add(callerRetryDelay))
 	}
-	c.entry.HolderDown(now, id)
+	c.entry.HolderUnreachable(now, id)
 	c.elect(now)
 	c.updateWatches(now)
 }
@@ -99,9 +99,9 @@
 	if !ok {
 		return
 	}
-	event.MemberStateChanged.Log(c.log, "member", m.VM, "id", m.ID, "number", m.Number, "leaving", m.Leaving, "blind", m.Blind, "plans", m.Plans, "catalog", uint64(m.Catalog))
+	event.MemberStateChanged.Log(c.log, "member", m.VM, "id", m.ID, "number", m.Number, "leaving", m.Leaving, "blind", m.StoreUnreachable, "plans", m.PlannerTerms, "catalog", uint64(m.Catalog))
 	formerPlanner, previous := c.planner, p.Member
-	began := m.Plans != p.Plans
+	began := m.PlannerTerms != p.PlannerTerms
 	p.Member = m
 	c.members[m.ID] = p
 	c.requestNewerCatalog(now, m)
@@ -117,18 +117,18 @@
 	}
 }
 
-// Say changes the state that this process advertises.
-func (c *Core) Say(now time.Time, change func(*mesh.Member)) {
+// Advertise changes the state that this process advertises.
+func (c *Core) Advertise(now time.Time, change func(*mesh.Member)) {
 	before := c.self
 	change(&c.self)
 	if c.self != before {
-		c.out = append(c.out, Output{Say: &c.self})
+		c.out = append(c.out, Output{Advertise: &c.self})
 		c.elect(now)
 	}
 }
 
-// Known sets the addresses of the processes that the store lists.
-func (c *Core) Known(now time.Time, addrs []netip.AddrPort) {
+// SetRecordedAddrs sets the addresses of the processes that the store lists.
+func (c *Core) SetRecordedAddrs(now time.Time, addrs []netip.AddrPort) {
 	c.recordedAddrs = make(map[netip.AddrPort]struct{}, len(addrs))
 	for _, a := range addrs {
 		c.recordedAddrs[a] = struct{}{}
@@ -147,7 +147,7 @@
 	}
 	members := c.cellMembers(reachable)
 	best := slices.MinFunc(members, c.comparePriority)
-	c.entry.Elsewhere(c.otherPlanners(reachable))
+	c.entry.SetOtherPlanners(c.otherPlanners(reachable))
 	if best.ID != c.planner {
 		event.PlannerChosen.Log(c.log, "planner", best.ID, "vm", best.VM, "number", best.Number, "members", len(members), "before", c.planner)
 		c.planner = best.ID
@@ -158,7 +158,7 @@
 	c.updateListExpiry(now)
 	began := c.updatePlanning(now, best.ID == c.self.ID)
 	allReachable := c.updateQuorum(now, reachable)
-	c.cell.Members(now, members, reachable, c.quorum, allReachable)
+	c.cell.SetMembers(now, members, reachable, c.quorum, allReachable)
 	if began {
 		c.adoptOwnList(now)
 	}
@@ -192,8 +192,8 @@
 	case self == c.cell.Active():
 	case self:
 		c.cell.Begin(now)
-		c.self.Plans++
-		c.out = append(c.out, Output{Say: &c.self})
+		c.self.PlannerTerms++
+		c.out = append(c.out, Output{Advertise: &c.self})
 		c.updateWatches(now)
 		return true
 	default:
@@ -206,22 +206,22 @@
 // planner or, while the planner can't reach the store, the best other member. Without a
 // reader, tasks would be started on workers that have long announced that they drain.
 func (c *Core) electListReader(members []mesh.Member, planner mesh.Member) mesh.ID {
-	if !planner.Blind {
+	if !planner.StoreUnreachable {
 		return planner.ID
 	}
 	best := slices.MinFunc(members, func(x, y mesh.Member) int {
-		return cmp.Or(compareBool(x.Blind, y.Blind), c.comparePriority(x, y))
+		return cmp.Or(compareBool(x.StoreUnreachable, y.StoreUnreachable), c.comparePriority(x, y))
 	})
 	return best.ID
 }
 
-// Reads reports whether this process reads the list of workers, and returns the planner
+// ListReader reports whether this process reads the list of workers, and returns the planner
 // for which it does and how often that has begun to plan. A planner that begins again
 // knows no workers, so it needs the whole list instead of changes.
-func (c *Core) Reads() (planner mesh.ID, term uint64, ok bool) {
-	term = c.self.Plans
+func (c *Core) ListReader() (planner mesh.ID, term uint64, ok bool) {
+	term = c.self.PlannerTerms
 	if m, other := c.members[c.planner]; other {
-		term = m.Plans
+		term = m.PlannerTerms
 	}
 	return c.planner, term, c.listReader == c.self.ID
 }
@@ -230,14 +230,14 @@
 // plan: all held workers with the next report, and all pending tasks again.
 func (c *Core) syncPlanner(now time.Time) {
 	c.fullReportAt, c.reportedAt = time.Time{}, time.Time{}
-	if c.self.Blind && c.planner != c.self.ID && c.planner != c.list.source && c.list.usable(now) {
+	if c.self.StoreUnreachable && c.planner != c.self.ID && c.planner != c.list.source && c.list.usable(now) {
 		// The planner may be unable to reach the store as well.
 		full := c.list.full()
-		c.send(now, c.planner, Mail{Listing: &full})
+		c.send(now, c.planner, Message{WorkerList: &full})
 	}
 	// The entry sends its requests again only if the planner changes.
-	c.entry.Planner(now, mesh.ID{})
-	c.entry.Planner(now, c.planner)
+	c.entry.SetPlanner(now, mesh.ID{})
+	c.entry.SetPlanner(now, c.planner)
 }
 
 // comparePriority orders members by their priority in the election of the planner.
@@ -254,7 +254,7 @@
 
 // sizeClass returns the size of a VM in tenths of a core, so that smaller differences do
 // not matter.
-func sizeClass(m mesh.Member) int { return int(m.Share * 10) }
+func sizeClass(m mesh.Member) int { return int(m.Cores * 10) }
 
 func compareBool(x, y bool) int {
 	switch {
--- a/node/node.go
+++ b/node/node.go
@@ -39,8 +39,8 @@
 type Config struct {
 	VM         string
 	DataCenter string
-	// Share is the size of the VM in cores.
-	Share float64
+	// Cores is the size of the VM in cores.
+	Cores float64
 	// Callers, Ready, Peers and Operators are the addresses to listen on. Operators may be
 	// the zero value for none.
 	Callers, Ready, Peers, Operators netip.AddrPort
@@ -48,8 +48,8 @@
 	Seeds []netip.AddrPort
 	// Policy configures the planner's decisions; the zero value is the default policy.
 	Policy cell.Policy
-	// StopFor is the time from the stop request until the process is killed.
-	StopFor time.Duration
+	// GracePeriod is the time from the stop request until the process is killed.
+	GracePeriod time.Duration
 }
 
 // Workers calls workers.
@@ -75,7 +75,7 @@
 	// Worker parse records.
 	IsCatalog func(registry.Record) bool
 	Catalog   func(registry.Record) (*catalog.Catalog, error)
-	Worker    func(registry.Record) (cell.Listed, error)
+	Worker    func(registry.Record) (cell.ListedWorker, error)
 	Workers   Workers
 	// Callers returns the handler of callers' requests.
 	Callers func(*Node) http.Handler
@@ -98,7 +98,7 @@
 	clock    *clock.Service
 	meter    *meter.Meter
 	catalogs *catalog.Shelf
-	mesh     *mesh.Mesh[Mail]
+	mesh     *mesh.Mesh[Message]
 	core     *Core
 	ln       listeners
 
@@ -149,7 +149,7 @@
 		ID:         mesh.ID{Address: cfg.Peers, Boot: rand.Uint64()},
 		VM:         cfg.VM,
 		DataCenter: cfg.DataCenter,
-		Share:      cfg.Share,
+		Cores:      cfg.Cores,
 	}
 	catalogs := &catalog.Shelf{}
 	n := &Node{
@@ -205,8 +205,8 @@
 	defer cancel()
 	n.root = root
 	done := n.tree().ServeBackground(root)
-	event.ProcessStarted.Log(n.log, "vm", n.cfg.VM, "data_center", n.cfg.DataCenter, "callers", n.cfg.Callers, "peers", n.cfg.Peers, "share", n.cfg.Share, "id", n.id)
-	n.mesh.Learn(n.cfg.Seeds...)
+	event.ProcessStarted.Log(n.log, "vm", n.cfg.VM, "data_center", n.cfg.DataCenter, "callers", n.cfg.Callers, "peers", n.cfg.Peers, "share", n.cfg.Cores, "id", n.id)
+	n.mesh.AddAddresses(n.cfg.Seeds...)
 	<-ctx.Done()
 	n.stop(root)
 	cancel()
@@ -302,7 +302,7 @@
 		boot := clock.SinceBoot()
 		if pause := boot - last; pause > suspendThreshold {
 			event.ProcessResumed.Log(n.log, "pause_ms", pause.Milliseconds())
-			n.core.Thawed(now)
+			n.core.Resumed(now)
 		}
 		last = boot
 		w(now, n.core)
@@ -330,7 +330,7 @@
 
 // publish copies the state of the core that other goroutines need.
 func (n *Node) publish() {
-	planner, term, reads := n.core.Reads()
+	planner, term, reads := n.core.ListReader()
 	n.planner.Store(&planner)
 	n.plannerTerm.Store(term)
 	n.quorum.Store(n.core.HasQuorum())
@@ -339,15 +339,15 @@
 
 // perform carries out the outputs of the core.
 func (n *Node) perform(out []Output) {
-	outgoing := make(map[mesh.ID][]Mail)
+	outgoing := make(map[mesh.ID][]Message)
 	for _, o := range out {
 		switch {
-		case o.Mail != nil:
-			outgoing[o.To] = append(outgoing[o.To], *o.Mail)
+		case o.Message != nil:
+			outgoing[o.To] = append(outgoing[o.To], *o.Message)
 		case o.Answer != nil:
 			n.answer(*o.Answer)
-		case o.Say != nil:
-			n.mesh.Say(*o.Say)
+		case o.Advertise != nil:
+			n.mesh.Advertise(*o.Advertise)
 		case o.Watch != nil:
 			n.mesh.Watch(o.Watch.Member, o.Watch.On)
 		case o.Hold != nil:
@@ -364,21 +364,21 @@
 }
 
 // handleMeshEvent passes an event of the mesh to the core.
-func (n *Node) handleMeshEvent(e mesh.Event[Mail]) {
+func (n *Node) handleMeshEvent(e mesh.Event[Message]) {
 	n.enqueue(n.root, func(now time.Time, c *Core) {
 		switch e.Kind {
 		case mesh.Up:
 			c.MemberUp(now, e.Member, e.Session)
 		case mesh.Down:
-			c.MemberDown(now, e.Member.ID, e.Session, e.Heard)
+			c.MemberDown(now, e.Member.ID, e.Session, e.LastHeard)
 		case mesh.Changed:
 			c.MemberChanged(now, e.Member)
-		case mesh.Quiet:
-			c.MemberQuiet(now, e.Member.ID, e.Session, e.Heard)
-		case mesh.Back:
-			c.MemberBack(e.Member.ID, e.Session)
+		case mesh.Overdue:
+			c.MemberOverdue(now, e.Member.ID, e.Session, e.LastHeard)
+		case mesh.Recovered:
+			c.MemberRecovered(e.Member.ID, e.Session)
 		case mesh.Mail:
-			c.Receive(now, e.Member.ID, e.Session, e.Mail)
+			c.Receive(now, e.Member.ID, e.Session, e.Messages)
 		}
 	})
 }
--- a/node/report.go
+++ b/node/report.go
@@ -32,41 +32,41 @@
 	if c.planner == (mesh.ID{}) || now.Sub(c.reportedAt) < c.entry.PlannerDelay()/reportsPerPlannerDelay {
 		return
 	}
-	r := &cell.Report{Whole: now.Sub(c.fullReportAt) >= fullReportInterval}
-	describe := c.fullReportAt.IsZero() || r.Whole && now.Sub(c.describedAt) >= describeInterval
+	r := &cell.Report{Full: now.Sub(c.fullReportAt) >= fullReportInterval}
+	describe := c.fullReportAt.IsZero() || r.Full && now.Sub(c.describedAt) >= describeInterval
 	for _, id := range c.heldIDs() {
 		b := c.held[id]
-		if s, ok := reportedState(now, b, r.Whole, describe); ok {
+		if s, ok := reportedState(now, b, r.Full, describe); ok {
 			r.States = append(r.States, s)
 		}
 		if b.Closed() {
-			event.HoldingEnded.Log(c.log, "worker", id, "why", b.Why(), "fence", uint64(b.Fence()))
+			event.HoldingEnded.Log(c.log, "worker", id, "why", b.CloseReason(), "fence", uint64(b.Fence()))
 			c.dropHolding(id)
 			for _, o := range b.Owners() {
-				c.send(now, o, Mail{Unheld: &entry.Unheld{Worker: id}})
+				c.send(now, o, Message{Unheld: &entry.Unheld{Worker: id}})
 			}
 		}
 	}
-	if r.Whole {
+	if r.Full {
 		c.fullReportAt = now
 	}
 	if describe {
 		c.describedAt = now
 	}
-	if r.Whole || len(r.States) > 0 {
+	if r.Full || len(r.States) > 0 {
 		c.reportedAt = now
-		c.send(now, c.planner, Mail{Report: r})
+		c.send(now, c.planner, Message{Report: r})
 	}
 }
 
 // reportedState returns the state of a worker to report: complete if describe is set,
 // otherwise what has changed. Unless whole is set, it returns false if nothing has.
-func reportedState(now time.Time, b *lease.Book, whole, describe bool) (lease.State, bool) {
+func reportedState(now time.Time, b *lease.WorkerLease, whole, describe bool) (lease.State, bool) {
 	switch {
 	case describe:
 		return b.State(now), true
 	case whole:
-		return b.Part(now), true
+		return b.Changes(now), true
 	}
 	return b.Changed(now)
 }
--- a/node/status.go
+++ b/node/status.go
@@ -11,13 +11,13 @@
 
 // Status is the state of a process as shown to operators.
 type Status struct {
-	Self    mesh.Member     `json:"self"`
-	Planner mesh.ID         `json:"planner"`
-	Plans   bool            `json:"plans"`
-	Catalog catalog.Version `json:"catalog"`
-	Members []mesh.Member   `json:"members"`
-	Jobs    int             `json:"jobs"`
-	Workers []lease.State   `json:"workers"`
+	Self      mesh.Member     `json:"self"`
+	Planner   mesh.ID         `json:"planner"`
+	IsPlanner bool            `json:"plans"`
+	Catalog   catalog.Version `json:"catalog"`
+	Members   []mesh.Member   `json:"members"`
+	Jobs      int             `json:"jobs"`
+	Workers   []lease.State   `json:"workers"`
 	// Cell is the planner's view, or nil if this process is not the planner.
 	Cell *cell.View `json:"cell,omitempty"`
 	// StoreAge is the time since each topic of the store was last read.
@@ -26,11 +26,11 @@
 
 // Status returns the state for operators.
 func (c *Core) Status(now time.Time) Status {
-	s := Status{Self: c.self, Planner: c.planner, Plans: c.Plans(), Members: c.reachableMembers(), Jobs: c.entry.Len()}
+	s := Status{Self: c.self, Planner: c.planner, IsPlanner: c.IsPlanner(), Members: c.reachableMembers(), Jobs: c.entry.Len()}
 	for _, id := range c.heldIDs() {
-		s.Workers = append(s.Workers, c.held[id].Peek(now))
+		s.Workers = append(s.Workers, c.held[id].Snapshot(now))
 	}
-	if c.Plans() {
+	if c.IsPlanner() {
 		v := c.cell.View(now)
 		s.Cell = &v
 	}
--- a/node/stop.go
+++ b/node/stop.go
@@ -55,7 +55,7 @@
 			event.MemberNotRecorded.Log(n.log, "error", err)
 		}
 	}()
-	for time.Since(begun) < n.cfg.StopFor-stopReserve {
+	for time.Since(begun) < n.cfg.GracePeriod-stopReserve {
 		idle, _ := query(ctx, n, func(_ time.Time, c *Core) bool { return c.Idle() })
 		if idle && n.openJobs.Load() == 0 {
 			break
--- a/node/store.go
+++ b/node/store.go
@@ -79,7 +79,7 @@
 
 // advertise changes the state that this process advertises to the members.
 func (n *Node) advertise(ctx context.Context, change func(*mesh.Member)) {
-	n.enqueue(ctx, func(now time.Time, c *Core) { c.Say(now, change) })
+	n.enqueue(ctx, func(now time.Time, c *Core) { c.Advertise(now, change) })
 }
 
 // plannerToReadFor returns the planner for which this process reads the list of workers,
@@ -102,7 +102,7 @@
 			return ctx.Err()
 		case <-sub.C:
 			blind := n.topics[topicOperator].Down() || n.topics[topicMembers].Down()
-			n.advertise(ctx, func(m *mesh.Member) { m.Blind = blind })
+			n.advertise(ctx, func(m *mesh.Member) { m.StoreUnreachable = blind })
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // followWorkers reads the workers' records while this process is the list reader.
 func (n *Node) followWorkers() *registry.Follower {
 	return n.follower(registry.Config{Name: topicWorkers, Pause: workersPollInterval}, n.platform.WorkerList, n.plannerToReadFor, func(ctx context.Context, news registry.News) {
-		var listed []cell.Listed
+		var listed []cell.ListedWorker
 		var dropped []string
 		for _, r := range news.Records {
 			if r.Dropped {
@@ -127,8 +127,8 @@
 			}
 			listed = append(listed, l)
 		}
-		l := cell.Listing{Whole: news.Whole, Listed: listed, Dropped: dropped}
-		n.enqueue(ctx, func(now time.Time, c *Core) { c.Workers(now, l) })
+		l := cell.WorkerList{Full: news.Whole, Workers: listed, Removed: dropped}
+		n.enqueue(ctx, func(now time.Time, c *Core) { c.WorkersListed(now, l) })
 	})
 }
 
@@ -150,8 +150,8 @@
 			n.applyMemberRecord(ctx, tracker, r)
 		}
 		addrs := tracker.list()
-		n.mesh.Learn(addrs...)
-		n.enqueue(ctx, func(now time.Time, c *Core) { c.Known(now, addrs) })
+		n.mesh.AddAddresses(addrs...)
+		n.enqueue(ctx, func(now time.Time, c *Core) { c.SetRecordedAddrs(now, addrs) })
 	})
 }
 
@@ -245,5 +245,5 @@
 	return n.platform.Members.Put(ctx, a.String(), value)
 }
 
-// Learn adds addresses of other processes to try.
-func (n *Node) Learn(addrs ...netip.AddrPort) { n.mesh.Learn(addrs...) }
+// AddAddresses adds addresses of other processes to try.
+func (n *Node) AddAddresses(addrs ...netip.AddrPort) { n.mesh.AddAddresses(addrs...) }
--- a/node/watch.go
+++ b/node/watch.go
@@ -21,16 +21,16 @@
 // their silence is noticed.
 const watchAllDuration = time.Second
 
-// MemberQuiet handles an overdue heartbeat of a watched member. The member may be lost,
+// MemberOverdue handles an overdue heartbeat of a watched member. The member may be lost,
 // and this process may be lost too before it notices that. The runs here that belong to
 // the member must end before its callers retry, so no lease is renewed beyond that time.
-func (c *Core) MemberQuiet(now time.Time, id mesh.ID, session uint64, lastHeard time.Time) {
+func (c *Core) MemberOverdue(now time.Time, id mesh.ID, session uint64, lastHeard time.Time) {
 	if c.members[id].session != session {
 		return
 	}
 	event.MemberOverdue.Log(c.log, "member", c.members[id].VM, "id", id, "silent_ms", now.Sub(lastHeard).Milliseconds(), "plans", id == c.planner)
 	for _, w := range c.heldIDs() {
-		c.held[w].OwnerAway(id, lastHeard.Add(callerRetryDelay))
+		c.held[w].OwnerUnreachable(id, lastHeard.Add(callerRetryDelay))
 	}
 	if id == c.planner {
 		c.watchAllUntil = now.Add(watchAllDuration)
@@ -38,13 +38,13 @@
 	}
 }
 
-// MemberBack handles a sign of life of a member whose heartbeat was overdue.
-func (c *Core) MemberBack(id mesh.ID, session uint64) {
+// MemberRecovered handles a sign of life of a member whose heartbeat was overdue.
+func (c *Core) MemberRecovered(id mesh.ID, session uint64) {
 	if c.members[id].session != session {
 		return
 	}
 	for _, w := range c.heldIDs() {
-		c.held[w].OwnerBack(id)
+		c.held[w].OwnerReachable(id)
 	}
 }
 
@@ -101,7 +101,7 @@
 			need[o] = struct{}{}
 		}
 	}
-	for h := range c.entry.Concerns() {
+	for h := range c.entry.Dependencies() {
 		need[h] = struct{}{}
 	}
 	return need
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -50,14 +50,14 @@
 	c := connectedCore(2, 1, 3, 4)
 	w.take(c.Take(ms(1)))
 	w.want(t, "before anything is started", 1)
-	c.Receive(ms(2), member(1).ID, 1, []Mail{{Duty: &cell.Duty{Worker: testWorker()}}})
+	c.Receive(ms(2), member(1).ID, 1, []Message{{Assignment: &cell.Assignment{Worker: testWorker()}}})
 	for _, o := range w.take(c.Take(ms(2))) {
 		if o.Hold != nil {
-			c.Held(ms(3), "w", *o.Hold, lease.Result{Verdict: lease.OK, Clock: 100, Born: 1})
+			c.HoldAnswered(ms(3), "w", *o.Hold, lease.Result{Verdict: lease.OK, Clock: 100, Incarnation: 1})
 		}
 	}
-	run := entry.Placed{Run: lease.Run{Task: "k.0.0.0", Number: 1}, Worker: "w"}
-	c.Receive(ms(20), member(3).ID, 1, []Mail{{Start: &entry.Start{Runs: []entry.Placed{run}}}})
+	run := entry.PlacedRun{Run: lease.Run{Task: "k.0.0.0", Number: 1}, Worker: "w"}
+	c.Receive(ms(20), member(3).ID, 1, []Message{{Start: &entry.Start{Runs: []entry.PlacedRun{run}}}})
 	w.take(c.Take(ms(20)))
 	w.want(t, "a start has arrived", 1, 3)
 	c.Tick(ms(5000))
@@ -81,10 +81,10 @@
 	c := connectedCore(4, 1, 2, 3)
 	w.take(c.Take(ms(1)))
 	w.want(t, "planner reachable", 1)
-	c.MemberQuiet(ms(300), member(1).ID, 1, ms(50))
+	c.MemberOverdue(ms(300), member(1).ID, 1, ms(50))
 	w.take(c.Take(ms(300)))
 	w.want(t, "planner's heartbeat overdue", 1, 2, 3)
-	c.MemberBack(member(1).ID, 1)
+	c.MemberRecovered(member(1).ID, 1)
 	c.Tick(ms(300).Add(watchAllDuration))
 	w.take(c.Take(ms(300).Add(watchAllDuration)))
 	w.want(t, "planner heard from again", 1)
@@ -98,10 +98,10 @@
 	for i, id := range []string{"v", "w"} {
 		x := testWorker()
 		x.ID = id
-		c.Receive(ms(2), member(1).ID, 1, []Mail{{Duty: &cell.Duty{Worker: x}}})
+		c.Receive(ms(2), member(1).ID, 1, []Message{{Assignment: &cell.Assignment{Worker: x}}})
 		for _, o := range c.Take(ms(2)) {
 			if o.Hold != nil {
-				c.Held(ms(3+i), id, *o.Hold, lease.Result{Verdict: lease.OK, Clock: 100, Born: 1})
+				c.HoldAnswered(ms(3+i), id, *o.Hold, lease.Result{Verdict: lease.OK, Clock: 100, Incarnation: 1})
 			}
 		}
 	}
--- a/operator/cell.go
+++ b/operator/cell.go
@@ -48,7 +48,7 @@
 
 // askPlanner asks the planner at the same port, on its own machine.
 func askPlanner(ctx context.Context, s node.Status, address string) (node.Status, error) {
-	if s.Plans || s.Planner == (mesh.ID{}) {
+	if s.IsPlanner || s.Planner == (mesh.ID{}) {
 		return s, nil
 	}
 	port := address[strings.LastIndexByte(address, ':')+1:]
@@ -85,10 +85,10 @@
 		if m.Leaving {
 			notes = append(notes, "leaving")
 		}
-		if m.Blind {
+		if m.StoreUnreachable {
 			notes = append(notes, "does not reach the store")
 		}
-		fmt.Fprintf(w, "%-32s %-12s %-6g %-8d %-8d %s\n", m.VM, m.DataCenter, m.Share, m.Number, m.Catalog, strings.Join(notes, ", "))
+		fmt.Fprintf(w, "%-32s %-12s %-6g %-8d %-8d %s\n", m.VM, m.DataCenter, m.Cores, m.Number, m.Catalog, strings.Join(notes, ", "))
 	}
 	writeAges(w, s.StoreAge)
 	if planner.Cell == nil {
@@ -118,7 +118,7 @@
 	fmt.Fprintf(w, "%-20s %-32s %-10s %-6s %-5s %-7s %s\n", "worker", "holder", "for", "term", "runs", "factor", "")
 	for _, h := range c.Holders {
 		var notes []string
-		for note, is := range map[string]bool{"not open": !h.Open, "draining": h.Draining, "not listed": !h.Listed, fmt.Sprintf("%d bad in a row", h.Speed.Bad): h.Speed.Bad > 0} {
+		for note, is := range map[string]bool{"not open": !h.Open, "draining": h.Draining, "not listed": !h.Listed, fmt.Sprintf("%d bad in a row", h.Speed.BadJobs): h.Speed.BadJobs > 0} {
 			if is {
 				notes = append(notes, note)
 			}
--- a/operator/cell_test.go
+++ b/operator/cell_test.go
@@ -29,11 +29,11 @@
 	address := srv.Listener.Addr().String()
 	id := mesh.ID{Address: netip.MustParseAddrPort("127.0.0.1:7000"), Boot: 5}
 	s = node.Status{
-		Planner: id, Plans: true,
-		Members:  []mesh.Member{{ID: id, VM: "vm1", DataCenter: "dc1", Share: 0.4, Number: 3, Catalog: 7, Blind: true}},
+		Planner: id, IsPlanner: true,
+		Members:  []mesh.Member{{ID: id, VM: "vm1", DataCenter: "dc1", Cores: 0.4, Number: 3, Catalog: 7, StoreUnreachable: true}},
 		StoreAge: map[string]time.Duration{"operator": 1500 * time.Millisecond},
-		Cell: &cell.View{Waiting: 2, Workers: 1, FreeCores: 1.5, Holders: []cell.HeldBy{
-			{Worker: "i-1", Holder: id, For: 2 * time.Second, Fence: lease.NewFence(3), Open: true, Listed: true, Runs: 2, Speed: lease.Speed{Factor: 0.6, Bad: 3}},
+		Cell: &cell.View{Waiting: 2, Workers: 1, FreeCores: 1.5, Holders: []cell.HeldWorker{
+			{Worker: "i-1", Holder: id, For: 2 * time.Second, Fence: lease.NewFence(3), Open: true, Listed: true, Runs: 2, Speed: lease.Speed{Factor: 0.6, BadJobs: 3}},
 			{Worker: "i-2", Holder: id, Fence: lease.NewFence(3), Draining: true},
 		}},
 	}
--- a/operator/editor.go
+++ b/operator/editor.go
@@ -130,7 +130,7 @@
 	}
 	for {
 		_, err := e.log.Append(ctx, tables.Stream, b)
-		if !errors.Is(err, ledger.ErrRate) {
+		if !errors.Is(err, ledger.ErrRateLimited) {
 			return nil
 		}
 		if !clock.Sleep(ctx, rateRetry) {
--- a/operator/editor_test.go
+++ b/operator/editor_test.go
@@ -73,14 +73,14 @@
 	}{
 		{"no fault", func(*fakeLog) {}, nil, 1},
 		{"answer lost after the append", func(l *fakeLog) {
-			l.append = func(b []byte) error { l.put(b); return ledger.ErrDown }
+			l.append = func(b []byte) error { l.put(b); return ledger.ErrUnreachable }
 		}, nil, 1},
 		{"answer lost, and the log is down for a while", func(l *fakeLog) {
 			n := 0
-			l.append = func(b []byte) error { l.put(b); return ledger.ErrDown }
+			l.append = func(b []byte) error { l.put(b); return ledger.ErrUnreachable }
 			l.read = func() error {
 				if n++; n > 1 && n < 10 {
-					return ledger.ErrDown
+					return ledger.ErrUnreachable
 				}
 				return nil
 			}
@@ -88,7 +88,7 @@
 		{"the edit shows up late", func(l *fakeLog) {
 			n := 0
 			var late []byte
-			l.append = func(b []byte) error { late = b; return ledger.ErrDown }
+			l.append = func(b []byte) error { late = b; return ledger.ErrUnreachable }
 			l.read = func() error {
 				if n++; n == 10 {
 					l.put(late)
@@ -100,23 +100,23 @@
 			n := 0
 			l.append = func(b []byte) error {
 				if n++; n <= 3 {
-					return ledger.ErrRate
+					return ledger.ErrRateLimited
 				}
 				l.put(b)
 				return nil
 			}
 		}, nil, 4},
 		{"lost before the append", func(l *fakeLog) {
-			l.append = func([]byte) error { return ledger.ErrDown }
+			l.append = func([]byte) error { return ledger.ErrUnreachable }
 		}, ErrOpen, 1},
 		{"always over the rate", func(l *fakeLog) {
-			l.append = func([]byte) error { return ledger.ErrRate }
-		}, ledger.ErrRate, 0},
+			l.append = func([]byte) error { return ledger.ErrRateLimited }
+		}, ledger.ErrRateLimited, 0},
 		{"another edit comes first", func(l *fakeLog) {
 			l.append = func(b []byte) error { l.put(other()); l.put(b); return nil }
 		}, &Lost{}, 1},
 		{"answer lost, and another edit comes first", func(l *fakeLog) {
-			l.append = func([]byte) error { l.put(other()); return ledger.ErrDown }
+			l.append = func([]byte) error { l.put(other()); return ledger.ErrUnreachable }
 		}, &Lost{}, 1},
 	}
 	for _, tt := range tests {
--- a/stand/log_test.go
+++ b/stand/log_test.go
@@ -33,7 +33,7 @@
 	addr := netip.MustParseAddrPort(s.Listener.Addr().String())
 	c := ledger.New(addr, addr, time.Minute, (&net.Dialer{}).DialContext)
 	ask(l, http.MethodPut, "/stand/faults", `{"lose_answers":1}`)
-	if _, err := c.Append(t.Context(), "s", []byte("one")); !errors.Is(err, ledger.ErrDown) {
+	if _, err := c.Append(t.Context(), "s", []byte("one")); !errors.Is(err, ledger.ErrUnreachable) {
 		t.Errorf("the lost answer: %v", err)
 	}
 	if off, err := c.Append(t.Context(), "s", []byte("two")); err != nil || off != 1 {
--- a/tables/follow.go
+++ b/tables/follow.go
@@ -150,7 +150,7 @@
 // confirms the state as of the time at which it was asked for.
 func (f *Follower) take(asked time.Time, p ledger.Page) {
 	if p.End != 0 && p.End < f.replay.Next() {
-		event.LogWentBack.Log(f.log, "end", p.End, "read", f.replay.Next())
+		event.LogTruncated.Log(f.log, "end", p.End, "read", f.replay.Next())
 		return
 	}
 	for _, n := range f.replay.Page(p) {
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -44,8 +44,8 @@
 // ID identifies a ticket.
 type ID struct {
 	Owner
-	// Stream numbers the tickets of one incarnation.
-	Stream uint64 `json:"stream"`
+	// Number numbers the tickets of one incarnation.
+	Number uint64 `json:"stream"`
 }
 
 // JobID identifies a job or a request: one sequence number of a ticket.
@@ -64,7 +64,7 @@
 	return strings.Join([]string{
 		i.DataCenter, i.VM, i.Process,
 		strconv.FormatUint(i.Incarnation, 36),
-		strconv.FormatUint(i.Stream, 36),
+		strconv.FormatUint(i.Number, 36),
 	}, separator)
 }
 
