--- a/cell/admit_test.go
+++ b/cell/admit_test.go
@@ -9,159 +9,160 @@
 	"snipehub.example/lease"
 )
 
-// Two jobs that have begun will use the only worker for longer than a third one has
-// time. It is refused at once, while its caller can still turn elsewhere; a job that
-// fits behind them waits.
+// Two tasks of a job that has begun occupy the only worker for longer than a second job
+// has time. It is refused at once, while its caller can still use another service; a job
+// that fits after the running ones stays pending.
 func TestLookingAhead(t *testing.T) {
-	b := allHeld(t, 2, 1)
-	first := ask("first", 2)
-	first.Estimate, first.Aim = time.Second, 2*time.Second
-	b.Ask(ms(700), memberID(1), first)
+	b := newPlannerWithHolders(t, 2, 1)
+	first := newRequest("first", 2)
+	first.Estimate, first.Objective = time.Second, 2*time.Second
+	b.Request(ms(700), memberID(1), first)
 	place(b, 700)
-	short, long := ask("short", 1), ask("long", 1)
-	short.Aim, long.Aim = 500*time.Millisecond, 1500*time.Millisecond
-	b.Ask(ms(720), memberID(1), short)
-	b.Ask(ms(720), memberID(1), long)
+	short, long := newRequest("short", 1), newRequest("long", 1)
+	short.Objective, long.Objective = 500*time.Millisecond, 1500*time.Millisecond
+	b.Request(ms(720), memberID(1), short)
+	b.Request(ms(720), memberID(1), long)
 	_, refusals := place(b, 720)
-	if len(refusals) != 1 || refusals[0].Job != "short" || refusals[0].Why != lateWord {
-		t.Errorf("refusals %+v, want only that of the job without time", refusals)
+	if len(refusals) != 1 || refusals[0].Job != "short" || refusals[0].Reason != reasonOthersFirst {
+		t.Errorf("refusals %+v, want only that of the job that would be late", refusals)
 	}
-	if len(b.waits) != 1 {
-		t.Errorf("%d jobs wait", len(b.waits))
+	if len(b.pending) != 1 {
+		t.Errorf("%d requests are pending, want 1", len(b.pending))
 	}
 }
 
-// What is left of a run is foreseen from its progress, else from its estimate; one that
-// is overdue does not count as free.
+// The end of a run is predicted from its progress, or else from its estimate; an overdue
+// run does not count as ended.
 func TestEndOfARun(t *testing.T) {
 	tests := []struct {
 		name string
-		h    held
+		run  activeRun
 		at   int
 		want int
 	}{
-		{"by estimate", held{began: ms(0), estimate: 100 * time.Millisecond}, 40, 200},
-		{"by progress", held{began: ms(0), estimate: 100 * time.Millisecond, percent: 50, seen: ms(30)}, 40, 60},
-		{"too early to tell", held{began: ms(0), estimate: 100 * time.Millisecond, percent: 5, seen: ms(30)}, 40, 200},
-		{"overdue", held{began: ms(0), estimate: 100 * time.Millisecond}, 400, 440},
+		{"by estimate", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond}, 40, 200},
+		{"by progress", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond, percent: 50, reportedAt: ms(30)}, 40, 60},
+		{"progress too low to predict", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond, percent: 5, reportedAt: ms(30)}, 40, 200},
+		{"overdue", activeRun{startedAt: ms(0), estimate: 100 * time.Millisecond}, 400, 440},
 	}
 	for _, tt := range tests {
-		if got := tt.h.end(ms(tt.at), 2); !got.Equal(ms(tt.want)) {
+		if got := tt.run.end(ms(tt.at), 2); !got.Equal(ms(tt.want)) {
 			t.Errorf("%s: ends at %v, want %v", tt.name, got.Sub(epoch), ms(tt.want).Sub(epoch))
 		}
 	}
 }
 
-// The planner leaves or dies, and the next one is asked for workers by one process before
-// another has reported those that it holds. It saw no room at all and refused jobs for
-// which there was plenty; callers got "too busy" from an idle system.
+// A new planner gets a request before another member has reported the workers that it
+// holds. It saw no free resources and refused jobs although there were plenty; callers
+// got "too busy" from an idle system.
 func TestNewPlannerWaitsForReports(t *testing.T) {
-	b := planning(t, 2, 4)
-	b.Report(ms(1), memberID(0), Report{Whole: true})
-	b.Ask(ms(1), memberID(0), ask("a", 2))
+	b := newPlanner(t, 2, 4)
+	b.Report(ms(1), memberID(0), Report{Full: true})
+	b.Request(ms(1), memberID(0), newRequest("a", 2))
 	if _, refused := place(b, 2); len(refused) != 0 {
 		t.Fatalf("refused before all have reported: %+v", refused)
 	}
-	b.Report(ms(3), memberID(1), Report{Whole: true})
+	b.Report(ms(3), memberID(1), Report{Full: true})
 	if _, refused := place(b, 20); len(refused) != 0 {
-		t.Errorf("refused while four workers are being taken: %+v", refused)
+		t.Errorf("refused while four workers have been assigned but not reported: %+v", refused)
 	}
 	for i := range 4 {
 		w := testWorker(i)
 		b.Report(ms(30), b.workers[w.ID].holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Open: true, Draining: true}}})
 	}
-	a := ask("b", 2)
-	a.Aim = 10 * time.Second
-	b.Ask(ms(1100), memberID(0), a)
+	a := newRequest("b", 2)
+	a.Objective = 10 * time.Second
+	b.Request(ms(1100), memberID(0), a)
 	if _, refused := place(b, 1100); len(refused) != 2 {
-		t.Errorf("%d refusals though no worker takes tasks, want 2", len(refused))
+		t.Errorf("%d refusals when no worker accepts tasks, want 2", len(refused))
 	}
 }
 
-// All processes were restarted. The first planner has met nobody yet and knows of no
-// worker; half a second later all of them are held again. A fifth of the callers of these
+// All processes were restarted. The first planner is connected to nobody and knows no
+// worker; half a second later all workers are held again. A fifth of the callers of these
 // seconds was refused at once, most of whom could have been served in time.
 func TestNobodyIsRefusedBeforeTheWorkersAreThere(t *testing.T) {
 	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
 	b.Begin(ms(0))
-	b.Members(ms(0), members(1), members(1), false, false)
-	b.Report(ms(1), memberID(0), Report{Whole: true})
+	b.SetMembers(ms(0), members(1), members(1), false, false)
+	b.Report(ms(1), memberID(0), Report{Full: true})
 	for _, c := range []struct{ at, aim, refused int }{
 		{20, 900, 0},
 		{400, 600, 0},
 		{1100, 600, 3},
 	} {
-		a := ask(fmt.Sprint("job", c.at), 2)
-		a.Aim = time.Duration(c.aim) * time.Millisecond
-		b.Ask(ms(c.at), memberID(0), a)
+		a := newRequest(fmt.Sprint("job", c.at), 2)
+		a.Objective = time.Duration(c.aim) * time.Millisecond
+		b.Request(ms(c.at), memberID(0), a)
 		if _, refused := place(b, c.at); len(refused) != c.refused {
 			t.Errorf("at %d ms %d refusals, want %d", c.at, len(refused), c.refused)
 		}
 	}
 }
 
-// The holder of a worker leaves as planned. Until the next one has it, some milliseconds
-// later, nothing can be started there; jobs that came meanwhile were refused.
+// The holder of a worker leaves as planned. For some milliseconds, until the next one
+// holds the worker, no tasks can be started there; jobs that arrived meanwhile were
+// refused.
 func TestWorkerThatChangesHands(t *testing.T) {
-	b := allHeld(t, 2, 1)
+	b := newPlannerWithHolders(t, 2, 1)
 	w := b.workers["w0"]
-	b.Report(ms(700), w.holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Gone: true}}})
-	b.Ask(ms(701), memberID(1), ask("a", 2))
+	b.Report(ms(700), w.holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Released: true}}})
+	b.Request(ms(701), memberID(1), newRequest("a", 2))
 	if _, refused := place(b, 701); len(refused) != 0 {
-		t.Errorf("refused while the worker changes hands: %+v", refused)
+		t.Errorf("refused while the worker changes its holder: %+v", refused)
 	}
-	a := ask("b", 2)
-	a.Aim = time.Hour
-	b.Ask(ms(2000), memberID(1), a)
+	a := newRequest("b", 2)
+	a.Objective = time.Hour
+	b.Request(ms(2000), memberID(1), a)
 	if _, refused := place(b, 2000); len(refused) != 2 {
 		t.Errorf("%d refusals long after the worker was lost, want 2", len(refused))
 	}
 }
 
-// No worker has a holder, long after the planner began: their holders are lost and the store
-// is away. Callers were told that others come before them, and who was on call looked for a
+// No worker has a holder long after the planner began: the holders are lost and the store
+// is unreachable. Callers were told that other jobs come first, so operators looked for a
 // load that was not there.
 func TestRefusalTellsThatNoWorkerTakesTasks(t *testing.T) {
 	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
 	b.Begin(ms(0))
-	b.Members(ms(0), members(1), members(1), false, false)
-	b.Report(ms(1), memberID(0), Report{Whole: true})
-	b.Ask(ms(2000), memberID(0), ask("a", 2))
+	b.SetMembers(ms(0), members(1), members(1), false, false)
+	b.Report(ms(1), memberID(0), Report{Full: true})
+	b.Request(ms(2000), memberID(0), newRequest("a", 2))
 	_, refused := place(b, 2000)
-	if len(refused) == 0 || refused[0].Why != noWorkersWord {
-		t.Errorf("refused %+v, want %s", refused, noWorkersWord)
+	if len(refused) == 0 || refused[0].Reason != reasonNoWorkers {
+		t.Errorf("refusals %+v, want reason %s", refused, reasonNoWorkers)
 	}
 }
 
-// All processes have started together, and a job comes when one worker takes tasks and the
-// others have a holder that waits for their first answer. Callers were refused for want of
-// room that was there some milliseconds later.
+// All processes have started together, and a job arrives when one worker accepts tasks
+// and the others have a holder that waits for their first answer. Callers were refused
+// for lack of resources that were there some milliseconds later.
 func TestWorkersWhoseHolderHasJustBegunCount(t *testing.T) {
-	b := planning(t, 2, 2)
+	b := newPlanner(t, 2, 2)
 	b.Tick(ms(600))
-	for _, a := range b.Take() {
-		if a.Duty != nil {
-			w := a.Duty.Worker
+	for _, a := range b.TakeActions() {
+		if a.Assignment != nil {
+			w := a.Assignment.Worker
 			b.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: w.ID == "w0"}}})
 		}
 	}
 	for i, job := range []string{"a", "b"} {
 		at := 620 + 10*i
-		next := ask(job, 2)
+		next := newRequest(job, 2)
 		next.Estimate = 200 * time.Millisecond
-		b.Ask(ms(at), memberID(1), next)
+		b.Request(ms(at), memberID(1), next)
 		if _, refused := place(b, at); len(refused) != 0 {
-			t.Errorf("refused %+v, want it to wait for the other worker", refused)
+			t.Errorf("refusals %+v, want the job to stay pending until the other worker opens", refused)
 		}
 	}
 	b.Tick(ms(2000))
 	for _, job := range []string{"c", "d"} {
-		next := ask(job, 2)
-		next.Estimate, next.Aim = time.Second, 1500*time.Millisecond
-		b.Ask(ms(2000), memberID(1), next)
+		next := newRequest(job, 2)
+		next.Estimate, next.Objective = time.Second, 1500*time.Millisecond
+		b.Request(ms(2000), memberID(1), next)
 	}
 	grants, refused := place(b, 2000)
-	if len(grants) != 2 || len(refused) != 2 || refused[1].Why != lateWord {
+	if len(grants) != 2 || len(refused) != 2 || refused[1].Reason != reasonOthersFirst {
 		t.Errorf("long after the holder began %d grants, refused %+v; want b and one of c and d refused", len(grants), refused)
 	}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,12 +1,11 @@
 // Package dispatch places tasks on backend servers.
 //
-// Tasks wait in queues and get a backend server only when a connection of this
-// dispatcher and a slot of the server are free (late binding). What starts when
-// and where is decided in package plan, which is a plain value; this package is
-// the shell around it. One goroutine owns the planner and never waits for
-// anybody; the attempts run in goroutines of their own, at most as many as there
-// are connections; one more goroutine tells the owners of jobs what became of
-// their tasks.
+// Tasks wait in queues and are bound to a backend server only when a connection of this
+// dispatcher and a slot of the server are free (late binding). Package plan decides what
+// starts when and where, as a deterministic state machine without I/O; this package is
+// its driver. One goroutine owns the planner and never blocks. Each attempt runs in a
+// goroutine of its own, at most one per connection. A further goroutine reports results
+// to the owners of the jobs.
 package dispatch
 
 import (
@@ -28,8 +27,8 @@
 	"snipehub.example/tables"
 )
 
-// Batch is the tasks of one job.
-type Batch struct {
+// Submission is the tasks of one job.
+type Submission struct {
 	Job     string
 	Kind    string
 	Caller  string
@@ -37,151 +36,156 @@
 	Expires time.Time
 	// Type is the content type of the tasks' bodies.
 	Type string
-	// Request tells that this is one request passed through and not a job:
-	// whatever status the backend server answers goes to the caller, and a
-	// route may allow it to be repeated.
-	Request bool
-	// Guest tells that this is one task that a peer has handed over; Job is
-	// then the id of the attempt.
-	Guest bool
-	Tasks [][]byte
+	// PassThrough is set if this is a single request passed through rather than a job: any
+	// status that the backend server answers goes to the caller, and the route may allow
+	// the request to be repeated.
+	PassThrough bool
+	// FromPeer is set if this is one task that a peer has handed over; Job is then the id
+	// of the attempt.
+	FromPeer bool
+	Tasks    [][]byte
 	// Done is called once for each task, from any goroutine.
 	Done func(index int, r Result)
 }
 
 // Result is the final outcome of a task.
 type Result struct {
-	Ran    refusal.Ran
+	Ran refusal.Ran
+	// Done is set if the task has an answer for the caller. Otherwise Error is the reason,
+	// and Answer and Type are empty.
 	Done   bool
 	Answer []byte
 	Error  string
-	// Status and Type are the backend server's, set when it answered.
+	// Status is that of the backend server's answer, if it answered.
 	Status int
-	Type   string
+	// Type is the content type of Answer.
+	Type string
 }
 
-// Directory is what placing needs to know of the world.
+// Directory provides the cluster state that placing depends on.
 type Directory interface {
 	// State returns the tables in force.
 	State() *tables.State
-	// Usable tells whether new work may go to a backend server: false when
-	// the VM list says that it is leaving, or while it is held back after a
-	// move from one half to the other.
+	// Usable reports whether new work may go to a backend server. It is false if the VM
+	// list says that the server is leaving, or while the server is held back after a move
+	// from one half to the other.
 	Usable(now time.Time, server netip.AddrPort) bool
-	// MayPlace is false while this process must not start anything: it alone
-	// is cut off and its tables are stale, or it was frozen and has not yet
-	// confirmed them.
+	// MayPlace reports whether this process may start tasks. It is false if this process
+	// alone is cut off and its tables are stale, or if it was suspended and has not yet
+	// confirmed its tables.
 	MayPlace(now time.Time) bool
-	// Members returns the dispatchers that are not gone, of all data centres,
-	// this process included.
+	// Members returns the dispatchers of all data centres that are not gone, including
+	// this process.
 	Members(now time.Time) []roster.Known
 }
 
-// courier runs one attempt on a backend server.
-type courier interface {
+// taskDeliverer runs one attempt on a backend server.
+type taskDeliverer interface {
 	Deliver(ctx context.Context, a delivery.Attempt) delivery.Outcome
 }
 
-// gauges is what the dispatcher tells the metrics.
-type gauges interface {
+// metricSink receives the dispatcher's metrics.
+type metricSink interface {
 	Count(name meter.Name, n int64)
 	Gauge(name meter.Name, v float64)
 }
 
-// Config sets the bounds of a dispatcher.
+// Config configures a dispatcher.
 type Config struct {
 	plan.Config
-	// Self names this process among Directory.Members.
+	// Self identifies this process among Directory.Members.
 	Self roster.Member
 }
 
 const (
-	// period is how often time works on the planner.
-	period = 50 * time.Millisecond
-	// lookEvery is how often the members are looked at. Their list is copied and
-	// sorted, so looking with each period cost an idle process 74 µs a second for
-	// each member: a third of a core at the 4,600 members of the letter's size.
-	// Heartbeats bring news of a member once a second at the most.
-	lookEvery = 500 * time.Millisecond
-	// ring is how many submissions and cancellations wait for the planner.
-	ring = 1024
-	// submitTimeout is how long a submission waits for the planner.
+	// tickInterval is the interval between two calls of the planner's Tick.
+	tickInterval = 50 * time.Millisecond
+	// membersInterval is the interval between two reads of the member list. Each read
+	// copies and sorts the list: reading it every tickInterval cost an idle process 74 µs
+	// a second per member, a third of a core at the target size of 4,600 members. A
+	// member's heartbeat changes its entry at most once a second.
+	membersInterval = 500 * time.Millisecond
+	// requestBuffer is the number of submissions and cancellations that can wait for the
+	// planner.
+	requestBuffer = 1024
+	// submitTimeout is the longest time that a submission waits for the planner.
 	submitTimeout = 2 * time.Second
-	// quiet is the least time between two log lines about a full queue.
-	quiet = 10 * time.Second
+	// queueFullLogInterval is the shortest time between two log lines about a full queue.
+	queueFullLogInterval = 10 * time.Second
 )
 
-// Dispatcher is the shell around the planner. It is a suture service.
+// Dispatcher drives the planner. It is a suture service.
 type Dispatcher struct {
-	cfg   Config
-	c     courier
-	dir   Directory
-	clock *clock.Service
-	log   *slog.Logger
-	m     gauges
+	cfg       Config
+	deliverer taskDeliverer
+	dir       Directory
+	clock     *clock.Service
+	log       *slog.Logger
+	metrics   metricSink
 
 	requests chan request
-	ended    chan ending
+	events   chan plannerEvent
 	wake     chan struct{}
 	stopped  chan struct{}
 	stop     sync.Once
 	reports  reports
 	free     atomic.Int64
 
-	p     *plan.Planner
-	world plan.World
-	// looked is when the members were last looked at.
-	looked   time.Time
-	batches  map[string]*batch
-	sender   sender
-	sends    chan struct{}
-	peers    map[string]roster.Known
-	acts     plan.Actions
-	complain time.Time
+	planner *plan.Planner
+	cluster plan.Cluster
+	// membersReadAt is when the member list was last read.
+	membersReadAt     time.Time
+	batches           map[string]*batch
+	sender            sender
+	handoverSlots     chan struct{}
+	peers             map[string]roster.Known
+	actions           plan.Actions
+	queueFullLoggedAt time.Time
 }
 
 // batch is a batch with tasks that have not ended.
 type batch struct {
-	Batch
-	left int
+	Submission
+	unfinished int
 }
 
-// ending is the outcome of an attempt, or what a peer tells of its room.
-type ending struct {
-	number uint64
-	o      delivery.Outcome
-	// handed tells that the attempt was a peer's, who counts it.
-	handed bool
-	peer   string
-	free   int
+// plannerEvent is the outcome of an attempt or, if peer is set, a peer's report of its
+// free slots.
+type plannerEvent struct {
+	attemptID uint64
+	outcome   delivery.Outcome
+	// handedOver is set if the attempt was handed to a peer, which counts its outcome.
+	handedOver bool
+	peer       string
+	free       int
 }
 
-// New makes a dispatcher.
-func New(cfg Config, c courier, dir Directory, ticks *clock.Service, log *slog.Logger, m gauges) *Dispatcher {
+// New returns a dispatcher; Serve runs it.
+func New(cfg Config, deliverer taskDeliverer, dir Directory, ticks *clock.Service, log *slog.Logger, m metricSink) *Dispatcher {
 	return &Dispatcher{
-		cfg:      cfg,
-		c:        c,
-		dir:      dir,
-		clock:    ticks,
-		log:      log,
-		m:        m,
-		requests: make(chan request, ring),
-		ended:    make(chan ending, cfg.Connections),
-		wake:     make(chan struct{}, 1),
-		stopped:  make(chan struct{}),
-		reports:  newReports(),
-		p:        plan.New(cfg.Config, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		batches:  make(map[string]*batch),
-		sends:    make(chan struct{}, handovers),
-		peers:    make(map[string]roster.Known),
+		cfg:           cfg,
+		deliverer:     deliverer,
+		dir:           dir,
+		clock:         ticks,
+		log:           log,
+		metrics:       m,
+		requests:      make(chan request, requestBuffer),
+		events:        make(chan plannerEvent, cfg.Connections),
+		wake:          make(chan struct{}, 1),
+		stopped:       make(chan struct{}),
+		reports:       newReports(),
+		planner:       plan.New(cfg.Config, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		batches:       make(map[string]*batch),
+		handoverSlots: make(chan struct{}, maxHandovers),
+		peers:         make(map[string]roster.Known),
 	}
 }
 
-// Free returns how many more tasks could start now.
+// Free returns how many more tasks could start now, as of the last tick.
 func (d *Dispatcher) Free() int { return int(d.free.Load()) }
 
-// Wake tells that the tables have changed.
-func (d *Dispatcher) Wake() {
+// TablesChanged notifies the dispatcher that the tables have changed.
+func (d *Dispatcher) TablesChanged() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
@@ -190,94 +194,94 @@
 
 // Serve runs the planner until ctx ends.
 func (d *Dispatcher) Serve(ctx context.Context) error {
-	sub := d.clock.Subscribe(period)
+	sub := d.clock.Subscribe(tickInterval)
 	defer sub.Stop()
 	var reporting sync.WaitGroup
 	reporting.Go(func() { d.reports.run(ctx) })
 	defer reporting.Wait()
-	d.look(d.clock.Now())
+	d.refreshCluster(d.clock.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			d.stop.Do(func() { close(d.stopped) })
 			return ctx.Err()
 		case r := <-d.requests:
-			d.take(r)
-		case e := <-d.ended:
-			d.hear(e)
+			d.handleRequests(r)
+		case e := <-d.events:
+			d.handleEvent(e)
 		case <-d.wake:
-			d.look(d.clock.Now())
+			d.refreshCluster(d.clock.Now())
 		case <-sub.C:
 			d.tick(d.clock.Now())
 		}
-		d.act(ctx)
+		d.runActions(ctx)
 	}
 }
 
-func (d *Dispatcher) count(k delivery.Kind) {
+func (d *Dispatcher) countOutcome(k delivery.Kind) {
 	switch k {
 	case delivery.Done, delivery.Ran:
-		d.m.Count(meter.TasksDone, 1)
+		d.metrics.Count(meter.TasksDone, 1)
 	case delivery.NotRun:
-		d.m.Count(meter.TaskRefusals, 1)
+		d.metrics.Count(meter.TaskRefusals, 1)
 	case delivery.Unknown:
-		d.m.Count(meter.TasksUnknown, 1)
+		d.metrics.Count(meter.TasksUnknown, 1)
 	}
 }
 
-func (d *Dispatcher) hear(e ending) {
+func (d *Dispatcher) handleEvent(e plannerEvent) {
 	if e.peer != "" {
-		d.p.Reported(e.peer, e.free)
+		d.planner.PeerReported(e.peer, e.free)
 		return
 	}
-	if !e.handed {
-		d.count(e.o.Kind)
+	if !e.handedOver {
+		d.countOutcome(e.outcome.Kind)
 	}
-	d.p.Ended(d.clock.Now(), e.number, e.o)
+	d.planner.AttemptEnded(d.clock.Now(), e.attemptID, e.outcome)
 }
 
 func (d *Dispatcher) tick(now time.Time) {
-	if now.Sub(d.looked) >= lookEvery {
-		d.look(now)
+	if now.Sub(d.membersReadAt) >= membersInterval {
+		d.refreshCluster(now)
 	}
-	d.p.Tick(now)
-	d.free.Store(int64(d.p.Free()))
-	d.m.Gauge(meter.QueuedTasks, float64(d.p.Waiting()))
-	d.m.Gauge(meter.RunningTasks, float64(d.p.Busy()))
-	d.m.Gauge(meter.TaskReports, float64(d.reports.len()))
-	d.m.Gauge(meter.HandedTasks, float64(d.p.Handed()))
+	d.planner.Tick(now)
+	d.free.Store(int64(d.planner.Free()))
+	d.metrics.Gauge(meter.QueuedTasks, float64(d.planner.Waiting()))
+	d.metrics.Gauge(meter.RunningTasks, float64(d.planner.Running()))
+	d.metrics.Gauge(meter.TaskReports, float64(d.reports.len()))
+	d.metrics.Gauge(meter.HandedTasks, float64(d.planner.HandedOver()))
 }
 
-// act asks the planner what to do, and does it.
-func (d *Dispatcher) act(ctx context.Context) {
+// runActions asks the planner for its decisions and carries them out.
+func (d *Dispatcher) runActions(ctx context.Context) {
 	now := d.clock.Now()
-	d.p.Allow(d.dir.MayPlace(now))
-	d.p.Take(now, &d.acts)
-	for _, e := range d.acts.Ends {
-		d.end(e)
+	d.planner.SetMayPlace(d.dir.MayPlace(now))
+	d.planner.Decide(now, &d.actions)
+	for _, e := range d.actions.Ends {
+		d.endTasks(e)
 	}
-	for _, s := range d.acts.Starts {
-		d.start(ctx, s)
+	for _, s := range d.actions.Starts {
+		d.startAttempt(ctx, s)
 	}
-	for _, h := range d.acts.Hands {
-		d.hand(ctx, h)
+	for _, h := range d.actions.Handovers {
+		d.sendHandover(ctx, h)
 	}
-	for _, n := range d.acts.News {
+	for _, change := range d.actions.HealthChanges {
 		switch {
-		case n.Capped:
-			event.AsideFull.Log(d.log, "server", n.Server, "reason", string(n.Why))
-		case n.Aside:
-			event.ServerAside.Log(d.log, "server", n.Server, "reason", string(n.Why))
+		case change.LimitReached:
+			event.EjectionLimitReached.Log(d.log, "server", change.Server, "reason", string(change.Reason))
+		case change.Ejected:
+			event.ServerEjected.Log(d.log, "server", change.Server, "reason", string(change.Reason))
 		default:
-			event.ServerBack.Log(d.log, "server", n.Server)
+			event.ServerReadmitted.Log(d.log, "server", change.Server)
 		}
 	}
 }
 
-func (d *Dispatcher) start(ctx context.Context, s plan.Start) {
+func (d *Dispatcher) startAttempt(ctx context.Context, s plan.Start) {
 	b := d.batches[s.Job]
 	id := delivery.TaskID(s.Job, s.Task, s.Attempt)
-	if b.Guest {
+	if b.FromPeer {
 		id = b.Job
 	}
 	a := delivery.Attempt{
@@ -288,21 +292,21 @@
 		Type:    b.Type,
 		Expires: s.Expires,
 	}
-	d.m.Count(meter.TaskStarts, 1)
+	d.metrics.Count(meter.TaskStarts, 1)
 	if s.Attempt > 0 {
-		d.m.Count(meter.TaskRetries, 1)
+		d.metrics.Count(meter.TaskRetries, 1)
 	}
-	go func() { d.ended <- ending{number: s.Number, o: d.c.Deliver(ctx, a)} }()
+	go func() { d.events <- plannerEvent{attemptID: s.AttemptID, outcome: d.deliverer.Deliver(ctx, a)} }()
 }
 
-func (d *Dispatcher) end(e plan.End) {
+func (d *Dispatcher) endTasks(e plan.End) {
 	b := d.batches[e.Job]
 	r := Result{Ran: e.Ran, Status: e.Outcome.Status, Error: e.Reason}
 	switch e.Outcome.Kind {
 	case delivery.Done:
 		r.Done = true
 	case delivery.Ran:
-		r.Done = b.Request
+		r.Done = b.PassThrough
 	}
 	if r.Done {
 		r.Answer = e.Outcome.Body
@@ -310,8 +314,8 @@
 		r.Error = ""
 	}
 	d.reports.add(report{b.Done, e.From, e.To, r})
-	b.left -= e.To - e.From
-	if b.left == 0 {
+	b.unfinished -= e.To - e.From
+	if b.unfinished == 0 {
 		delete(d.batches, e.Job)
 	}
 }
--- a/dispatch/handover/receiver.go
+++ b/dispatch/handover/receiver.go
@@ -13,83 +13,84 @@
 )
 
 const (
-	// wait is how long an ask is held while there are no results.
-	wait = 2 * time.Second
-	// linger is how long results are kept back for more to come. It delays no
-	// caller: a job whose last task of the batch has ended is told at once.
-	linger = time.Second
-	// keep is how long a batch with all results is kept for an owner that does
-	// not come for them.
-	keep = 2 * time.Minute
-	// drainPoll is how often a planned stop looks whether batches are open.
+	// maxAnswerDelay is how long an ask waits for a result.
+	maxAnswerDelay = 2 * time.Second
+	// batchingDelay is how long a result waits for others, to share an answer with them.
+	// It delays no caller: an answer is sent at once when the last task of a job in the
+	// batch ends.
+	batchingDelay = time.Second
+	// resultRetention is how long a finished batch is kept if its owner does not ask for
+	// the results.
+	resultRetention = 2 * time.Minute
+	// drainPoll is the interval at which Drain checks for open batches.
 	drainPoll = 20 * time.Millisecond
-	// maxBatches bounds the open batches of all owners, maxOwners the owners
-	// whose lowest number is remembered.
+	// maxBatches bounds the batches kept for all owners, maxOwners the owners whose lowest
+	// open batch is kept.
 	maxBatches = 1024
 	maxOwners  = 16384
 )
 
-// placer is what a receiver needs of the dispatcher.
-type placer interface {
-	Submit(b dispatch.Batch) error
+// submitter is the part of the dispatcher that a receiver uses.
+type submitter interface {
+	Submit(b dispatch.Submission) error
 	Free() int
 }
 
-// Receiver takes tasks over from peers.
+// Receiver accepts tasks from peers.
 type Receiver struct {
-	self  ticket.Owner
-	place placer
-	now   func() time.Time
+	self       ticket.Owner
+	dispatcher submitter
+	now        func() time.Time
 
 	mu       sync.Mutex
 	stopping bool
 	owners   map[ticket.Owner]*owner
 }
 
-// owner is what is remembered of a dispatcher that hands over.
+// owner is the state kept for a dispatcher that hands over tasks.
 type owner struct {
-	low     uint64
-	batches map[uint64]*received
-	used    time.Time
+	lowestOpen uint64
+	batches    map[uint64]*receivedBatch
+	lastAsked  time.Time
 }
 
-// received is a batch.
-type received struct {
-	mu      sync.Mutex
-	left    int
-	jobs    []string
-	byJob   map[string]int
-	results []Result
-	// told is how many results have been given in answers.
-	told int
-	// due wakes who waits when an answer should go out, some when there is
+// receivedBatch is a batch and its results.
+type receivedBatch struct {
+	mu              sync.Mutex
+	unfinished      int
+	jobOfTask       []string
+	unfinishedByJob map[string]int
+	results         []Result
+	// delivered is how many results have been sent in answers.
+	delivered int
+	// answerDue wakes the handler when an answer should be sent, anyResult when there is
 	// any result.
-	due  chan struct{}
-	some chan struct{}
-	used time.Time
+	answerDue chan struct{}
+	anyResult chan struct{}
+	lastAsked time.Time
 }
 
-// NewReceiver makes a receiver that places the tasks it gets.
-func NewReceiver(self ticket.Owner, place placer, now func() time.Time) *Receiver {
-	return &Receiver{self: self, place: place, now: now, owners: make(map[ticket.Owner]*owner)}
+// NewReceiver returns a receiver that submits the tasks it gets to the dispatcher.
+func NewReceiver(self ticket.Owner, dispatcher submitter, now func() time.Time) *Receiver {
+	return &Receiver{self: self, dispatcher: dispatcher, now: now, owners: make(map[ticket.Owner]*owner)}
 }
 
-// Stop makes the receiver turn down every batch that it does not have yet.
+// Stop makes the receiver refuse every batch that it does not have yet.
 func (r *Receiver) Stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopping = true
 }
 
-// Drain waits until every batch has ended and its owner has been told, or ctx
-// ends. It is for a planned stop, which must not cut a peer's tasks.
+// Drain waits until every batch has ended and its results have been sent to the owner, or
+// until ctx ends. A planned stop uses it so as not to abort a peer's tasks.
 func (r *Receiver) Drain(ctx context.Context) {
-	for r.busy() && ctx.Err() == nil {
+	for r.hasOpenBatches() && ctx.Err() == nil {
 		clock.Sleep(ctx, drainPoll)
 	}
 }
 
-func (r *Receiver) busy() bool {
+func (r *Receiver) hasOpenBatches() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.owners {
@@ -102,56 +103,56 @@
 	return false
 }
 
-func (b *received) finished() bool {
+func (b *receivedBatch) finished() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left == 0 && b.told >= len(b.results)
+	return b.unfinished == 0 && b.delivered >= len(b.results)
 }
 
 // Handle answers an ask.
-func (r *Receiver) Handle(ctx context.Context, a Ask) (Answer, error) {
+func (r *Receiver) Handle(ctx context.Context, a Request) (Response, error) {
 	if a.To != r.self {
-		return Answer{State: Other}, nil
+		return Response{State: OtherIncarnation}, nil
 	}
 	b := r.batch(a)
 	if b == nil {
-		return Answer{State: Over, Free: r.place.Free()}, nil
+		return Response{State: Forgotten, Free: r.dispatcher.Free()}, nil
 	}
-	news := b.await(ctx, a.Got)
-	b.tell(a.Got+len(news), r.now())
-	return Answer{State: Open, Results: news, Free: r.place.Free()}, nil
+	results := b.await(ctx, a.Received)
+	b.markDelivered(a.Received+len(results), r.now())
+	return Response{State: Open, Results: results, Free: r.dispatcher.Free()}, nil
 }
 
-// batch finds the batch of the ask, or takes it.
+// batch returns the batch of the ask, and starts it if it is new. It returns nil if the
+// batch is over, or if it is not kept here and the ask has no tasks.
 //
-// The lock is held until the batch stands in the map, and a batch is started
-// only by whoever put it there: of two copies of an ask that arrive together,
-// one starts the tasks.
-func (r *Receiver) batch(a Ask) *received {
+// The lock is held until the batch is in the map, and only the caller that put it there
+// starts it: if two copies of an ask arrive together, one starts the tasks.
+func (r *Receiver) batch(a Request) *receivedBatch {
 	r.mu.Lock()
 	o := r.owner(a.From)
-	o.forget(a.Low)
+	o.forgetBelow(a.LowestOpen)
 	b, ok := o.batches[a.Batch]
-	if ok || a.Batch < o.low || len(a.Tasks) == 0 {
+	if ok || a.Batch < o.lowestOpen || len(a.Tasks) == 0 {
 		r.mu.Unlock()
 		return b
 	}
-	b = &received{
-		left:  len(a.Tasks),
-		byJob: make(map[string]int),
-		due:   make(chan struct{}, 1),
-		some:  make(chan struct{}, 1),
-		used:  r.now(),
+	b = &receivedBatch{
+		unfinished:      len(a.Tasks),
+		unfinishedByJob: make(map[string]int),
+		answerDue:       make(chan struct{}, 1),
+		anyResult:       make(chan struct{}, 1),
+		lastAsked:       r.now(),
 	}
 	for _, t := range a.Tasks {
-		b.byJob[t.Job]++
-		b.jobs = append(b.jobs, t.Job)
+		b.unfinishedByJob[t.Job]++
+		b.jobOfTask = append(b.jobOfTask, t.Job)
 	}
 	refuse := r.stopping || r.full()
 	if refuse && r.full() {
-		// Not remembered, but over: a late copy must not start it, since
-		// the owner may have been told that it did not run.
-		o.low = a.Batch + 1
+		// The batch is not kept, but counts as over: a late copy must not start it, since
+		// the owner may already know that it did not run.
+		o.lowestOpen = a.Batch + 1
 	} else {
 		o.batches[a.Batch] = b
 	}
@@ -162,29 +163,29 @@
 	return b
 }
 
-func (r *Receiver) start(b *received, i int, t Task, refuse bool) {
+func (r *Receiver) start(b *receivedBatch, i int, t Task, refuse bool) {
 	if refuse {
-		b.add(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: "the peer takes no tasks now"})
+		b.addResult(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: "the peer takes no tasks now"})
 		return
 	}
-	err := r.place.Submit(dispatch.Batch{
-		Job:     t.ID,
-		Guest:   true,
-		Kind:    t.Kind,
-		Caller:  t.Caller,
-		Team:    t.Team,
-		Type:    t.Type,
-		Expires: r.now().Add(t.Left),
-		Request: true,
-		Tasks:   [][]byte{t.Body},
-		Done:    func(_ int, d dispatch.Result) { b.add(result(i, d)) },
+	err := r.dispatcher.Submit(dispatch.Submission{
+		Job:         t.ID,
+		FromPeer:    true,
+		Kind:        t.Kind,
+		Caller:      t.Caller,
+		Team:        t.Team,
+		Type:        t.Type,
+		Expires:     r.now().Add(t.TimeLeft),
+		PassThrough: true,
+		Tasks:       [][]byte{t.Body},
+		Done:        func(_ int, d dispatch.Result) { b.addResult(result(i, d)) },
 	})
 	if err != nil {
-		b.add(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: err.Error()})
+		b.addResult(Result{Task: i, Kind: delivery.NotRun, Cause: delivery.Refused, Reason: err.Error()})
 	}
 }
 
-// result turns the dispatcher's result back into that of an attempt.
+// result converts the dispatcher's result back into that of an attempt.
 func result(i int, d dispatch.Result) Result {
 	out := Result{Task: i, Status: d.Status, Type: d.Type, Body: d.Answer, Reason: d.Error}
 	switch {
@@ -197,8 +198,8 @@
 	case d.Status == 200:
 		out.Kind = delivery.Done
 	default:
-		// A guest runs as a request, of which the dispatcher tells the answer and no
-		// error; the owner's caller is to read the same as without a hand-over.
+		// The task ran as a request, for which the dispatcher reports the answer and no
+		// error. The owner's caller must get the same reason as without a handover.
 		out.Kind = delivery.Ran
 		out.Cause = delivery.Status
 		out.Reason = delivery.StatusReason(d.Status)
@@ -209,16 +210,15 @@
 func (r *Receiver) owner(from ticket.Owner) *owner {
 	o := r.owners[from]
 	if o == nil {
-		r.sweep()
-		o = &owner{batches: make(map[uint64]*received)}
+		r.evictOwner()
+		o = &owner{batches: make(map[uint64]*receivedBatch)}
 		r.owners[from] = o
 	}
-	o.used = r.now()
+	o.lastAsked = r.now()
 	return o
 }
 
-// full tells whether no more batches can be remembered, after forgetting what
-// nobody has come for.
+// full reports whether no more batches can be kept, after dropping expired ones.
 func (r *Receiver) full() bool {
 	n := 0
 	for _, o := range r.owners {
@@ -228,33 +228,33 @@
 		return false
 	}
 	for _, o := range r.owners {
-		n -= o.expire(r.now())
+		n -= o.dropExpired(r.now())
 	}
 	return n >= maxBatches
 }
 
-// sweep forgets the owner that was silent longest when there are too many. An
-// owner's lowest number is kept as long as possible, also without any batch: a
-// frozen owner may send an old ask when it thaws.
-func (r *Receiver) sweep() {
+// evictOwner drops the owner that has been silent for the longest time if there are too
+// many. An owner is kept as long as possible even without batches, because its lowest
+// open batch protects against an old ask that it sends after a suspension.
+func (r *Receiver) evictOwner() {
 	if len(r.owners) < maxOwners {
 		return
 	}
 	var oldest ticket.Owner
 	for name, o := range r.owners {
-		if e := r.owners[oldest]; e == nil || o.used.Before(e.used) {
+		if e := r.owners[oldest]; e == nil || o.lastAsked.Before(e.lastAsked) {
 			oldest = name
 		}
 	}
 	delete(r.owners, oldest)
 }
 
-// forget drops the batches below low; they are over.
-func (o *owner) forget(low uint64) {
-	if low <= o.low {
+// forgetBelow drops the batches with numbers below low, which are over.
+func (o *owner) forgetBelow(low uint64) {
+	if low <= o.lowestOpen {
 		return
 	}
-	o.low = low
+	o.lowestOpen = low
 	for n := range o.batches {
 		if n < low {
 			delete(o.batches, n)
@@ -262,36 +262,37 @@
 	}
 }
 
-// expire drops the batches that nobody has come for, and returns their number.
-func (o *owner) expire(now time.Time) int {
+// dropExpired drops the finished batches that nobody has asked for within
+// resultRetention, and returns their number.
+func (o *owner) dropExpired(now time.Time) int {
 	dropped := 0
 	for n, b := range o.batches {
-		if b.over(now) {
+		if b.expired(now) {
 			delete(o.batches, n)
-			o.low = max(o.low, n+1)
+			o.lowestOpen = max(o.lowestOpen, n+1)
 			dropped++
 		}
 	}
 	return dropped
 }
 
-func (b *received) over(now time.Time) bool {
+func (b *receivedBatch) expired(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left == 0 && now.Sub(b.used) > keep
+	return b.unfinished == 0 && now.Sub(b.lastAsked) > resultRetention
 }
 
-func (b *received) add(r Result) {
+func (b *receivedBatch) addResult(r Result) {
 	b.mu.Lock()
-	job := b.jobs[r.Task]
+	job := b.jobOfTask[r.Task]
 	b.results = append(b.results, r)
-	b.left--
-	b.byJob[job]--
-	now := b.left == 0 || b.byJob[job] == 0 || r.Kind == delivery.NotRun
+	b.unfinished--
+	b.unfinishedByJob[job]--
+	due := b.unfinished == 0 || b.unfinishedByJob[job] == 0 || r.Kind == delivery.NotRun
 	b.mu.Unlock()
-	signal(b.some)
-	if now {
-		signal(b.due)
+	signal(b.anyResult)
+	if due {
+		signal(b.answerDue)
 	}
 }
 
@@ -302,55 +303,56 @@
 	}
 }
 
-// await returns the results after the first got, once they are worth a message
-// or the time is over.
-func (b *received) await(ctx context.Context, got int) []Result {
-	t := time.NewTimer(wait)
+// await returns the results that the owner does not have; received is how many it has. It
+// waits until they are worth a message, for batchingDelay after the first one, or for
+// maxAnswerDelay if there is none.
+func (b *receivedBatch) await(ctx context.Context, received int) []Result {
+	t := time.NewTimer(maxAnswerDelay)
 	defer t.Stop()
-	if news, now := b.after(got); now {
-		return news
+	if results, due := b.resultsAfter(received); due {
+		return results
 	}
-	first := b.some
+	firstResult := b.anyResult
 	for {
 		select {
-		case <-b.due:
-			if news, now := b.after(got); now {
-				return news
+		case <-b.answerDue:
+			if results, due := b.resultsAfter(received); due {
+				return results
 			}
-		case <-first:
-			first = nil
-			t.Reset(linger)
+		case <-firstResult:
+			firstResult = nil
+			t.Reset(batchingDelay)
 		case <-t.C:
-			news, _ := b.after(got)
-			return news
+			results, _ := b.resultsAfter(received)
+			return results
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// tell notes that the owner is told the first n results.
-func (b *received) tell(n int, now time.Time) {
+// markDelivered records that the first n results have been sent to the owner.
+func (b *receivedBatch) markDelivered(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = max(b.told, n)
-	b.used = now
+	b.delivered = max(b.delivered, n)
+	b.lastAsked = now
 }
 
-// after returns the results after the first got, and whether they should be
-// told at once: the batch is at its end, or a job's part of it is, or a task
-// was turned down and waits for another place.
-func (b *received) after(got int) ([]Result, bool) {
+// resultsAfter returns the results that the owner does not have, received being how many
+// it has, and whether they should be sent at once: the batch or a job's part of it has
+// ended, or a task was refused and needs another place.
+func (b *receivedBatch) resultsAfter(received int) ([]Result, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	got = min(max(got, 0), len(b.results))
-	news := append([]Result(nil), b.results[got:]...)
-	return news, b.left == 0 || b.complete(news)
+	received = min(max(received, 0), len(b.results))
+	results := append([]Result(nil), b.results[received:]...)
+	return results, b.unfinished == 0 || b.worthAnswering(results)
 }
 
-func (b *received) complete(news []Result) bool {
-	for _, r := range news {
-		if b.byJob[b.jobs[r.Task]] == 0 || r.Kind == delivery.NotRun {
+func (b *receivedBatch) worthAnswering(results []Result) bool {
+	for _, r := range results {
+		if b.unfinishedByJob[b.jobOfTask[r.Task]] == 0 || r.Kind == delivery.NotRun {
 			return true
 		}
 	}
--- a/dispatch/plan/cost_test.go
+++ b/dispatch/plan/cost_test.go
@@ -8,8 +8,8 @@
 	"snipehub.example/delivery"
 )
 
-// BenchmarkTask measures the planner's own work for a task, from its place in a
-// queue to its end: one start and one end, with everything that they bring.
+// BenchmarkTask measures the planner's work for one task, from the queue to the end: one
+// start and one end, with everything that they cause.
 func BenchmarkTask(b *testing.B) {
 	tests := []struct{ workers, callers, queued int }{
 		{48, 1, 1000},
@@ -27,21 +27,21 @@
 		b.Run(fmt.Sprintf("workers%d/callers%d/queued%d", tt.workers, tt.callers, tt.queued), func(b *testing.B) {
 			p, now := loaded(b, tt.workers, tt.callers, tt.queued)
 			var a Actions
-			p.Take(now, &a)
-			flying := make([]uint64, 0, 64)
+			p.Decide(now, &a)
+			active := make([]uint64, 0, 64)
 			for _, s := range a.Starts {
-				flying = append(flying, s.Number)
+				active = append(active, s.AttemptID)
 			}
 			n := 0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				now = now.Add(time.Millisecond)
-				k := n % len(flying)
+				k := n % len(active)
 				n++
-				p.Ended(now, flying[k], delivery.Outcome{Kind: delivery.Done, Status: 200})
-				p.Take(now, &a)
-				flying[k] = a.Starts[0].Number
+				p.AttemptEnded(now, active[k], delivery.Outcome{Kind: delivery.Done, Status: 200})
+				p.Decide(now, &a)
+				active[k] = a.Starts[0].AttemptID
 				if p.waiting < tt.queued {
 					_ = p.Submit(now, Job{ID: fmt.Sprint("n", n), Kind: "price", Caller: fmt.Sprint("c", n%tt.callers), Tasks: 10, Expires: now.Add(24 * time.Hour)})
 				}
@@ -50,7 +50,7 @@
 	}
 }
 
-// loaded is a planner with tasks waiting in jobs of ten.
+// loaded returns a planner with queued tasks in jobs of ten.
 func loaded(b *testing.B, workers, callers, queued int) (*Planner, time.Time) {
 	cfg := config("share")
 	cfg.QueuedTasks = 2 * queued
@@ -65,7 +65,7 @@
 	return p, epoch
 }
 
-// BenchmarkCancel measures the cancellation of a waiting job of one task in a
+// BenchmarkCancel measures the cancellation of a waiting job of one task, as part of a
 // wave over the whole queue.
 func BenchmarkCancel(b *testing.B) {
 	for _, queued := range []int{1000, 10_000, 100_000, 1_000_000} {
@@ -75,7 +75,7 @@
 			for done := 0; done < b.N; {
 				b.StopTimer()
 				p, now := loaded(b, 48, 190, 10*queued)
-				p.Take(now, &a)
+				p.Decide(now, &a)
 				b.StartTimer()
 				for i := 0; i < queued && done < b.N; i++ {
 					p.Cancel(fmt.Sprint("j", i))
@@ -86,7 +86,7 @@
 	}
 }
 
-// BenchmarkTick measures the work that time does, 20 times a second.
+// BenchmarkTick measures Tick at 20 calls a second.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{48, 400, 3000, 13000} {
 		b.Run(fmt.Sprint("workers", workers), func(b *testing.B) {
@@ -101,19 +101,19 @@
 	}
 }
 
-// BenchmarkWorld measures what a change of the tables or the members costs.
+// BenchmarkWorld measures SetCluster with changed members.
 func BenchmarkWorld(b *testing.B) {
 	for _, workers := range []int{48, 400, 3000, 13000} {
 		for _, members := range []int{1, 16, 100} {
 			b.Run(fmt.Sprintf("workers%d/members%d", workers, members), func(b *testing.B) {
 				p, now := loaded(b, workers, 1, 100)
-				w := p.world
+				w := p.cluster
 				for i := range b.N {
 					w.Members.Sizes = map[string]int{"a": 1 + i%2}
 					for k := range members - 1 {
 						w.Members.Sizes[fmt.Sprint("m", k)] = 1
 					}
-					p.SetWorld(now, w)
+					p.SetCluster(now, w)
 				}
 			})
 		}
--- a/dispatch/pool/health.go
+++ b/dispatch/pool/health.go
@@ -2,139 +2,140 @@
 
 import "time"
 
-// state says whether a server gets tasks.
-type state int
+// healthState decides whether a server gets tasks.
+type healthState int
 
 const (
-	inUse state = iota
-	// setAside gets none until its next probe is due.
-	setAside
-	// probing has one task that tells whether the server is well again.
-	probing
+	stateInUse healthState = iota
+	// stateEjected means that the server gets no tasks until its next probe is due.
+	stateEjected
+	// stateProbing means that one task is under way to find out whether the server has
+	// recovered.
+	stateProbing
 )
 
-// Verdict is what became of a task, as far as the server is judged by it.
+// Verdict is the outcome of a task as evidence of the server's health.
 type Verdict int
 
 // The verdicts.
 const (
 	// Good means that the task was done.
 	Good Verdict = iota + 1
-	// Bad means that it failed, was lost, or that nobody listened.
+	// Bad means that the task failed or was lost, or that no connection could be made.
 	Bad
-	// Busy means that the server refused it.
-	Busy
-	// Neutral says nothing about the server.
+	// Rejected means that the server refused the task.
+	Rejected
+	// Neutral means that the outcome says nothing about the server.
 	Neutral
 )
 
-// Why is the reason for which a server is set aside.
-type Why string
+// Reason is why a server is ejected.
+type Reason string
 
-// The reasons.
+// The reasons for an ejection.
 const (
-	Failing  Why = "it fails what it starts"
-	Refusing Why = "it refuses everything"
-	Stalled  Why = "nothing ends there"
-	Slow     Why = "it is far slower than the others"
+	Failing  Reason = "it fails what it starts"
+	Refusing Reason = "it refuses everything"
+	Stalled  Reason = "nothing ends there"
+	Slow     Reason = "it is far slower than the others"
 )
 
 const (
-	// strikesOut is how many tasks in a row fail before a server is set
-	// aside, refusalsOut how many refusals in a row.
-	strikesOut  = 3
-	refusalsOut = 12
-	// slowOut is how many times slower than usual is too slow.
-	slowOut = 5
-	// failingStep is the weight of one more outcome in the share of failures.
-	failingStep = 0.2
-
-	// lookAgain is after how long an unused server that was slow is tried with
-	// one task, and unusedSlow what counts as slow there.
-	lookAgain  = 20 * time.Second
-	unusedSlow = 1.2
-	// lookEvery is how often unused servers are looked for.
-	lookEvery = time.Second
-
-	firstRest  = 20 * time.Millisecond
-	longRest   = time.Second
-	firstProbe = time.Second
-	lastProbe  = 30 * time.Second
-	// stallFactor times the usual service time without any end is a stall when
-	// one task is there. With more tasks it takes less, because it is ever less
-	// likely that all of them are long, but never under stallFloor times the
-	// usual time, nor under stallLeast.
-	stallFactor = 20
-	stallFloor  = 3
-	stallLeast  = time.Second
+	// A server is ejected after ejectAfterFailures failed tasks, or ejectAfterRefusals
+	// refusals, in a row.
+	ejectAfterFailures = 3
+	ejectAfterRefusals = 12
+	// ejectSlowness is the slowness, as a multiple of the usual service time, above which
+	// a server is ejected.
+	ejectSlowness = 5
+	// failureWeight is the weight of a new outcome in the moving average of failures.
+	failureWeight = 0.2
+
+	// A server with a slowness above retestSlowness that has been unused for retestAfter
+	// gets one task as a probe.
+	retestAfter    = 20 * time.Second
+	retestSlowness = 1.2
+	// unusedScanInterval is the interval between two scans for unused servers.
+	unusedScanInterval = time.Second
+
+	minRefusalBackoff = 20 * time.Millisecond
+	maxRefusalBackoff = time.Second
+	minProbeInterval  = time.Second
+	maxProbeInterval  = 30 * time.Second
+	// A server with one task is stalled if nothing has ended there for stallFactor times
+	// the longest mean service time of the kinds in use. With n tasks the factor is
+	// divided by n, because it is less likely that all of them are long, but it is never
+	// below minStallFactor, nor the time below minStallTime.
+	stallFactor    = 20
+	minStallFactor = 3
+	minStallTime   = time.Second
 )
 
-// judge takes the verdict on a task and says whether the server is to be set
-// aside, and why.
-func (s *Server) judge(now time.Time, v Verdict) (Why, bool) {
+// judge updates the server's health with the verdict on a task, and reports whether the
+// server is to be ejected, and why.
+func (s *Server) judge(now time.Time, v Verdict) (Reason, bool) {
 	switch v {
 	case Good:
-		s.widen()
-		s.strikes = 0
-		s.refusals = 0
-		s.restTill = time.Time{}
-		s.failing -= s.failing * failingStep
-		return Slow, s.slow.n >= warm/2 && s.slow.value > slowOut
+		s.growWindow()
+		s.failuresInRow = 0
+		s.refusalsInRow = 0
+		s.backoffUntil = time.Time{}
+		s.failureRate -= s.failureRate * failureWeight
+		return Slow, s.slowness.n >= warmupSamples/2 && s.slowness.value > ejectSlowness
 	case Bad:
-		s.strikes++
-		s.failing += (1 - s.failing) * failingStep
-		return Failing, s.strikes >= strikesOut
-	case Busy:
-		s.refusals++
-		s.narrow()
-		s.restTill = now.Add(s.rest())
-		return Refusing, s.refusals >= refusalsOut
+		s.failuresInRow++
+		s.failureRate += (1 - s.failureRate) * failureWeight
+		return Failing, s.failuresInRow >= ejectAfterFailures
+	case Rejected:
+		s.refusalsInRow++
+		s.shrinkWindow()
+		s.backoffUntil = now.Add(s.refusalBackoff())
+		return Refusing, s.refusalsInRow >= ejectAfterRefusals
 	}
 	return "", false
 }
 
-// rest is how long a server that refused is left alone. Without it a full
-// server is asked again for every task that waits, and each asking is a wasted
+// refusalBackoff returns how long a server that refused gets no tasks. Without it a full
+// server would be asked again for every waiting task, and each attempt is a wasted
 // message.
-func (s *Server) rest() time.Duration {
-	d := firstRest << min(s.refusals-1, 6)
-	return min(d, longRest)
+func (s *Server) refusalBackoff() time.Duration {
+	d := minRefusalBackoff << min(s.refusalsInRow-1, 6)
+	return min(d, maxRefusalBackoff)
 }
 
-// away sets the server aside until its next probe. The time between probes
+// markEjected ejects the server until its next probe. The interval between probes
 // doubles, so that a server that stays bad costs ever fewer tasks.
-func (s *Server) away(now time.Time) {
-	s.backOff = min(max(s.backOff*2, firstProbe), lastProbe)
-	s.state = setAside
-	s.probeAt = now.Add(s.backOff)
+func (s *Server) markEjected(now time.Time) {
+	s.probeInterval = min(max(s.probeInterval*2, minProbeInterval), maxProbeInterval)
+	s.healthState = stateEjected
+	s.probeAt = now.Add(s.probeInterval)
 }
 
-// back takes the server into use again, with what was learned about its speed
-// forgotten.
-func (s *Server) back() {
-	s.state = inUse
-	s.backOff = 0
-	s.strikes = 0
-	s.refusals = 0
+// restore puts the server back into use and forgets what was learned about its speed.
+func (s *Server) restore() {
+	s.healthState = stateInUse
+	s.probeInterval = 0
+	s.failuresInRow = 0
+	s.refusalsInRow = 0
 	s.window = 0
-	s.failing = 0
-	s.slow = average{}
+	s.failureRate = 0
+	s.slowness = average{}
 }
 
-// stale tells whether what was learned of the server's speed should be tried
-// again. A server that is slow for a while gets no tasks while faster ones are
-// free; without a trial nobody would ever learn that it is well again.
-func (s *Server) stale(now time.Time) bool {
-	return s.state == inUse && s.busy == 0 && s.Slowness() > unusedSlow && now.Sub(s.progress) > lookAgain
+// needsRetest reports whether the learned slowness of an idle server is old enough to be
+// tested again. A slow server gets no tasks while faster ones are free, so without a test
+// its recovery would go unnoticed.
+func (s *Server) needsRetest(now time.Time) bool {
+	return s.healthState == stateInUse && s.busy == 0 && s.Slowness() > retestSlowness && now.Sub(s.lastProgress) > retestAfter
 }
 
-// stalled tells whether tasks are there and none has ended for too long. A
-// frozen server answers nothing; without this it is noticed only when the lease
-// of a task runs out, and until then holds connections that others need.
-func (s *Server) stalled(now time.Time, usual time.Duration) bool {
+// stalled reports whether the server has tasks and none has ended for too long. A frozen
+// server answers nothing. Without this check it would be detected only when the lease of
+// a task runs out, and would hold connections until then.
+func (s *Server) stalled(now time.Time, longest time.Duration) bool {
 	if s.busy == 0 {
 		return false
 	}
-	factor := max(stallFactor/time.Duration(s.busy), stallFloor)
-	return now.Sub(s.progress) > max(factor*usual, stallLeast)
+	factor := max(stallFactor/time.Duration(s.busy), minStallFactor)
+	return now.Sub(s.lastProgress) > max(factor*longest, minStallTime)
 }
--- a/dispatch/queue/heap.go
+++ b/dispatch/queue/heap.go
@@ -1,10 +1,10 @@
 package queue
 
-// ordered is what a heap holds: values that know their order.
-type ordered[T any] interface{ before(o T) bool }
+// orderable is the constraint on the elements of a heap.
+type orderable[T any] interface{ before(o T) bool }
 
-// heap is a binary heap with the first value at index 0.
-type heap[T ordered[T]] []T
+// heap is a binary heap with the smallest element at index 0.
+type heap[T orderable[T]] []T
 
 func (h *heap[T]) push(v T) {
 	*h = append(*h, v)
@@ -47,7 +47,7 @@
 	}
 }
 
-// rebuild restores the order after any change.
+// rebuild restores the heap order after arbitrary changes.
 func (h heap[T]) rebuild() {
 	for i := len(h)/2 - 1; i >= 0; i-- {
 		h.down(i)
--- a/dispatch/queue/queue.go
+++ b/dispatch/queue/queue.go
@@ -1,97 +1,99 @@
 // Package queue orders the waiting tasks of one pool.
 //
-// Teams share by weighted fair queueing (start-time fair queueing: each team
-// has a virtual time that its starts advance by their cost over its weight, and
-// the smallest goes first), the callers of a team share it evenly in the same
-// way, and among the jobs of a caller the one with the fewest waiting tasks
-// goes first. A job of n tasks counts as if it had arrived n ageing steps
-// later than it did, which is the whole of the ageing: it is passed only by jobs
-// that arrive within that time, so none is starved.
+// Teams share the pool by weighted fair queueing, in its form of start-time fair
+// queueing: each start advances the team's virtual time by the task's cost divided by the
+// team's weight, and the team with the smallest virtual time goes first. The callers of a
+// team divide its share evenly in the same way. Among the jobs of a caller, the one with
+// the fewest waiting tasks goes first. A job of n waiting tasks is ordered as if it had
+// arrived n ageing steps later than it did. Only jobs that arrive within that time can
+// overtake it, so none is starved.
 //
-// Taking, adding and charging cost the logarithm of the numbers of teams,
-// callers and jobs, and nothing that depends on the number of tasks. Removing a
-// job only marks it; marked jobs are dropped when they surface, or all at once
-// when they outnumber the others.
+// Adding and taking tasks costs time logarithmic in the numbers of teams, callers and
+// jobs, apart from the removal of idle callers, and does not depend on the number of
+// tasks. Removing a job only marks it; marked jobs are dropped when they reach the top of
+// the heap, or all at once when they outnumber the others.
 //
-// A Queue is a plain value without locks and without a clock.
+// A Queue has no lock and no clock.
 package queue
 
 import "time"
 
-// Job is the waiting part of a job. Its owner keeps the tasks themselves.
+// Job is the waiting part of a job. The planner keeps the tasks themselves.
 type Job struct {
 	Team, Caller string
-	// Weight is the team's; 0 counts as 1.
+	// Weight is the weight of the job's team; 0 counts as 1.
 	Weight float64
 	// Arrived is when the job was submitted.
 	Arrived time.Time
-	// Owner is whatever the job belongs to; the queue does not look at it.
-	Owner any
+	// Data is the planner's own data for the job; the queue does not use it.
+	Data any
 
 	waiting int
-	opened  bool
+	started bool
 	queued  bool
 	removed bool
 	key     time.Time
 	caller  *caller
 }
 
-// Waiting returns how many tasks of the job wait.
+// Waiting returns the number of waiting tasks of the job.
 func (j *Job) Waiting() int { return j.waiting }
 
-// Opened tells whether a task of the job has been taken.
-func (j *Job) Opened() bool { return j.opened }
+// Started reports whether a task of the job has been taken.
+func (j *Job) Started() bool { return j.started }
 
-// SetOpened marks a job, before it is added, as one of which a task was taken.
-func (j *Job) SetOpened(opened bool) { j.opened = opened }
+// SetStarted sets, before the job is added, whether a task of it has been taken.
+func (j *Job) SetStarted(started bool) { j.started = started }
 
 func (j *Job) before(o *Job) bool { return j.key.Before(o.key) }
 
-// Queue is the waiting tasks of one pool.
+// Queue holds the waiting tasks of one pool.
 type Queue struct {
-	step    time.Duration
-	clock   float64
-	waiting int
-	teams   map[string]*team
-	// fresh holds the jobs of which nothing was taken, opened the others.
-	fresh, opened heap[*teamSide]
+	ageingStep time.Duration
+	// virtualClock is the highest virtual time at which a team was served.
+	virtualClock float64
+	waiting      int
+	teams        map[string]*team
+	// unstarted holds the teams that have jobs of which no task was taken, started those
+	// that have other jobs. Both are ordered by virtual time.
+	unstarted, started heap[*teamNode]
 }
 
-// team is a flow of the first level.
+// team is a flow of the first level of fair queueing.
 type team struct {
-	name    string
-	weight  float64
-	virtual float64
-	waiting int
-	parked  bool
-	// charged is the virtual time of the caller that was served last.
-	charged float64
-	callers map[string]*caller
-	fresh   teamSide
-	opened  teamSide
+	name        string
+	weight      float64
+	virtualTime float64
+	waiting     int
+	paused      bool
+	// callersClock is the highest virtual time at which one of the callers was served.
+	callersClock float64
+	callers      map[string]*caller
+	unstarted    teamNode
+	started      teamNode
 }
 
-// caller is a flow of the second level.
+// caller is a flow of the second level of fair queueing.
 type caller struct {
-	team    *team
-	virtual float64
-	waiting int
-	fresh   callerSide
-	opened  callerSide
+	team        *team
+	virtualTime float64
+	waiting     int
+	unstarted   callerNode
+	started     callerNode
 }
 
-// New makes an empty queue; step is the ageing step of one task.
-func New(step time.Duration) *Queue {
-	return &Queue{step: step, teams: make(map[string]*team)}
+// New returns an empty queue; ageingStep is the delay in the order for each waiting task.
+func New(ageingStep time.Duration) *Queue {
+	return &Queue{ageingStep: ageingStep, teams: make(map[string]*team)}
 }
 
 // Len returns the number of waiting tasks.
 func (q *Queue) Len() int { return q.waiting }
 
-// Backlog returns the waiting tasks of a team, and its part of the weights of
-// all teams that wait, itself included.
-func (q *Queue) Backlog(name string, weight float64) (waiting int, part float64) {
-	weight = orOne(weight)
+// Backlog returns the number of waiting tasks of a team, and its share of the total weight
+// of all teams with waiting tasks, itself included.
+func (q *Queue) Backlog(name string, weight float64) (waiting int, share float64) {
+	weight = weightOrOne(weight)
 	total := weight
 	for n, t := range q.teams {
 		if n != name && t.waiting > 0 {
@@ -104,21 +106,21 @@
 	return waiting, weight / total
 }
 
-// Add puts n more tasks of the job into the queue.
+// Add adds n waiting tasks to the job.
 func (q *Queue) Add(j *Job, n int) {
 	if j.removed || n <= 0 {
 		return
 	}
 	if !j.queued {
-		j.caller = q.find(j)
+		j.caller = q.callerOf(j)
 	}
 	c := j.caller
 	t := c.team
 	if t.waiting == 0 {
-		t.virtual = max(t.virtual, q.clock)
+		t.virtualTime = max(t.virtualTime, q.virtualClock)
 	}
 	if c.waiting == 0 {
-		c.virtual = max(c.virtual, t.charged)
+		c.virtualTime = max(c.virtualTime, t.callersClock)
 	}
 	j.waiting += n
 	c.waiting += n
@@ -129,27 +131,27 @@
 	}
 }
 
-func (q *Queue) find(j *Job) *caller {
+func (q *Queue) callerOf(j *Job) *caller {
 	t := q.teams[j.Team]
 	if t == nil {
-		t = &team{name: j.Team, virtual: q.clock, callers: make(map[string]*caller)}
-		t.fresh.team = t
-		t.opened.team = t
+		t = &team{name: j.Team, virtualTime: q.virtualClock, callers: make(map[string]*caller)}
+		t.unstarted.team = t
+		t.started.team = t
 		q.teams[j.Team] = t
 	}
-	t.weight = orOne(j.Weight)
+	t.weight = weightOrOne(j.Weight)
 	c := t.callers[j.Caller]
 	if c == nil {
-		c = &caller{team: t, virtual: t.charged}
-		c.fresh.caller = c
-		c.opened.caller = c
+		c = &caller{team: t, virtualTime: t.callersClock}
+		c.unstarted.caller = c
+		c.started.caller = c
 		t.callers[j.Caller] = c
 	}
 	return c
 }
 
-// Remove takes all waiting tasks of the job out and returns their number. The
-// job can't be added again.
+// Remove removes all waiting tasks of the job and returns their number. The job cannot be
+// added again.
 func (q *Queue) Remove(j *Job) int {
 	n := j.waiting
 	if j.removed {
@@ -159,101 +161,103 @@
 	if j.caller == nil {
 		return 0
 	}
-	q.count(j, -n)
+	q.addWaiting(j, -n)
 	if j.queued {
-		j.caller.side(j.opened).drop()
+		j.caller.node(j.started).noteRemoved()
 	}
-	q.forget(j.caller)
+	q.forgetIdle(j.caller)
 	return n
 }
 
-func (q *Queue) count(j *Job, n int) {
+func (q *Queue) addWaiting(j *Job, n int) {
 	j.waiting += n
 	j.caller.waiting += n
 	j.caller.team.waiting += n
 	q.waiting += n
 }
 
-// Top returns the job whose task goes next, or nil. With openedOnly, jobs of
-// which nothing was taken yet are passed over.
-func (q *Queue) Top(openedOnly bool) *Job {
-	a := top(&q.opened)
-	if openedOnly {
-		return a
+// Top returns the job whose task goes next, or nil. If startedOnly is set, it skips jobs
+// of which no task was taken yet.
+func (q *Queue) Top(startedOnly bool) *Job {
+	started := top(&q.started)
+	if startedOnly {
+		return started
 	}
-	b := top(&q.fresh)
-	if a == nil || (b != nil && b.precedes(a)) {
-		return b
+	unstarted := top(&q.unstarted)
+	if started == nil || (unstarted != nil && unstarted.precedes(started)) {
+		return unstarted
 	}
-	return a
+	return started
 }
 
 func (j *Job) precedes(o *Job) bool {
 	if j.caller.team != o.caller.team {
-		return j.caller.team.virtual < o.caller.team.virtual
+		return j.caller.team.virtualTime < o.caller.team.virtualTime
 	}
 	if j.caller != o.caller {
-		return j.caller.virtual < o.caller.virtual
+		return j.caller.virtualTime < o.caller.virtualTime
 	}
 	return j.before(o)
 }
 
-// Take takes one task of the job that Top returned, and charges its team and
-// caller with the cost, which is in any unit that is the same for all tasks.
+// Take takes one task of the job that Top returned and charges the cost to its team and
+// caller. The unit of cost is arbitrary, but the same for all tasks.
 func (q *Queue) Take(j *Job, cost float64) {
 	c := j.caller
 	t := c.team
-	q.clock = max(q.clock, t.virtual)
-	t.charged = max(t.charged, c.virtual)
-	t.virtual += cost / t.weight
-	c.virtual += cost
-	q.count(j, -1)
-	side := c.side(j.opened)
-	side.jobs.pop()
+	q.virtualClock = max(q.virtualClock, t.virtualTime)
+	t.callersClock = max(t.callersClock, c.virtualTime)
+	t.virtualTime += cost / t.weight
+	c.virtualTime += cost
+	q.addWaiting(j, -1)
+	node := c.node(j.started)
+	node.jobs.pop()
 	j.queued = false
-	j.opened = true
+	j.started = true
 	if j.waiting > 0 {
 		q.push(j)
 	}
-	q.forget(c)
+	q.forgetIdle(c)
 }
 
-// forget drops a caller, or a team, that owes nothing. Without it a queue
-// would remember every caller it ever saw.
-func (q *Queue) forget(c *caller) {
+// forgetIdle drops callers of c's team, and the team, that have no waiting tasks and whose
+// virtual time is not ahead of the others'. It does so only while the team has no waiting
+// tasks and there are more than maxIdleFlows teams or callers of the team. Without it the
+// queue would keep every caller it ever saw.
+func (q *Queue) forgetIdle(c *caller) {
 	t := c.team
-	if t.waiting > 0 || len(t.callers) <= keptFlows && len(q.teams) <= keptFlows {
+	if t.waiting > 0 || len(t.callers) <= maxIdleFlows && len(q.teams) <= maxIdleFlows {
 		return
 	}
 	for n, o := range t.callers {
-		if o.waiting == 0 && o.virtual <= t.charged {
+		if o.waiting == 0 && o.virtualTime <= t.callersClock {
 			delete(t.callers, n)
 		}
 	}
-	if len(q.teams) > keptFlows && t.virtual <= q.clock && !t.parked {
+	if len(q.teams) > maxIdleFlows && t.virtualTime <= q.virtualClock && !t.paused {
 		delete(q.teams, t.name)
 	}
 }
 
-// Park holds a team back until Unpark; its tasks stay.
-func (q *Queue) Park(name string) {
+// Pause keeps the team's tasks in the queue and skips them until Resume.
+func (q *Queue) Pause(name string) {
 	if t := q.teams[name]; t != nil {
-		t.parked = true
+		t.paused = true
 	}
 }
 
-// Unpark lets a team go on.
-func (q *Queue) Unpark(name string) {
+// Resume ends a pause.
+func (q *Queue) Resume(name string) {
 	t := q.teams[name]
-	if t == nil || !t.parked {
+	if t == nil || !t.paused {
 		return
 	}
-	t.parked = false
-	q.enter(&t.fresh, false)
-	q.enter(&t.opened, true)
+	t.paused = false
+	q.pushTeam(&t.unstarted, false)
+	q.pushTeam(&t.started, true)
 }
 
-func orOne(weight float64) float64 {
+func weightOrOne(weight float64) float64 {
 	if weight <= 0 {
 		return 1
 	}
