--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -26,11 +26,11 @@
 	// It bounds how long a suspended process delays others, and must leave time to stop
 	// its runs before a retry of the caller can start them again on another process.
 	SessionTimeout = 650 * time.Millisecond
-	// HeartbeatOverdueAfter is the silence after which the heartbeat of a watched member is reported
-	// as overdue.
+	// HeartbeatOverdueAfter is the silence after which the heartbeat of a watched member is
+	// reported as overdue.
 	HeartbeatOverdueAfter = 250 * time.Millisecond
-	// IdleHeartbeatInterval and IdleDownAfter correspond to HeartbeatInterval and
-	// DownAfter for sessions that neither side watches. These are most sessions of a
+	// IdleHeartbeatInterval and IdleSessionTimeout correspond to HeartbeatInterval and
+	// SessionTimeout for sessions that neither side watches. These are most sessions of a
 	// large cell, and their heartbeats were most of the work of a process with a hundred
 	// members.
 	IdleHeartbeatInterval = 2 * time.Second
@@ -73,8 +73,8 @@
 	Down
 	// Changed: the member advertises a new state.
 	Changed
-	// Mail: messages of the member have arrived.
-	Mail
+	// Received: messages of the member have arrived.
+	Received
 	// Overdue: the heartbeat of a watched member is overdue.
 	Overdue
 	// Recovered: a member whose heartbeat was overdue has sent something.
@@ -84,7 +84,7 @@
 // Event is what the mesh reports to the process.
 type Event[M any] struct {
 	Kind Kind
-	// Member is the member's state; only its ID is set with Mail, Quiet and Back.
+	// Member is the member's state; only its ID is set with Received, Overdue and Recovered.
 	Member Member
 	// Session numbers the sessions of this process. Messages of a session that has ended
 	// must be ignored.
@@ -207,9 +207,9 @@
 	}
 }
 
-// Watch starts or stops watching a member: its silence ends the session after DownAfter,
-// counted from now at the earliest, instead of IdleDownAfter. The other side need not
-// watch this one for that.
+// Watch starts or stops watching a member: its silence ends the session after
+// SessionTimeout, counted from now at the earliest, instead of IdleSessionTimeout. The
+// other side need not watch this one for that.
 func (m *Mesh[M]) Watch(id ID, on bool) {
 	m.mu.Lock()
 	if on {
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -55,7 +55,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.events {
-		if e.Kind != Mail {
+		if e.Kind != Received {
 			out = append(out, e.Kind)
 		}
 	}
@@ -259,7 +259,7 @@
 	})
 }
 
-// The heartbeat of a watched member is overdue. Quiet must be delivered before Down, once
+// The heartbeat of a watched member is overdue. Overdue must be delivered before Down, once
 // for each silence, so that others can prepare for the loss.
 func TestLateHeartbeatIsTold(t *testing.T) {
 	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
@@ -274,7 +274,7 @@
 	})
 }
 
-// A member whose heartbeat was overdue sends something before the session ends. Back must
+// A member whose heartbeat was overdue sends something before the session ends. Recovered must
 // be delivered, so that preparations for its loss can be undone.
 func TestOverdueMemberRecovers(t *testing.T) {
 	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
--- a/mesh/session.go
+++ b/mesh/session.go
@@ -55,7 +55,7 @@
 	// watchedByMember is set while the member watches this side.
 	watchingSince   time.Time
 	watchedByMember bool
-	// overdueReported is set if Quiet has been delivered for the current silence of a
+	// overdueReported is set if Overdue has been delivered for the current silence of a
 	// watched member.
 	overdueReported bool
 	queue           []M
@@ -155,7 +155,7 @@
 }
 
 // silenceTimeout returns the silence after which the session ends. If this side has not
-// heard from the member since it began to watch it, DownAfter counts from that time.
+// heard from the member since it began to watch it, SessionTimeout counts from that time.
 func (s *session[M]) silenceTimeout() time.Duration {
 	switch {
 	case s.member.ID == (ID{}):
@@ -285,7 +285,7 @@
 }
 
 // noteMessage records that the member was heard from and whether its notification is
-// still being handled. It reports whether that ends a silence for which Quiet was
+// still being handled. It reports whether that ends a silence for which Overdue was
 // delivered.
 func (s *session[M]) noteMessage(handling bool) (recovered bool) {
 	s.mu.Lock()
@@ -361,6 +361,6 @@
 		s.deliver(Event[M]{Kind: Changed, Member: *b.From, Session: s.number})
 	}
 	if len(b.Messages) > 0 {
-		s.deliver(Event[M]{Kind: Mail, Member: Member{ID: s.id}, Session: s.number, Messages: b.Messages})
+		s.deliver(Event[M]{Kind: Received, Member: Member{ID: s.id}, Session: s.number, Messages: b.Messages})
 	}
 }
--- a/node/core.go
+++ b/node/core.go
@@ -45,7 +45,7 @@
 // Output is an action that Core asks its driver to perform. Exactly one of the pointers
 // is set.
 type Output struct {
-	// To is the recipient of Mail.
+	// To is the recipient of Message.
 	To      mesh.ID
 	Message *Message
 	Answer  *entry.CallerAnswer
@@ -97,7 +97,7 @@
 	// sortedHeld caches the sorted keys of held, since they are iterated after each event.
 	// It is nil when held has changed.
 	sortedHeld []string
-	poolHabits map[string]*lease.PoolStats
+	poolStats  map[string]*lease.PoolStats
 	// unannounced are the workers that became held since the members were last notified.
 	unannounced []string
 	// maxUsedFence is the highest fence used by leases of this process that have ended.
@@ -138,7 +138,7 @@
 		entry:         entry.New(log),
 		cell:          cell.New(log, self.ID, policy),
 		held:          make(map[string]*lease.WorkerLease),
-		poolHabits:    make(map[string]*lease.PoolStats),
+		poolStats:     make(map[string]*lease.PoolStats),
 		lostMembers:   make(map[mesh.ID]time.Time),
 		watched:       make(map[mesh.ID]struct{}),
 	}
--- a/node/core_test.go
+++ b/node/core_test.go
@@ -87,7 +87,7 @@
 
 // Messages of an ended session arrive after its end was handled. What they ask for has
 // been settled since, so they must be dropped.
-func TestMailOfAnEndedSession(t *testing.T) {
+func TestMessagesOfAnEndedSession(t *testing.T) {
 	c := newCore(1, 2)
 	c.MemberUp(ms(1), member(2), 1)
 	c.MemberDown(ms(10), member(2).ID, 1, ms(5))
@@ -264,8 +264,8 @@
 func TestAnswerToACallOfAFormerHolding(t *testing.T) {
 	c := newCore(2, 1, 3)
 	c.MemberUp(ms(1), member(1), 1)
-	assign := func(at int, floor lease.Fence) (calls []lease.HoldCall) {
-		c.Receive(ms(at), member(1).ID, 1, []Message{{Assignment: &cell.Assignment{Worker: testWorker(), MinFence: floor}}})
+	assign := func(at int, minFence lease.Fence) (calls []lease.HoldCall) {
+		c.Receive(ms(at), member(1).ID, 1, []Message{{Assignment: &cell.Assignment{Worker: testWorker(), MinFence: minFence}}})
 		for _, o := range c.Take(ms(at)) {
 			if o.Hold != nil {
 				calls = append(calls, *o.Hold)
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -85,8 +85,8 @@
 	for why, v := range stats.refused {
 		m.CountCode(meter.PlannerRefusals, why, v-last.refused[why])
 	}
-	for how, v := range stats.ended {
-		m.CountCode(meter.RunsEnded, how.String(), v-last.ended[how])
+	for outcome, v := range stats.ended {
+		m.CountCode(meter.RunsEnded, outcome.String(), v-last.ended[outcome])
 	}
 	for why, v := range stats.notStarted {
 		m.CountCode(meter.RunsNotStarted, string(why), v-last.notStarted[why])
--- a/node/holder.go
+++ b/node/holder.go
@@ -22,7 +22,7 @@
 	c.dropHolding(d.Worker.ID)
 	c.sortedHeld = nil
 	minFence := max(d.MinFence, c.maxUsedFence)
-	c.held[d.Worker.ID] = lease.NewWorkerLease(now, d.Worker, lease.NewFence(c.self.Number), minFence, d.Speed, c.habitsOf(d.Worker.Pool))
+	c.held[d.Worker.ID] = lease.NewWorkerLease(now, d.Worker, lease.NewFence(c.self.Number), minFence, d.Speed, c.statsOf(d.Worker.Pool))
 }
 
 // dropHolding removes the lease on a worker and keeps the highest fence that it used,
@@ -43,12 +43,12 @@
 	return c.sortedHeld
 }
 
-// habitsOf returns what is known of the workers of a pool as a whole.
-func (c *Core) habitsOf(pool string) *lease.PoolStats {
-	h := c.poolHabits[pool]
+// statsOf returns what is known of the workers of a pool as a whole.
+func (c *Core) statsOf(pool string) *lease.PoolStats {
+	h := c.poolStats[pool]
 	if h == nil {
 		h = &lease.PoolStats{}
-		c.poolHabits[pool] = h
+		c.poolStats[pool] = h
 	}
 	return h
 }
--- a/node/mail_test.go
+++ b/node/mail_test.go
@@ -22,26 +22,26 @@
 // larger messages everybody waits for the planner.
 func TestMessagesAreSmall(t *testing.T) {
 	const tasks = 4
-	ask := &cell.Request{
+	request := &cell.Request{
 		Job: "c121f3f705348587", Queue: "r-c6mb5cq", Pool: "vono82a", Rank: 2, Resources: lease.Resources{CPU: 14000, Memory: 64},
 		Estimate: 900 * time.Millisecond, Age: 3 * time.Millisecond, Objective: 1463 * time.Millisecond, Timeout: 4100 * time.Millisecond,
 	}
-	grant := &cell.Grant{Job: ask.Job, Waited: 1234567}
-	b := lease.NewWorkerLease(ms(0), lease.Worker{ID: "i-0b47f04fe8", Pool: ask.Pool, Resources: lease.Resources{CPU: 64000, Memory: 1000}}, lease.NewFence(1234), 0, lease.Speed{Factor: 0.61, Ends: 9}, &lease.PoolStats{})
+	grant := &cell.Grant{Job: request.Job, Waited: 1234567}
+	b := lease.NewWorkerLease(ms(0), lease.Worker{ID: "i-0b47f04fe8", Pool: request.Pool, Resources: lease.Resources{CPU: 64000, Memory: 1000}}, lease.NewFence(1234), 0, lease.Speed{Factor: 0.61, Ends: 9}, &lease.PoolStats{})
 	b.HoldAnswered(ms(1), *b.Take()[0].Hold, lease.Result{Verdict: lease.OK, Clock: 5000, Incarnation: 7})
 	b.State(ms(1))
 	var reports int
 	for i := range tasks {
-		ask.Tasks = append(ask.Tasks, task(i))
+		request.Tasks = append(request.Tasks, task(i))
 		grant.Items = append(grant.Items, cell.GrantedRun{Run: task(i), Worker: "i-0b47f04fe8", Holder: member(1).ID, Fence: b.Fence()})
-		b.Start(ms(2), member(1).ID, lease.Order{Claim: lease.Claim{Run: task(i), Resources: ask.Resources, Estimate: ask.Estimate}, Text: lease.NewText(task(i).Job(), "")})
+		b.Start(ms(2), member(1).ID, lease.Order{Claim: lease.Claim{Run: task(i), Resources: request.Resources, Estimate: request.Estimate}, Text: lease.NewText(task(i).Job(), "")})
 		b.HoldAnswered(ms(100+i), holdOf(t, b), lease.Result{Verdict: lease.OK, Clock: 5100, Incarnation: 7, Ended: []lease.ListedEnd{{Number: int64(i + 1), Run: task(i), Outcome: lease.Done}}})
 		s, _ := b.Changed(ms(101 + i))
 		reports += messageSize(t, Message{Report: &cell.Report{States: []lease.State{s}}})
 	}
-	t.Logf("a job of four tasks: ask %d, reports %d, grant %d bytes", messageSize(t, Message{Request: ask}), reports, messageSize(t, Message{Grant: grant}))
+	t.Logf("a job of four tasks: request %d, reports %d, grant %d bytes", messageSize(t, Message{Request: request}), reports, messageSize(t, Message{Grant: grant}))
 	const maxBytesPerTask = 148
-	if in := (messageSize(t, Message{Request: ask}) + reports) / tasks; in > maxBytesPerTask {
+	if in := (messageSize(t, Message{Request: request}) + reports) / tasks; in > maxBytesPerTask {
 		t.Errorf("%d bytes received per task, want at most %d", in, maxBytesPerTask)
 	}
 	if out := messageSize(t, Message{Grant: grant}) / tasks; out > maxBytesPerTask {
--- a/node/node.go
+++ b/node/node.go
@@ -377,7 +377,7 @@
 			c.MemberOverdue(now, e.Member.ID, e.Session, e.LastHeard)
 		case mesh.Recovered:
 			c.MemberRecovered(e.Member.ID, e.Session)
-		case mesh.Mail:
+		case mesh.Received:
 			c.Receive(now, e.Member.ID, e.Session, e.Messages)
 		}
 	})
--- a/node/report.go
+++ b/node/report.go
@@ -60,12 +60,12 @@
 }
 
 // reportedState returns the state of a worker to report: complete if describe is set,
-// otherwise what has changed. Unless whole is set, it returns false if nothing has.
-func reportedState(now time.Time, b *lease.WorkerLease, whole, describe bool) (lease.State, bool) {
+// otherwise what has changed. Unless full is set, it returns false if nothing has.
+func reportedState(now time.Time, b *lease.WorkerLease, full, describe bool) (lease.State, bool) {
 	switch {
 	case describe:
 		return b.State(now), true
-	case whole:
+	case full:
 		return b.Changes(now), true
 	}
 	return b.Changed(now)
--- a/node/store.go
+++ b/node/store.go
@@ -113,11 +113,11 @@
 // followWorkers reads the workers' records while this process is the list reader.
 func (n *Node) followWorkers() *registry.Follower {
 	return n.follower(registry.Config{Name: topicWorkers, Pause: workersPollInterval}, n.platform.WorkerList, n.plannerToReadFor, func(ctx context.Context, news registry.News) {
-		var listed []cell.ListedWorker
-		var dropped []string
+		var workers []cell.ListedWorker
+		var removed []string
 		for _, r := range news.Records {
 			if r.Dropped {
-				dropped = append(dropped, r.Key)
+				removed = append(removed, r.Key)
 				continue
 			}
 			l, err := n.platform.Worker(r)
@@ -125,9 +125,9 @@
 				event.RecordUnreadable.Log(n.log, "topic", topicWorkers, "key", r.Key, "offset", uint64(r.Offset), "error", err)
 				continue
 			}
-			listed = append(listed, l)
+			workers = append(workers, l)
 		}
-		l := cell.WorkerList{Full: news.Whole, Workers: listed, Removed: dropped}
+		l := cell.WorkerList{Full: news.Whole, Workers: workers, Removed: removed}
 		n.enqueue(ctx, func(now time.Time, c *Core) { c.WorkersListed(now, l) })
 	})
 }
