--- a/cell/admit.go
+++ b/cell/admit.go
@@ -19,31 +19,31 @@
 // that would miss their objective. If such jobs stayed pending until they are certain to
 // be late, their callers would wait for nothing, and the half of their tasks that was
 // started by then would take resources from jobs that can still meet theirs.
-func (b *Planner) lookAhead(now time.Time) {
-	if !b.policy.LookAhead.on() || len(b.pending) == 0 || now.Sub(b.lastLookAhead) < lookAheadInterval {
+func (pl *Planner) lookAhead(now time.Time) {
+	if !pl.policy.LookAhead.on() || len(pl.pending) == 0 || now.Sub(pl.lastLookAhead) < lookAheadInterval {
 		return
 	}
 	// A new planner sees no free resources of members that have not reported yet.
-	if !b.allReported() && now.Sub(b.startedAt) < reportGracePeriod {
+	if !pl.allReported() && now.Sub(pl.startedAt) < reportGracePeriod {
 		return
 	}
-	if now.Sub(b.startedAt) < workerDiscoveryGrace && !b.anyAcceptsTasks() {
+	if now.Sub(pl.startedAt) < workerDiscoveryGrace && !pl.anyAcceptsTasks() {
 		return
 	}
-	b.lastLookAhead = now
-	queue := slices.Clone(b.requestQueue.pending)
-	groups := b.slots(now, queue)
-	queue = slices.DeleteFunc(queue, func(p *pendingRequest) bool { return b.scheduleInTime(p, groups) || p.Begun })
-	b.refusedDelay = 0
+	pl.lastLookAhead = now
+	queue := slices.Clone(pl.requestQueue.pending)
+	groups := pl.slots(now, queue)
+	queue = slices.DeleteFunc(queue, func(p *pendingRequest) bool { return pl.scheduleInTime(p, groups) || p.Begun })
+	pl.refusedDelay = 0
 	reason := reasonOthersFirst
 	if len(groups) == 0 {
 		reason = reasonNoWorkers
 	}
 	for _, p := range queue {
-		if end := b.schedule(p, groups); !end.IsZero() {
-			b.refusedDelay = end.Sub(p.objective)
+		if end := pl.schedule(p, groups); !end.IsZero() {
+			pl.refusedDelay = end.Sub(p.objective)
 		}
-		b.refuse(now, p, reason)
+		pl.refuse(now, p, reason)
 	}
 }
 
@@ -55,8 +55,8 @@
 const workerDiscoveryGrace = time.Second
 
 // anyAcceptsTasks reports whether at least one worker accepts tasks.
-func (b *Planner) anyAcceptsTasks() bool {
-	for _, w := range b.workers {
+func (pl *Planner) anyAcceptsTasks() bool {
+	for _, w := range pl.workers {
 		if w.acceptsTasks() {
 			return true
 		}
@@ -67,9 +67,9 @@
 // schedule puts the tasks of a request on the slots that become free first, whether or
 // not they end in time, and returns when the last of them ends. It returns the zero time
 // if there are no slots.
-func (b *Planner) schedule(p *pendingRequest, groups []*slots) (last time.Time) {
+func (pl *Planner) schedule(p *pendingRequest, groups []*slots) (last time.Time) {
 	for range p.Tasks {
-		g, end := b.earliest(groups, p)
+		g, end := pl.earliest(groups, p)
 		if g == nil {
 			return time.Time{}
 		}
@@ -98,8 +98,8 @@
 // retryAfter returns the delay after which a refused caller should retry: refusedDelay,
 // within bounds, plus a jitter that depends on the job. During a look-ahead, refusedDelay
 // is how late the job would have been, had it and all jobs refused before it been kept.
-func (b *Planner) retryAfter(job string) time.Duration {
-	wait := min(max(b.refusedDelay, minRetryAfter), maxRetryAfter)
+func (pl *Planner) retryAfter(job string) time.Duration {
+	wait := min(max(pl.refusedDelay, minRetryAfter), maxRetryAfter)
 	return wait + RetryJitter(job)
 }
 
@@ -157,7 +157,7 @@
 
 // slots returns the groups of slots of all workers that accept tasks, or will in a
 // moment, for tasks of the average CPU request in the queue.
-func (b *Planner) slots(now time.Time, queue []*pendingRequest) []*slots {
+func (pl *Planner) slots(now time.Time, queue []*pendingRequest) []*slots {
 	cpu := 0
 	for _, w := range queue {
 		cpu += w.Resources.CPU
@@ -166,7 +166,7 @@
 	byRack := slices.ContainsFunc(queue, func(w *pendingRequest) bool { return w.Rack != "" })
 	var out []*slots
 	group := make(map[string]*slots)
-	for _, w := range b.bySpeed {
+	for _, w := range pl.bySpeed {
 		from := now
 		switch {
 		case w.ejected:
@@ -177,7 +177,7 @@
 		default:
 			continue
 		}
-		f := b.factor(w)
+		f := pl.factor(w)
 		rack := ""
 		if byRack {
 			rack = w.Rack
@@ -250,16 +250,16 @@
 // scheduleInTime puts the tasks of a request on the slots where they end first, if all of
 // them end in time there, and reports whether they do. The tasks of a job that has begun
 // are scheduled even if they end late.
-func (b *Planner) scheduleInTime(p *pendingRequest, groups []*slots) bool {
+func (pl *Planner) scheduleInTime(p *pendingRequest, groups []*slots) bool {
 	type reservation struct {
 		*slots
 		freeAt, end time.Time
 	}
 	var reservations []reservation
-	latestEnd := p.arrivedAt.Add(time.Duration(float64(p.objective.Sub(p.arrivedAt)) * b.policy.Margin))
+	latestEnd := p.arrivedAt.Add(time.Duration(float64(p.objective.Sub(p.arrivedAt)) * pl.policy.Margin))
 	fits := true
 	for range p.Tasks {
-		g, end := b.earliest(groups, p)
+		g, end := pl.earliest(groups, p)
 		if g == nil || end.After(latestEnd) && !p.Begun {
 			fits = false
 			break
@@ -281,11 +281,11 @@
 
 // earliest returns the group whose first slot lets a task of the request end first, and
 // when the task ends. It returns nil if there are no groups.
-func (b *Planner) earliest(groups []*slots, p *pendingRequest) (best *slots, end time.Time) {
+func (pl *Planner) earliest(groups []*slots, p *pendingRequest) (best *slots, end time.Time) {
 	for _, g := range groups {
 		f := g.factor
 		if p.Rack != "" && p.Rack != g.rack {
-			f *= b.policy.OtherRackFactor
+			f *= pl.policy.OtherRackFactor
 		}
 		if e := g.freeAt[0].Add(scaled(p.Estimate, f)); best == nil || e.Before(end) {
 			best, end = g, e
--- a/cell/admit_test.go
+++ b/cell/admit_test.go
@@ -13,21 +13,21 @@
 // has time. It is refused at once, while its caller can still use another service; a job
 // that fits after the running ones stays pending.
 func TestLookingAhead(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 1)
+	pl := newPlannerWithHolders(t, 2, 1)
 	first := newRequest("first", 2)
 	first.Estimate, first.Objective = time.Second, 2*time.Second
-	b.Request(ms(700), memberID(1), first)
-	place(b, 700)
+	pl.Request(ms(700), memberID(1), first)
+	place(pl, 700)
 	short, long := newRequest("short", 1), newRequest("long", 1)
 	short.Objective, long.Objective = 500*time.Millisecond, 1500*time.Millisecond
-	b.Request(ms(720), memberID(1), short)
-	b.Request(ms(720), memberID(1), long)
-	_, refusals := place(b, 720)
+	pl.Request(ms(720), memberID(1), short)
+	pl.Request(ms(720), memberID(1), long)
+	_, refusals := place(pl, 720)
 	if len(refusals) != 1 || refusals[0].Job != "short" || refusals[0].Reason != reasonOthersFirst {
 		t.Errorf("refusals %+v, want only that of the job that would be late", refusals)
 	}
-	if len(b.pending) != 1 {
-		t.Errorf("%d requests are pending, want 1", len(b.pending))
+	if len(pl.pending) != 1 {
+		t.Errorf("%d requests are pending, want 1", len(pl.pending))
 	}
 }
 
@@ -56,24 +56,24 @@
 // holds. It saw no free resources and refused jobs although there were plenty; callers
 // got "too busy" from an idle system.
 func TestNewPlannerWaitsForReports(t *testing.T) {
-	b := newPlanner(t, 2, 4)
-	b.Report(ms(1), memberID(0), Report{Full: true})
-	b.Request(ms(1), memberID(0), newRequest("a", 2))
-	if _, refused := place(b, 2); len(refused) != 0 {
+	pl := newPlanner(t, 2, 4)
+	pl.Report(ms(1), memberID(0), Report{Full: true})
+	pl.Request(ms(1), memberID(0), newRequest("a", 2))
+	if _, refused := place(pl, 2); len(refused) != 0 {
 		t.Fatalf("refused before all have reported: %+v", refused)
 	}
-	b.Report(ms(3), memberID(1), Report{Full: true})
-	if _, refused := place(b, 20); len(refused) != 0 {
+	pl.Report(ms(3), memberID(1), Report{Full: true})
+	if _, refused := place(pl, 20); len(refused) != 0 {
 		t.Errorf("refused while four workers have been assigned but not reported: %+v", refused)
 	}
 	for i := range 4 {
 		w := testWorker(i)
-		b.Report(ms(30), b.workers[w.ID].holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Open: true, Draining: true}}})
+		pl.Report(ms(30), pl.workers[w.ID].holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Open: true, Draining: true}}})
 	}
 	a := newRequest("b", 2)
 	a.Objective = 10 * time.Second
-	b.Request(ms(1100), memberID(0), a)
-	if _, refused := place(b, 1100); len(refused) != 2 {
+	pl.Request(ms(1100), memberID(0), a)
+	if _, refused := place(pl, 1100); len(refused) != 2 {
 		t.Errorf("%d refusals when no worker accepts tasks, want 2", len(refused))
 	}
 }
@@ -82,19 +82,19 @@
 // worker; half a second later all workers are held again. A fifth of the callers of these
 // seconds was refused at once, most of whom could have been served in time.
 func TestNobodyIsRefusedBeforeTheWorkersAreThere(t *testing.T) {
-	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
-	b.Begin(ms(0))
-	b.SetMembers(ms(0), members(1), members(1), false, false)
-	b.Report(ms(1), memberID(0), Report{Full: true})
-	for _, c := range []struct{ at, aim, refused int }{
+	pl := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
+	pl.Begin(ms(0))
+	pl.SetMembers(ms(0), members(1), members(1), false, false)
+	pl.Report(ms(1), memberID(0), Report{Full: true})
+	for _, c := range []struct{ at, objective, refused int }{
 		{20, 900, 0},
 		{400, 600, 0},
 		{1100, 600, 3},
 	} {
 		a := newRequest(fmt.Sprint("job", c.at), 2)
-		a.Objective = time.Duration(c.aim) * time.Millisecond
-		b.Request(ms(c.at), memberID(0), a)
-		if _, refused := place(b, c.at); len(refused) != c.refused {
+		a.Objective = time.Duration(c.objective) * time.Millisecond
+		pl.Request(ms(c.at), memberID(0), a)
+		if _, refused := place(pl, c.at); len(refused) != c.refused {
 			t.Errorf("at %d ms %d refusals, want %d", c.at, len(refused), c.refused)
 		}
 	}
@@ -104,17 +104,17 @@
 // holds the worker, no tasks can be started there; jobs that arrived meanwhile were
 // refused.
 func TestWorkerThatChangesHands(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 1)
-	w := b.workers["w0"]
-	b.Report(ms(700), w.holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Released: true}}})
-	b.Request(ms(701), memberID(1), newRequest("a", 2))
-	if _, refused := place(b, 701); len(refused) != 0 {
+	pl := newPlannerWithHolders(t, 2, 1)
+	w := pl.workers["w0"]
+	pl.Report(ms(700), w.holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Released: true}}})
+	pl.Request(ms(701), memberID(1), newRequest("a", 2))
+	if _, refused := place(pl, 701); len(refused) != 0 {
 		t.Errorf("refused while the worker changes its holder: %+v", refused)
 	}
 	a := newRequest("b", 2)
 	a.Objective = time.Hour
-	b.Request(ms(2000), memberID(1), a)
-	if _, refused := place(b, 2000); len(refused) != 2 {
+	pl.Request(ms(2000), memberID(1), a)
+	if _, refused := place(pl, 2000); len(refused) != 2 {
 		t.Errorf("%d refusals long after the worker was lost, want 2", len(refused))
 	}
 }
@@ -123,12 +123,12 @@
 // is unreachable. Callers were told that other jobs come first, so operators looked for a
 // load that was not there.
 func TestRefusalTellsThatNoWorkerTakesTasks(t *testing.T) {
-	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
-	b.Begin(ms(0))
-	b.SetMembers(ms(0), members(1), members(1), false, false)
-	b.Report(ms(1), memberID(0), Report{Full: true})
-	b.Request(ms(2000), memberID(0), newRequest("a", 2))
-	_, refused := place(b, 2000)
+	pl := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
+	pl.Begin(ms(0))
+	pl.SetMembers(ms(0), members(1), members(1), false, false)
+	pl.Report(ms(1), memberID(0), Report{Full: true})
+	pl.Request(ms(2000), memberID(0), newRequest("a", 2))
+	_, refused := place(pl, 2000)
 	if len(refused) == 0 || refused[0].Reason != reasonNoWorkers {
 		t.Errorf("refusals %+v, want reason %s", refused, reasonNoWorkers)
 	}
@@ -138,30 +138,30 @@
 // and the others have a holder that waits for their first answer. Callers were refused
 // for lack of resources that were there some milliseconds later.
 func TestWorkersWhoseHolderHasJustBegunCount(t *testing.T) {
-	b := newPlanner(t, 2, 2)
-	b.Tick(ms(600))
-	for _, a := range b.TakeActions() {
+	pl := newPlanner(t, 2, 2)
+	pl.Tick(ms(600))
+	for _, a := range pl.TakeActions() {
 		if a.Assignment != nil {
 			w := a.Assignment.Worker
-			b.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: w.ID == "w0"}}})
+			pl.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: w.ID == "w0"}}})
 		}
 	}
 	for i, job := range []string{"a", "b"} {
 		at := 620 + 10*i
 		next := newRequest(job, 2)
 		next.Estimate = 200 * time.Millisecond
-		b.Request(ms(at), memberID(1), next)
-		if _, refused := place(b, at); len(refused) != 0 {
+		pl.Request(ms(at), memberID(1), next)
+		if _, refused := place(pl, at); len(refused) != 0 {
 			t.Errorf("refusals %+v, want the job to stay pending until the other worker opens", refused)
 		}
 	}
-	b.Tick(ms(2000))
+	pl.Tick(ms(2000))
 	for _, job := range []string{"c", "d"} {
 		next := newRequest(job, 2)
 		next.Estimate, next.Objective = time.Second, 1500*time.Millisecond
-		b.Request(ms(2000), memberID(1), next)
+		pl.Request(ms(2000), memberID(1), next)
 	}
-	grants, refused := place(b, 2000)
+	grants, refused := place(pl, 2000)
 	if len(grants) != 2 || len(refused) != 2 || refused[1].Reason != reasonOthersFirst {
 		t.Errorf("long after the holder began %d grants, refused %+v; want b and one of c and d refused", len(grants), refused)
 	}
--- a/cell/book.go
+++ b/cell/book.go
@@ -3,7 +3,7 @@
 //
 // One process of the cell is the planner, because free resources must be known in one
 // place: with a planner for each data centre, jobs wait in one while workers idle in the
-// next. A Book is the planner's state: the free resources that the holders report, the
+// next. The type Planner keeps its state: the free resources that the holders report, the
 // pending requests, and the grants that no holder has reported yet. All of it is soft
 // state. Two planners at once, or a planner with wrong data, cause starts that are
 // refused for lack of resources; the guarantees of package lease hold all the same. When
@@ -122,7 +122,7 @@
 	requestedAt time.Time
 }
 
-// Action is a message that the driver of a Book must send. One of the pointers is set.
+// Action is a message that the driver of a Planner must send. One of the pointers is set.
 type Action struct {
 	To         mesh.ID
 	Grant      *Grant
@@ -175,26 +175,26 @@
 	reported bool
 }
 
-// New returns a Book that is not active yet.
+// New returns a Planner that is not active yet.
 func New(log *slog.Logger, self mesh.ID, policy Policy) *Planner {
-	b := &Planner{log: log, self: self, policy: policy.withDefaults(), counts: Counts{Refused: make(map[string]int64)}}
-	b.clear()
-	return b
+	pl := &Planner{log: log, self: self, policy: policy.withDefaults(), counts: Counts{Refused: make(map[string]int64)}}
+	pl.clear()
+	return pl
 }
 
-func (b *Planner) clear() {
-	b.members = make(map[mesh.ID]*member)
-	b.workers = make(map[string]*worker)
-	b.pending = make(map[stepKey]*pendingRequest)
-	b.requestQueue = requestQueue{order: b.policy.Order}
-	b.bySpeed, b.byID = nil, nil
-	b.listRead = false
+func (pl *Planner) clear() {
+	pl.members = make(map[mesh.ID]*member)
+	pl.workers = make(map[string]*worker)
+	pl.pending = make(map[stepKey]*pendingRequest)
+	pl.requestQueue = requestQueue{order: pl.policy.Order}
+	pl.bySpeed, pl.byID = nil, nil
+	pl.listRead = false
 }
 
 // TakeActions returns and clears the actions that have accumulated since the last call.
-func (b *Planner) TakeActions() []Action {
-	a := b.actions
-	b.actions = nil
+func (pl *Planner) TakeActions() []Action {
+	a := pl.actions
+	pl.actions = nil
 	return a
 }
 
@@ -205,67 +205,67 @@
 	Refused map[string]int64
 }
 
-// Counts returns the counts. The map in them is not a copy: the Book continues to change
+// Counts returns the counts. The map in them is not a copy: the Planner continues to change
 // it.
-func (b *Planner) Counts() Counts { return b.counts }
+func (pl *Planner) Counts() Counts { return pl.counts }
 
 // Active reports whether this process is the planner.
-func (b *Planner) Active() bool { return b.active }
+func (pl *Planner) Active() bool { return pl.active }
 
 // Begin makes this process the planner, with an empty state.
-func (b *Planner) Begin(now time.Time) {
-	if b.active {
+func (pl *Planner) Begin(now time.Time) {
+	if pl.active {
 		return
 	}
-	b.clear()
-	b.active, b.startedAt = true, now
-	event.PlannerBegan.Log(b.log, "planner", b.self)
+	pl.clear()
+	pl.active, pl.startedAt = true, now
+	event.PlannerBegan.Log(pl.log, "planner", pl.self)
 }
 
 // Stop ends this process's time as the planner and drops the state.
-func (b *Planner) Stop() {
-	if !b.active {
+func (pl *Planner) Stop() {
+	if !pl.active {
 		return
 	}
-	b.active = false
-	event.PlannerEnded.Log(b.log, "planner", b.self, "waiting", len(b.pending))
-	b.clear()
+	pl.active = false
+	event.PlannerEnded.Log(pl.log, "planner", pl.self, "waiting", len(pl.pending))
+	pl.clear()
 }
 
 // SetMembers sets the processes of the cell that are reachable, this one included, and all
 // processes that may send requests, the members included. mayReassign says whether the
 // workers of unreachable members may be assigned to others; if not, no worker is
 // assigned at all. allReachable says whether no member is unreachable.
-func (b *Planner) SetMembers(now time.Time, reachable, callers []mesh.Member, mayReassign, allReachable bool) {
-	if !b.active {
+func (pl *Planner) SetMembers(now time.Time, reachable, callers []mesh.Member, mayReassign, allReachable bool) {
+	if !pl.active {
 		return
 	}
-	b.mayReassign, b.allReachable = mayReassign, allReachable
+	pl.mayReassign, pl.allReachable = mayReassign, allReachable
 	next := make(map[mesh.ID]*member, len(reachable))
 	for _, m := range reachable {
-		e := b.members[m.ID]
+		e := pl.members[m.ID]
 		if e == nil {
 			e = &member{}
 		}
 		e.Member = m
 		next[m.ID] = e
 	}
-	b.members = next
-	b.callers = make(map[mesh.ID]string, len(callers))
+	pl.members = next
+	pl.callers = make(map[mesh.ID]string, len(callers))
 	for _, m := range callers {
-		b.callers[m.ID] = m.DataCenter
+		pl.callers[m.ID] = m.DataCenter
 	}
-	for _, w := range b.workers {
+	for _, w := range pl.workers {
 		if w.holder != (mesh.ID{}) && next[w.holder] == nil {
-			b.clearHolder(now, w)
+			pl.clearHolder(now, w)
 		}
 	}
-	for _, p := range b.pending {
-		if _, ok := b.callers[p.owner]; !ok {
-			b.drop(p)
+	for _, p := range pl.pending {
+		if _, ok := pl.callers[p.owner]; !ok {
+			pl.drop(p)
 		}
 	}
-	b.assign(now)
+	pl.assign(now)
 }
 
 // setOpen records whether tasks may be started on the worker.
@@ -277,18 +277,18 @@
 }
 
 // clearHolder records that nobody holds the worker.
-func (b *Planner) clearHolder(now time.Time, w *worker) {
+func (pl *Planner) clearHolder(now time.Time, w *worker) {
 	w.countShortHold(now)
 	w.releasedAt = now
 	w.setOpen(now, false)
 	w.formerHolder, w.holder, w.confirmed = w.holder, mesh.ID{}, false
 	w.assignedAt, w.releaseSentAt = time.Time{}, time.Time{}
-	b.hasUnheld = true
+	pl.hasUnheld = true
 }
 
 // HasWorkerList reports whether the platform's worker list has been read since this process
 // became the planner.
-func (b *Planner) HasWorkerList() bool { return b.listRead }
+func (pl *Planner) HasWorkerList() bool { return pl.listRead }
 
 // ListedWorker is a worker as the platform lists it.
 type ListedWorker struct {
@@ -297,71 +297,71 @@
 }
 
 // UpdateWorkers applies the platform's worker list, or changes of it.
-func (b *Planner) UpdateWorkers(now time.Time, l WorkerList) {
-	if !b.active {
+func (pl *Planner) UpdateWorkers(now time.Time, l WorkerList) {
+	if !pl.active {
 		return
 	}
 	if l.Full && !l.FromPlanner {
-		for _, w := range b.workers {
+		for _, w := range pl.workers {
 			w.listed = false
 		}
-		b.listRead = true
+		pl.listRead = true
 	}
 	for _, w := range l.Workers {
-		b.listed(w)
+		pl.listed(w)
 	}
 	for _, id := range l.Removed {
-		if w := b.workers[id]; w != nil {
+		if w := pl.workers[id]; w != nil {
 			w.listed = false
 		}
 	}
-	b.assign(now)
-	b.needsPlanning = true
+	pl.assign(now)
+	pl.needsPlanning = true
 }
 
 // listed adds or updates a worker that the platform lists.
-func (b *Planner) listed(l ListedWorker) {
-	w := b.workers[l.ID]
+func (pl *Planner) listed(l ListedWorker) {
+	w := pl.workers[l.ID]
 	if w == nil {
 		w = &worker{runs: make(map[lease.Run]activeRun)}
-		b.workers[l.ID], b.byID = w, nil
-		event.WorkerListed.Log(b.log, "worker", l.ID, "address", l.Address, "pool", l.Pool, "data_center", l.DataCenter, "kind", l.Kind, "rack", l.Rack, "cpu", l.Resources.CPU, "memory", l.Resources.Memory)
+		pl.workers[l.ID], pl.byID = w, nil
+		event.WorkerListed.Log(pl.log, "worker", l.ID, "address", l.Address, "pool", l.Pool, "data_center", l.DataCenter, "kind", l.Kind, "rack", l.Rack, "cpu", l.Resources.CPU, "memory", l.Resources.Memory)
 	}
 	w.Worker, w.listed = l.Worker, true
 	if l.Draining && !w.draining {
 		w.draining = true
-		event.WorkerDraining.Log(b.log, "worker", l.ID)
-		b.sendDrain(w)
+		event.WorkerDraining.Log(pl.log, "worker", l.ID)
+		pl.sendDrain(w)
 	}
 }
 
 // sendDrain has the holder refuse starts on a draining worker: grants may still be on
 // their way, and the next planner learns of the drain from the holder before it has read
 // the platform's list.
-func (b *Planner) sendDrain(w *worker) {
+func (pl *Planner) sendDrain(w *worker) {
 	if w.holder != (mesh.ID{}) {
-		b.emit(Action{To: w.holder, Drain: &Drain{Worker: w.ID}})
+		pl.emit(Action{To: w.holder, Drain: &Drain{Worker: w.ID}})
 	}
 }
 
 // Tick expires unreported grants and does the other periodic work: it forgets unlisted
 // workers, assigns workers to holders, balances the load and sorts the workers by speed.
-func (b *Planner) Tick(now time.Time) {
-	if !b.active {
+func (pl *Planner) Tick(now time.Time) {
+	if !pl.active {
 		return
 	}
-	for _, w := range b.workers {
+	for _, w := range pl.workers {
 		for r, active := range w.runs {
 			if active.unreported && now.Sub(active.startedAt) >= grantTimeout {
 				w.drop(r)
 			}
 		}
 	}
-	b.forgetUnlisted(now)
-	b.assign(now)
-	b.balance(now)
-	b.sortBySpeed()
-	b.needsPlanning = true
+	pl.forgetUnlisted(now)
+	pl.assign(now)
+	pl.balance(now)
+	pl.sortBySpeed()
+	pl.needsPlanning = true
 }
 
-func (b *Planner) emit(a Action) { b.actions = append(b.actions, a) }
+func (pl *Planner) emit(a Action) { pl.actions = append(pl.actions, a) }
--- a/cell/book_test.go
+++ b/cell/book_test.go
@@ -31,37 +31,37 @@
 	return lease.Worker{ID: fmt.Sprintf("w%d", n), Pool: "p", DataCenter: fmt.Sprintf("dc%d", n%2), Kind: "a", Rack: fmt.Sprintf("r%d", n%3), Resources: lease.Resources{CPU: 60, Memory: 100}}
 }
 
-// newPlanner returns an active Book with n members and k workers that nobody holds yet.
+// newPlanner returns an active Planner with n members and k workers that nobody holds yet.
 func newPlanner(t testing.TB, n, k int) *Planner {
 	t.Helper()
-	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
-	b.Begin(ms(0))
-	b.SetMembers(ms(0), members(n), members(n), true, false)
+	pl := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
+	pl.Begin(ms(0))
+	pl.SetMembers(ms(0), members(n), members(n), true, false)
 	l := WorkerList{Full: true}
 	for i := range k {
 		l.Workers = append(l.Workers, ListedWorker{Worker: testWorker(i)})
 	}
-	b.UpdateWorkers(ms(0), l)
-	if a := b.TakeActions(); len(a) != 0 {
+	pl.UpdateWorkers(ms(0), l)
+	if a := pl.TakeActions(); len(a) != 0 {
 		t.Fatalf("%d actions before the members have reported", len(a))
 	}
-	return b
+	return pl
 }
 
 // newPlannerWithHolders is newPlanner with each worker held by the member to which it was
 // assigned.
 func newPlannerWithHolders(t testing.TB, n, k int) *Planner {
 	t.Helper()
-	b := newPlanner(t, n, k)
-	b.Tick(ms(600))
-	for _, a := range b.TakeActions() {
+	pl := newPlanner(t, n, k)
+	pl.Tick(ms(600))
+	for _, a := range pl.TakeActions() {
 		if a.Assignment != nil {
 			w := a.Assignment.Worker
-			b.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true}}})
+			pl.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true}}})
 		}
 	}
-	b.TakeActions()
-	return b
+	pl.TakeActions()
+	return pl
 }
 
 func newRequest(job string, n int) Request {
@@ -72,9 +72,9 @@
 	return a
 }
 
-func place(b *Planner, at int) (grants []GrantedRun, refusals []Refusal) {
-	b.Place(ms(at))
-	for _, a := range b.TakeActions() {
+func place(pl *Planner, at int) (grants []GrantedRun, refusals []Refusal) {
+	pl.Place(ms(at))
+	for _, a := range pl.TakeActions() {
 		switch {
 		case a.Grant != nil:
 			grants = append(grants, a.Grant.Items...)
@@ -88,11 +88,11 @@
 // Two grants are made before the holder has reported the first. If grants did not count
 // as used, every worker would be granted twice, and half of the starts would be refused.
 func TestGrantsCountAtOnce(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 2)
-	b.Request(ms(700), memberID(1), newRequest("a", 3))
-	first, _ := place(b, 700)
-	b.Request(ms(701), memberID(1), newRequest("b", 3))
-	second, _ := place(b, 701)
+	pl := newPlannerWithHolders(t, 2, 2)
+	pl.Request(ms(700), memberID(1), newRequest("a", 3))
+	first, _ := place(pl, 700)
+	pl.Request(ms(701), memberID(1), newRequest("b", 3))
+	second, _ := place(pl, 701)
 	if len(first) != 3 || len(second) != 1 {
 		t.Errorf("%d and %d grants, want 3 and 1 on two workers with two slots each", len(first), len(second))
 	}
@@ -104,8 +104,8 @@
 			left = append(left, lease.RunState{Run: g.Run, Resources: lease.Resources{CPU: 25}})
 		}
 	}
-	b.Report(ms(702), first[0].Holder, Report{States: []lease.State{{ID: w, Fence: lease.NewFence(9), Open: true, Runs: left, Ended: []lease.Run{first[0].Run}}}})
-	third, _ := place(b, 703)
+	pl.Report(ms(702), first[0].Holder, Report{States: []lease.State{{ID: w, Fence: lease.NewFence(9), Open: true, Runs: left, Ended: []lease.Run{first[0].Run}}}})
+	third, _ := place(pl, 703)
 	if len(third) != 1 || third[0].Worker != w {
 		t.Errorf("grants %+v, want one on %s", third, w)
 	}
@@ -114,17 +114,17 @@
 // A process dies between a grant and its start. The granted resources must become free
 // again.
 func TestGrantIsForgotten(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 1)
-	b.Request(ms(700), memberID(1), newRequest("a", 2))
-	place(b, 700)
+	pl := newPlannerWithHolders(t, 2, 1)
+	pl.Request(ms(700), memberID(1), newRequest("a", 2))
+	place(pl, 700)
 	waiting := newRequest("b", 1)
 	waiting.Objective = time.Second
-	b.Request(ms(710), memberID(1), waiting)
-	if g, _ := place(b, 710); len(g) != 0 {
+	pl.Request(ms(710), memberID(1), waiting)
+	if g, _ := place(pl, 710); len(g) != 0 {
 		t.Fatalf("grants %+v on a full worker", g)
 	}
-	b.Tick(ms(700).Add(grantTimeout))
-	if g, _ := place(b, 700+int(grantTimeout.Milliseconds())); len(g) != 1 {
+	pl.Tick(ms(700).Add(grantTimeout))
+	if g, _ := place(pl, 700+int(grantTimeout.Milliseconds())); len(g) != 1 {
 		t.Errorf("%d grants after the first has expired, want 1", len(g))
 	}
 }
@@ -132,18 +132,18 @@
 // A job that can't meet its objective any more is refused at once, but not if a part of
 // it runs: "not run" would be false.
 func TestHopelessJobs(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 1)
-	b.Request(ms(700), memberID(1), newRequest("a", 2))
-	place(b, 700)
-	b.Request(ms(701), memberID(1), newRequest("b", 1))
+	pl := newPlannerWithHolders(t, 2, 1)
+	pl.Request(ms(700), memberID(1), newRequest("a", 2))
+	place(pl, 700)
+	pl.Request(ms(701), memberID(1), newRequest("b", 1))
 	begun := newRequest("c", 1)
 	begun.Begun = true
-	b.Request(ms(701), memberID(1), begun)
-	if _, r := place(b, 702); len(r) != 0 {
+	pl.Request(ms(701), memberID(1), begun)
+	if _, r := place(pl, 702); len(r) != 0 {
 		t.Fatalf("refusals %+v while the objectives can be met", r)
 	}
-	b.Tick(ms(950))
-	_, r := place(b, 950)
+	pl.Tick(ms(950))
+	_, r := place(pl, 950)
 	if len(r) != 1 || r[0].Job != "b" || r[0].RetryAfter <= 0 {
 		t.Errorf("refusals %+v, want b with a retry delay", r)
 	}
@@ -152,11 +152,11 @@
 // The fastest worker as of the last tick turns out to be slow. A job that the other
 // workers can serve in time must not be refused because of that worker's factor.
 func TestSpeedHasJustChanged(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 2)
-	b.Tick(ms(650))
-	b.Report(ms(660), b.workers["w0"].holder, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 9, Ends: 20}}}})
-	b.Request(ms(661), memberID(1), newRequest("a", 1))
-	grants, refusals := place(b, 661)
+	pl := newPlannerWithHolders(t, 2, 2)
+	pl.Tick(ms(650))
+	pl.Report(ms(660), pl.workers["w0"].holder, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 9, Ends: 20}}}})
+	pl.Request(ms(661), memberID(1), newRequest("a", 1))
+	grants, refusals := place(pl, 661)
 	if len(grants) != 1 || len(refusals) != 0 {
 		t.Errorf("grants %+v, refusals %+v; want one grant and no refusal", grants, refusals)
 	}
@@ -172,18 +172,18 @@
 		{"a kind that all have", func(a *Request) { a.Label = "a" }, 4},
 		{"a rack", func(a *Request) { a.Label = "r1" }, 2},
 		{"a label that none has", func(a *Request) { a.Label = "z" }, 0},
-		{"apart", func(a *Request) { a.MaxPerWorker = 1 }, 2},
+		{"one task per worker", func(a *Request) { a.MaxPerWorker = 1 }, 2},
 		{"another pool", func(a *Request) { a.Pool = "other" }, 0},
 		{"avoid one", func(a *Request) { a.Avoid = []string{"w0"} }, 2},
 		{"more memory than one has", func(a *Request) { a.Resources.Memory = 101 }, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newPlannerWithHolders(t, 2, 2)
+			pl := newPlannerWithHolders(t, 2, 2)
 			a := newRequest("a", 6)
 			tt.change(&a)
-			b.Request(ms(700), memberID(1), a)
-			if g, _ := place(b, 700); len(g) != tt.want {
+			pl.Request(ms(700), memberID(1), a)
+			if g, _ := place(pl, 700); len(g) != tt.want {
 				t.Errorf("%d grants, want %d", len(g), tt.want)
 			}
 		})
@@ -201,23 +201,23 @@
 }
 
 func benchmarkPlace(b *testing.B, n, workers, most int) {
-	book := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
-	book.Begin(ms(0))
-	book.SetMembers(ms(0), members(n), members(n), true, false)
+	pl := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
+	pl.Begin(ms(0))
+	pl.SetMembers(ms(0), members(n), members(n), true, false)
 	l := WorkerList{Full: true}
 	for i := range workers {
 		l.Workers = append(l.Workers, ListedWorker{Worker: testWorker(i)})
 	}
-	book.UpdateWorkers(ms(0), l)
-	book.Tick(ms(600))
-	for _, a := range book.TakeActions() {
+	pl.UpdateWorkers(ms(0), l)
+	pl.Tick(ms(600))
+	for _, a := range pl.TakeActions() {
 		if a.Assignment != nil {
 			w := a.Assignment.Worker
-			book.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true}}})
+			pl.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true}}})
 		}
 	}
-	book.Tick(ms(650))
-	book.TakeActions()
+	pl.Tick(ms(650))
+	pl.TakeActions()
 	var running []GrantedRun
 	now := ms(700)
 	b.ReportAllocs()
@@ -226,9 +226,9 @@
 		now = now.Add(time.Millisecond)
 		a := newRequest(fmt.Sprint(i), 4)
 		a.Timeout, a.Objective = time.Hour, time.Hour
-		book.Request(now, memberID(i%n), a)
-		book.Place(now)
-		for _, a := range book.TakeActions() {
+		pl.Request(now, memberID(i%n), a)
+		pl.Place(now)
+		for _, a := range pl.TakeActions() {
 			if a.Grant != nil {
 				running = append(running, a.Grant.Items...)
 			}
@@ -236,32 +236,32 @@
 		for len(running) > most {
 			g := running[0]
 			running = running[1:]
-			book.Report(now, g.Holder, Report{States: []lease.State{{ID: g.Worker, Fence: lease.NewFence(9), Open: true, Ended: []lease.Run{g.Run}}}})
+			pl.Report(now, g.Holder, Report{States: []lease.State{{ID: g.Worker, Fence: lease.NewFence(9), Open: true, Ended: []lease.Run{g.Run}}}})
 		}
 	}
 }
 
-func reportBadEnds(b *Planner, at int, id string, bad int) {
-	b.Report(ms(at), b.workers[id].holder, Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 1, Ends: 9, BadJobs: bad}}}})
+func reportBadEnds(pl *Planner, at int, id string, bad int) {
+	pl.Report(ms(at), pl.workers[id].holder, Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 1, Ends: 9, BadJobs: bad}}}})
 }
 
 // A worker fails all its tasks at once, so it always looks free and would be given more
 // than any other. After the failures of two jobs it must get only probe tasks until one
 // succeeds.
-func TestSickWorkerIsPutAside(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 4)
-	reportBadEnds(b, 700, "w0", 2)
+func TestFailingWorkerIsEjected(t *testing.T) {
+	pl := newPlannerWithHolders(t, 2, 4)
+	reportBadEnds(pl, 700, "w0", 2)
 	grantsOnW0 := func(at, tasks int) (n int) {
 		a := newRequest(fmt.Sprint("job", at), tasks)
 		a.Objective = 10 * time.Second
-		b.Request(ms(at), memberID(1), a)
-		grants, _ := place(b, at)
+		pl.Request(ms(at), memberID(1), a)
+		grants, _ := place(pl, at)
 		for _, g := range grants {
 			if g.Worker == "w0" {
 				n++
 			}
 		}
-		b.Withdraw(Withdrawal{Job: a.Job})
+		pl.Withdraw(Withdrawal{Job: a.Job})
 		return n
 	}
 	if n := grantsOnW0(710, 9); n != 0 {
@@ -270,11 +270,11 @@
 	if n := grantsOnW0(1250, 9); n != 1 {
 		t.Errorf("%d probe tasks after half a second, want 1", n)
 	}
-	reportBadEnds(b, 1260, "w0", 3)
+	reportBadEnds(pl, 1260, "w0", 3)
 	if n := grantsOnW0(1800, 9); n != 0 {
 		t.Errorf("%d probe tasks before the doubled interval, want 0", n)
 	}
-	reportBadEnds(b, 1810, "w0", 0)
+	reportBadEnds(pl, 1810, "w0", 0)
 	if n := grantsOnW0(1820, 9); n != 2 {
 		t.Errorf("%d tasks after a probe has succeeded, want 2", n)
 	}
@@ -283,12 +283,12 @@
 // All workers fail, so the fault is not theirs. Ejecting them all would refuse jobs that
 // could still be served.
 func TestFewWorkersAreEjected(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 10)
+	pl := newPlannerWithHolders(t, 2, 10)
 	for i := range 10 {
-		reportBadEnds(b, 700, fmt.Sprintf("w%d", i), 5)
+		reportBadEnds(pl, 700, fmt.Sprintf("w%d", i), 5)
 	}
 	ejected := 0
-	for _, w := range b.workers {
+	for _, w := range pl.workers {
 		if w.ejected {
 			ejected++
 		}
@@ -301,24 +301,24 @@
 // Only a slow worker is free, on which a task would be late. The task waits for a fast
 // worker while it could still be in time there; once it is late, it takes any worker.
 func TestTasksWaitForAFasterWorker(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 2)
+	pl := newPlannerWithHolders(t, 2, 2)
 	fast := newRequest("fast", 2)
 	reportSlow := func(at int) {
-		b.Report(ms(at), b.workers["w1"].holder, Report{States: []lease.State{{ID: "w1", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 5, Ends: 20}}}})
+		pl.Report(ms(at), pl.workers["w1"].holder, Report{States: []lease.State{{ID: "w1", Fence: lease.NewFence(9), Open: true, Speed: lease.Speed{Factor: 5, Ends: 20}}}})
 	}
 	reportSlow(700)
-	b.Request(ms(700), memberID(1), fast)
-	if g, _ := place(b, 700); len(g) != 2 || g[0].Worker != "w0" {
+	pl.Request(ms(700), memberID(1), fast)
+	if g, _ := place(pl, 700); len(g) != 2 || g[0].Worker != "w0" {
 		t.Fatalf("grants %+v, want two on the fast worker", g)
 	}
-	b.Request(ms(710), memberID(1), newRequest("a", 1))
-	if g, r := place(b, 710); len(g) != 0 || len(r) != 0 {
+	pl.Request(ms(710), memberID(1), newRequest("a", 1))
+	if g, r := place(pl, 710); len(g) != 0 || len(r) != 0 {
 		t.Errorf("grants %+v, refusals %+v; want the task to stay pending", g, r)
 	}
 	begun := newRequest("late", 1)
 	begun.Begun, begun.Objective = true, 20*time.Millisecond
-	b.Request(ms(720), memberID(1), begun)
-	if g, _ := place(b, 720); len(g) != 1 || g[0].Worker != "w1" {
+	pl.Request(ms(720), memberID(1), begun)
+	if g, _ := place(pl, 720); len(g) != 1 || g[0].Worker != "w1" {
 		t.Errorf("grants %+v, want the late task on the slow worker", g)
 	}
 }
@@ -329,34 +329,34 @@
 // if it can't.
 func TestTasksGoToTheirData(t *testing.T) {
 	tests := []struct {
-		name  string
-		aim   time.Duration
-		tasks int
+		name      string
+		objective time.Duration
+		tasks     int
 		// near is how many tasks are placed on the rack, far how many on other racks.
 		near, far int
 	}{
-		{"room on the rack", 300 * time.Millisecond, 2, 2, 0},
+		{"resources free on the rack", 300 * time.Millisecond, 2, 2, 0},
 		{"rack full, time enough", 300 * time.Millisecond, 4, 2, 2},
 		{"rack full, too late elsewhere", 180 * time.Millisecond, 4, 2, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newPlannerWithHolders(t, 2, 3)
-			for _, w := range b.workers {
+			pl := newPlannerWithHolders(t, 2, 3)
+			for _, w := range pl.workers {
 				w.speed = lease.Speed{Factor: 1, Ends: 9}
 				if w.Rack == "r1" {
 					w.speed.Factor = 1.5
 				}
 			}
-			b.sortBySpeed()
+			pl.sortBySpeed()
 			a := newRequest("a", tt.tasks)
-			a.Rack, a.Objective = "r1", tt.aim
-			b.Request(ms(700), memberID(1), a)
-			grants, _ := place(b, 700)
+			a.Rack, a.Objective = "r1", tt.objective
+			pl.Request(ms(700), memberID(1), a)
+			grants, _ := place(pl, 700)
 			near, far := 0, 0
 			for _, g := range grants {
 				switch {
-				case b.workers[g.Worker].Rack == "r1" && g.Estimate == 0:
+				case pl.workers[g.Worker].Rack == "r1" && g.Estimate == 0:
 					near++
 				case g.Estimate == 200*time.Millisecond:
 					far++
--- a/cell/duty.go
+++ b/cell/duty.go
@@ -40,19 +40,19 @@
 
 // assign gives each worker without a holder to a member, repeats unconfirmed assignments,
 // and asks leaving members to release their workers.
-func (b *Planner) assign(now time.Time) {
-	if !b.mayAssign(now) {
+func (pl *Planner) assign(now time.Time) {
+	if !pl.mayAssign(now) {
 		return
 	}
-	load := b.memberLoads()
-	for _, w := range b.sortedWorkers() {
+	load := pl.memberLoads()
+	for _, w := range pl.sortedWorkers() {
 		switch {
 		case w.holder == (mesh.ID{}):
-			b.assignWorker(now, w, load)
+			pl.assignWorker(now, w, load)
 		case !w.confirmed && now.Sub(w.assignedAt) > assignmentRepeatInterval:
-			b.assignWorker(now, w, load)
-		case b.members[w.holder].Leaving:
-			b.sendRelease(now, w)
+			pl.assignWorker(now, w, load)
+		case pl.members[w.holder].Leaving:
+			pl.sendRelease(now, w)
 		}
 	}
 }
@@ -61,13 +61,13 @@
 // and has the members' reports or has waited long enough for them. A planner that is cut
 // off, or whose other members have just started, would take the workers of those that it
 // can't reach.
-func (b *Planner) mayAssign(now time.Time) bool {
-	return b.mayReassign && (now.Sub(b.startedAt) >= reportGracePeriod || b.allReachable && b.allReported())
+func (pl *Planner) mayAssign(now time.Time) bool {
+	return pl.mayReassign && (now.Sub(pl.startedAt) >= reportGracePeriod || pl.allReachable && pl.allReported())
 }
 
 // allReported reports whether all members have sent a full report.
-func (b *Planner) allReported() bool {
-	for _, m := range b.members {
+func (pl *Planner) allReported() bool {
+	for _, m := range pl.members {
 		if !m.reported {
 			return false
 		}
@@ -77,16 +77,16 @@
 
 // sortedWorkers returns the workers in the order of their IDs. The result is cached until
 // a worker is added or removed, since it is used many times a second.
-func (b *Planner) sortedWorkers() []*worker {
-	if b.byID != nil {
-		return b.byID
+func (pl *Planner) sortedWorkers() []*worker {
+	if pl.byID != nil {
+		return pl.byID
 	}
-	b.byID = make([]*worker, 0, len(b.workers))
-	for _, w := range b.workers {
-		b.byID = append(b.byID, w)
+	pl.byID = make([]*worker, 0, len(pl.workers))
+	for _, w := range pl.workers {
+		pl.byID = append(pl.byID, w)
 	}
-	slices.SortFunc(b.byID, func(x, y *worker) int { return cmp.Compare(x.ID, y.ID) })
-	return b.byID
+	slices.SortFunc(pl.byID, func(x, y *worker) int { return cmp.Compare(x.ID, y.ID) })
+	return pl.byID
 }
 
 const (
@@ -121,31 +121,31 @@
 }
 
 // assignWorker chooses the holder of a worker, updates load, and sends the assignment.
-func (b *Planner) assignWorker(now time.Time, w *worker, load map[mesh.ID]float64) {
+func (pl *Planner) assignWorker(now time.Time, w *worker, load map[mesh.ID]float64) {
 	if !w.listed || w.draining && len(w.runs) == 0 || now.Sub(w.releasedAt) < w.assignBackoff() {
 		return
 	}
-	m := b.chooseHolder(now, w, load)
+	m := pl.chooseHolder(now, w, load)
 	if m == nil {
 		return
 	}
 	load[w.holder]--
 	load[m.ID]++
 	w.holder, w.heldSince, w.confirmed = m.ID, now, false
-	b.sendAssignment(now, w)
+	pl.sendAssignment(now, w)
 }
 
-func (b *Planner) sendAssignment(now time.Time, w *worker) {
+func (pl *Planner) sendAssignment(now time.Time, w *worker) {
 	w.assignedAt = now
-	event.WorkerAssigned.Log(b.log, "worker", w.ID, "member", w.holder, "former", w.formerHolder, "floor", w.fence)
-	b.emit(Action{To: w.holder, Assignment: &Assignment{Worker: w.Worker, MinFence: w.fence, Speed: w.speed}})
+	event.WorkerAssigned.Log(pl.log, "worker", w.ID, "member", w.holder, "former", w.formerHolder, "floor", w.fence)
+	pl.emit(Action{To: w.holder, Assignment: &Assignment{Worker: w.Worker, MinFence: w.fence, Speed: w.speed}})
 }
 
 // chooseHolder returns the member with the least load for its size in the worker's data
 // centre, or in any if that one has no member. Within moveCooldown of its release, the
 // worker's former holder comes last, even after members of other data centres. It returns
 // nil if no member can hold workers.
-func (b *Planner) chooseHolder(now time.Time, w *worker, load map[mesh.ID]float64) *member {
+func (pl *Planner) chooseHolder(now time.Time, w *worker, load map[mesh.ID]float64) *member {
 	var best *member
 	rank := func(m *member) (otherDataCenter bool, wasHolder bool, relativeLoad float64) {
 		return m.DataCenter != w.DataCenter, m.ID == w.formerHolder && now.Sub(w.releasedAt) < moveCooldown, (load[m.ID] + 1) / max(m.Cores, 0.01)
@@ -163,7 +163,7 @@
 		}
 		return score(m.ID, w.ID) > score(o.ID, w.ID)
 	}
-	for _, m := range b.members {
+	for _, m := range pl.members {
 		if m.Leaving || m.Number == 0 {
 			continue
 		}
@@ -179,12 +179,12 @@
 
 // memberLoads returns the load of each member: the workers that it holds, plus the cost
 // of planning.
-func (b *Planner) memberLoads() map[mesh.ID]float64 {
-	load := make(map[mesh.ID]float64, len(b.members))
-	for _, w := range b.workers {
+func (pl *Planner) memberLoads() map[mesh.ID]float64 {
+	load := make(map[mesh.ID]float64, len(pl.members))
+	for _, w := range pl.workers {
 		load[w.holder]++
 	}
-	load[b.self] += planningLoadPerWorker * float64(len(b.workers))
+	load[pl.self] += planningLoadPerWorker * float64(len(pl.workers))
 	return load
 }
 
@@ -196,27 +196,27 @@
 
 // sendRelease asks the holder to release the worker. The worker is assigned to another
 // member once the holder reports that it has released it.
-func (b *Planner) sendRelease(now time.Time, w *worker) {
+func (pl *Planner) sendRelease(now time.Time, w *worker) {
 	if now.Sub(w.releaseSentAt) < assignmentRepeatInterval {
 		return
 	}
 	w.releaseSentAt = now
-	event.WorkerReleaseRequested.Log(b.log, "worker", w.ID, "member", w.holder)
-	b.emit(Action{To: w.holder, Release: &Release{Worker: w.ID}})
+	event.WorkerReleaseRequested.Log(pl.log, "worker", w.ID, "member", w.holder)
+	pl.emit(Action{To: w.holder, Release: &Release{Worker: w.ID}})
 }
 
 // balance has at most one worker released, to move it to another member: away from one
 // with more load, for instance when a member has just joined, back to the worker's data
 // centre, or away from a holder that can't reach it.
-func (b *Planner) balance(now time.Time) {
-	if !b.mayAssign(now) {
+func (pl *Planner) balance(now time.Time) {
+	if !pl.mayAssign(now) {
 		return
 	}
-	load := b.memberLoads()
-	gap := minLoadGap / b.meanShare()
-	least := b.leastLoad(load)
-	for _, w := range b.sortedWorkers() {
-		from := b.members[w.holder]
+	load := pl.memberLoads()
+	gap := minLoadGap / pl.meanShare()
+	least := pl.leastLoad(load)
+	for _, w := range pl.sortedWorkers() {
+		from := pl.members[w.holder]
 		if from == nil || from.Leaving || now.Sub(w.heldSince) < moveCooldown || !w.releaseSentAt.IsZero() {
 			continue
 		}
@@ -227,14 +227,14 @@
 		if !holderCannotReach && !otherDataCenter && load[from.ID]/from.Cores-least[from.DataCenter] < gap {
 			continue
 		}
-		m := b.chooseHolder(now, w, load)
+		m := pl.chooseHolder(now, w, load)
 		if m == nil || m.ID == w.holder || m.DataCenter != w.DataCenter && !otherDataCenter {
 			continue
 		}
 		evensLoad := load[from.ID]/from.Cores-load[m.ID]/m.Cores >= gap
 		returnsHome := m.DataCenter == w.DataCenter && otherDataCenter
 		if evensLoad || returnsHome || holderCannotReach && m.DataCenter == from.DataCenter {
-			b.sendRelease(now, w)
+			pl.sendRelease(now, w)
 			return
 		}
 	}
@@ -242,9 +242,9 @@
 
 // leastLoad returns, for each data centre, the lowest load of any member relative to its
 // size: a worker does not leave its data centre for balance.
-func (b *Planner) leastLoad(load map[mesh.ID]float64) map[string]float64 {
+func (pl *Planner) leastLoad(load map[mesh.ID]float64) map[string]float64 {
 	least := make(map[string]float64)
-	for id, m := range b.members {
+	for id, m := range pl.members {
 		l := load[id] / max(m.Cores, 0.01)
 		if have, ok := least[m.DataCenter]; !ok || l < have {
 			least[m.DataCenter] = l
@@ -253,37 +253,37 @@
 	return least
 }
 
-func (b *Planner) meanShare() float64 {
+func (pl *Planner) meanShare() float64 {
 	sum := 0.0
-	for _, m := range b.members {
+	for _, m := range pl.members {
 		sum += m.Cores
 	}
-	return max(sum/float64(max(len(b.members), 1)), 0.01)
+	return max(sum/float64(max(len(pl.members), 1)), 0.01)
 }
 
 // forgetUnlisted removes workers that are neither listed nor held, and has unlisted
 // workers released that have not answered for unlistedTimeout.
-func (b *Planner) forgetUnlisted(now time.Time) {
-	for _, w := range b.sortedWorkers() {
+func (pl *Planner) forgetUnlisted(now time.Time) {
+	for _, w := range pl.sortedWorkers() {
 		if w.listed {
 			continue
 		}
 		if w.holder == (mesh.ID{}) {
-			delete(b.workers, w.ID)
-			b.byID = nil
-			event.WorkerForgotten.Log(b.log, "worker", w.ID)
+			delete(pl.workers, w.ID)
+			pl.byID = nil
+			event.WorkerForgotten.Log(pl.log, "worker", w.ID)
 			continue
 		}
 		if w.failures > 0 && now.Sub(w.failingSince) > unlistedTimeout {
-			b.sendRelease(now, w)
+			pl.sendRelease(now, w)
 		}
 	}
 }
 
 // Holder returns the holder of a worker and its fence, or zero values if the worker is
 // unknown.
-func (b *Planner) Holder(id string) (mesh.ID, lease.Fence) {
-	if w := b.workers[id]; w != nil {
+func (pl *Planner) Holder(id string) (mesh.ID, lease.Fence) {
+	if w := pl.workers[id]; w != nil {
 		return w.holder, w.fence
 	}
 	return mesh.ID{}, 0
--- a/cell/duty_test.go
+++ b/cell/duty_test.go
@@ -8,9 +8,9 @@
 	"snipehub.example/mesh"
 )
 
-func takeAssignments(b *Planner) map[string]mesh.ID {
+func takeAssignments(pl *Planner) map[string]mesh.ID {
 	out := make(map[string]mesh.ID)
-	for _, a := range b.TakeActions() {
+	for _, a := range pl.TakeActions() {
 		if a.Assignment != nil {
 			out[a.Assignment.Worker.ID] = a.To
 		}
@@ -21,14 +21,14 @@
 // A planner has just begun. Workers are assigned evenly to the members of their data
 // centre.
 func TestAssignmentsAreSpread(t *testing.T) {
-	b := newPlanner(t, 4, 12)
-	b.Tick(ms(600))
-	got := takeAssignments(b)
+	pl := newPlanner(t, 4, 12)
+	pl.Tick(ms(600))
+	got := takeAssignments(pl)
 	count := make(map[mesh.ID]int)
 	for id, m := range got {
 		count[m]++
-		if w := b.workers[id]; w.DataCenter != b.members[m].DataCenter {
-			t.Errorf("%s of %s is held in %s", id, w.DataCenter, b.members[m].DataCenter)
+		if w := pl.workers[id]; w.DataCenter != pl.members[m].DataCenter {
+			t.Errorf("%s of %s is held in %s", id, w.DataCenter, pl.members[m].DataCenter)
 		}
 	}
 	for _, m := range members(4) {
@@ -42,15 +42,15 @@
 // the workers of members that it can't reach: they would take them back, and so on in
 // turns.
 func TestCutOffPlannerTakesNothing(t *testing.T) {
-	b := newPlannerWithHolders(t, 4, 8)
-	b.SetMembers(ms(1000), members(1), members(1), false, false)
-	b.Tick(ms(3000))
-	if got := takeAssignments(b); len(got) != 0 {
+	pl := newPlannerWithHolders(t, 4, 8)
+	pl.SetMembers(ms(1000), members(1), members(1), false, false)
+	pl.Tick(ms(3000))
+	if got := takeAssignments(pl); len(got) != 0 {
 		t.Errorf("assignments %v, want none", got)
 	}
-	b.SetMembers(ms(3100), members(1), members(1), true, false)
-	b.Tick(ms(3200))
-	if got := takeAssignments(b); len(got) != 6 {
+	pl.SetMembers(ms(3100), members(1), members(1), true, false)
+	pl.Tick(ms(3200))
+	if got := takeAssignments(pl); len(got) != 6 {
 		t.Errorf("%d assignments once the others are known to be gone, want their 6 workers", len(got))
 	}
 }
@@ -58,15 +58,15 @@
 // All processes have restarted. Once each has reported, the workers must be assigned
 // without further delay, since no caller is served before.
 func TestAllReportedEndsGracePeriod(t *testing.T) {
-	b := newPlanner(t, 3, 6)
-	b.SetMembers(ms(1), members(3), members(3), true, true)
+	pl := newPlanner(t, 3, 6)
+	pl.SetMembers(ms(1), members(3), members(3), true, true)
 	for i := range 3 {
-		if got := takeAssignments(b); len(got) != 0 {
+		if got := takeAssignments(pl); len(got) != 0 {
 			t.Fatalf("assignments %v before all have reported", got)
 		}
-		b.Report(ms(2), memberID(i), Report{Full: true})
+		pl.Report(ms(2), memberID(i), Report{Full: true})
 	}
-	if got := takeAssignments(b); len(got) != 6 {
+	if got := takeAssignments(pl); len(got) != 6 {
 		t.Errorf("%d assignments when all have reported, want 6", len(got))
 	}
 }
@@ -74,12 +74,12 @@
 // A leaving member is asked to release its workers. They are assigned to other members
 // once it has released them, and not back to it.
 func TestLeavingMember(t *testing.T) {
-	b := newPlannerWithHolders(t, 4, 4)
+	pl := newPlannerWithHolders(t, 4, 4)
 	all := members(4)
 	all[2].Leaving = true
-	b.SetMembers(ms(1000), all, all, true, false)
+	pl.SetMembers(ms(1000), all, all, true, false)
 	var releasing []string
-	for _, a := range b.TakeActions() {
+	for _, a := range pl.TakeActions() {
 		if a.Release != nil {
 			if a.To != memberID(2) {
 				t.Errorf("%v is asked to release a worker, want only the leaving member", a.To)
@@ -91,8 +91,8 @@
 		t.Fatal("the leaving member is not asked to release its workers")
 	}
 	for _, id := range releasing {
-		b.Report(ms(1010), memberID(2), Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Released: true}}})
-		if got := takeAssignments(b); got[id] == memberID(2) || got[id] == (mesh.ID{}) {
+		pl.Report(ms(1010), memberID(2), Report{States: []lease.State{{ID: id, Fence: lease.NewFence(9), Released: true}}})
+		if got := takeAssignments(pl); got[id] == memberID(2) || got[id] == (mesh.ID{}) {
 			t.Errorf("%s is assigned to %v, want another member", id, got[id])
 		}
 	}
@@ -102,13 +102,13 @@
 // platform's list. Tasks that it started on a draining worker would be killed with the
 // worker.
 func TestDrainingIsKnownFromTheHolder(t *testing.T) {
-	b := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
-	b.Begin(ms(0))
-	b.SetMembers(ms(0), members(2), members(2), true, false)
+	pl := New(slog.New(slog.DiscardHandler), memberID(0), Policy{})
+	pl.Begin(ms(0))
+	pl.SetMembers(ms(0), members(2), members(2), true, false)
 	w := testWorker(0)
-	b.Report(ms(1), memberID(1), Report{Full: true, States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true, Draining: true}}})
-	b.Request(ms(2), memberID(1), newRequest("j", 1))
-	if grants, _ := place(b, 2); len(grants) != 0 {
+	pl.Report(ms(1), memberID(1), Report{Full: true, States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true, Draining: true}}})
+	pl.Request(ms(2), memberID(1), newRequest("j", 1))
+	if grants, _ := place(pl, 2); len(grants) != 0 {
 		t.Errorf("grants %+v on a draining worker", grants)
 	}
 }
@@ -116,10 +116,10 @@
 // The platform's list says that a worker drains: its holder must be told, and told again
 // if it reports the worker as not draining.
 func TestHolderIsToldOfDraining(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 1)
-	b.UpdateWorkers(ms(700), WorkerList{Workers: []ListedWorker{{Worker: testWorker(0), Draining: true}}})
+	pl := newPlannerWithHolders(t, 2, 1)
+	pl.UpdateWorkers(ms(700), WorkerList{Workers: []ListedWorker{{Worker: testWorker(0), Draining: true}}})
 	told := func() (n int) {
-		for _, a := range b.TakeActions() {
+		for _, a := range pl.TakeActions() {
 			if a.Drain != nil {
 				n++
 			}
@@ -129,7 +129,7 @@
 	if told() != 1 {
 		t.Error("the holder is not told of the drain")
 	}
-	b.Report(ms(710), memberID(0), Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true}}})
+	pl.Report(ms(710), memberID(0), Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true}}})
 	if told() != 1 {
 		t.Error("the holder is not told of the drain again")
 	}
@@ -138,49 +138,49 @@
 // A worker that its holder can't reach takes no tasks. It must be moved to another member
 // of its data centre, which may have a path to it.
 func TestUnreachableWorker(t *testing.T) {
-	b := newPlannerWithHolders(t, 4, 1)
+	pl := newPlannerWithHolders(t, 4, 1)
 	w := testWorker(0)
-	h := b.workers["w0"].holder
+	h := pl.workers["w0"].holder
 	bad := Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Failures: 3}}}
 	for at := 4700; at < 6500; at += 100 {
-		b.Report(ms(at), h, bad)
-		b.Tick(ms(at))
+		pl.Report(ms(at), h, bad)
+		pl.Tick(ms(at))
 	}
 	releasing := false
-	for _, a := range b.TakeActions() {
+	for _, a := range pl.TakeActions() {
 		releasing = releasing || a.Release != nil && a.To == h
 	}
 	if !releasing {
 		t.Fatal("the holder is not asked to release the worker")
 	}
-	b.Report(ms(6500), h, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Released: true}}})
-	if got := takeAssignments(b); got["w0"] == h || got["w0"] == (mesh.ID{}) {
+	pl.Report(ms(6500), h, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Released: true}}})
+	if got := takeAssignments(pl); got["w0"] == h || got["w0"] == (mesh.ID{}) {
 		t.Errorf("the worker is assigned to %v, want another member", got["w0"])
 	}
 }
 
 // The report of a former holder arrives late. It must not change the holder.
 func TestReportOfAFormerHolder(t *testing.T) {
-	b := newPlannerWithHolders(t, 4, 1)
-	h := b.workers["w0"].holder
+	pl := newPlannerWithHolders(t, 4, 1)
+	h := pl.workers["w0"].holder
 	from := memberID(2)
 	if h == from {
 		from = memberID(0)
 	}
-	b.Report(ms(700), from, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(5), Open: true}}})
-	if got := b.workers["w0"].holder; got != h {
+	pl.Report(ms(700), from, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(5), Open: true}}})
+	if got := pl.workers["w0"].holder; got != h {
 		t.Errorf("holder is %v, want %v", got, h)
 	}
 }
 
 // A worker changes its holder. What was learned of its speed must be sent to the new one.
 func TestAssignmentCarriesSpeed(t *testing.T) {
-	b := newPlannerWithHolders(t, 4, 1)
-	h := b.workers["w0"].holder
+	pl := newPlannerWithHolders(t, 4, 1)
+	h := pl.workers["w0"].holder
 	slow := lease.Speed{Factor: 3, Ends: 40}
-	b.Report(ms(700), h, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true, Speed: slow}}})
-	b.Report(ms(710), h, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Released: true}}})
-	for _, a := range b.TakeActions() {
+	pl.Report(ms(700), h, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Open: true, Speed: slow}}})
+	pl.Report(ms(710), h, Report{States: []lease.State{{ID: "w0", Fence: lease.NewFence(9), Released: true}}})
+	for _, a := range pl.TakeActions() {
 		if a.Assignment != nil && a.Assignment.Speed.Factor == slow.Factor {
 			return
 		}
@@ -193,19 +193,19 @@
 // assigned to two members in turns, 450 times in a second, which took a good part of the
 // planner's processor time.
 func TestWorkerThatNobodyCanHold(t *testing.T) {
-	b := newPlannerWithHolders(t, 2, 1)
+	pl := newPlannerWithHolders(t, 2, 1)
 	w := testWorker(0)
 	assigned := 0
-	holder := b.workers["w0"].holder
+	holder := pl.workers["w0"].holder
 	for at := 5000; at < 7000; at += 2 {
 		if holder != (mesh.ID{}) {
-			b.Report(ms(at), holder, Report{States: []lease.State{{ID: w.ID, Fence: b.workers["w0"].fence + 1, Released: true}}})
+			pl.Report(ms(at), holder, Report{States: []lease.State{{ID: w.ID, Fence: pl.workers["w0"].fence + 1, Released: true}}})
 			holder = mesh.ID{}
 		}
 		if at%50 == 0 {
-			b.Tick(ms(at))
+			pl.Tick(ms(at))
 		}
-		for _, a := range b.TakeActions() {
+		for _, a := range pl.TakeActions() {
 			if a.Assignment != nil {
 				assigned++
 				holder = a.To
--- a/cell/gather.go
+++ b/cell/gather.go
@@ -59,15 +59,15 @@
 func (h *holderSelector) full() bool { return len(h.candidates) == maxNearCandidates+maxFarCandidates }
 
 // holderSelector returns the selector for one step's tasks.
-func (b *Planner) holderSelector(p *pendingRequest) *holderSelector {
+func (pl *Planner) holderSelector(p *pendingRequest) *holderSelector {
 	h := &holderSelector{
-		gather:      b.policy.FewHolders.on(),
-		owner:       b.members[p.owner],
-		membersByID: b.members,
+		gather:      pl.policy.FewHolders.on(),
+		owner:       pl.members[p.owner],
+		membersByID: pl.members,
 		tasks:       make(map[*member]int),
 		capacity:    make(map[*member]int),
 	}
-	h.dc = b.callers[p.owner]
+	h.dc = pl.callers[p.owner]
 	return h
 }
 
--- a/cell/gather_test.go
+++ b/cell/gather_test.go
@@ -17,19 +17,19 @@
 		gather  Choice
 		holders int
 	}{{On, 4}, {Off, 8}} {
-		b := newPlanner(t, 12, 48)
-		b.policy.FewHolders = c.gather
-		b.Tick(ms(600))
-		for _, a := range b.TakeActions() {
+		pl := newPlanner(t, 12, 48)
+		pl.policy.FewHolders = c.gather
+		pl.Tick(ms(600))
+		for _, a := range pl.TakeActions() {
 			if a.Assignment != nil {
 				w := a.Assignment.Worker
-				b.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true}}})
+				pl.Report(ms(610), a.To, Report{States: []lease.State{{ID: w.ID, Worker: &w, Fence: lease.NewFence(9), Open: true}}})
 			}
 		}
 		a := newRequest("a", 8)
 		a.Resources = lease.Resources{CPU: 60}
-		b.Request(ms(700), memberID(3), a)
-		grants, _ := place(b, 700)
+		pl.Request(ms(700), memberID(3), a)
+		grants, _ := place(pl, 700)
 		on := make(map[mesh.ID]int)
 		for _, g := range grants {
 			on[g.Holder]++
@@ -56,19 +56,19 @@
 		r := lease.Run{Task: lease.Task(fmt.Sprintf("old.0.0.%d", i)), Number: 1}
 		h.Start(now(595), memberID(1), lease.Order{Claim: lease.Claim{Run: r, Resources: lease.Resources{CPU: 30}}, Text: lease.NewText(r.Job(), "")})
 	}
-	b := newPlanner(t, 1, 1)
-	b.Report(ms(601), memberID(0), Report{States: []lease.State{{ID: "w0", Fence: h.Fence(), Open: true}}})
+	pl := newPlanner(t, 1, 1)
+	pl.Report(ms(601), memberID(0), Report{States: []lease.State{{ID: "w0", Fence: h.Fence(), Open: true}}})
 	granted := 0
 	for at := 602; at < 640; at += 2 {
 		a := newRequest(fmt.Sprint("job", at), 1)
-		b.Request(ms(at), memberID(0), a)
-		grants, _ := place(b, at)
+		pl.Request(ms(at), memberID(0), a)
+		grants, _ := place(pl, at)
 		for _, g := range grants {
 			granted++
 			h.Start(now(at), memberID(0), lease.Order{Claim: lease.Claim{Run: g.Run, Resources: a.Resources}, Text: lease.NewText(g.Job(), "")})
 		}
 		if s, ok := h.Changed(now(at)); ok {
-			b.Report(ms(at+1), memberID(0), Report{States: []lease.State{s}})
+			pl.Report(ms(at+1), memberID(0), Report{States: []lease.State{s}})
 		}
 	}
 	if granted != 1 {
--- a/cell/health.go
+++ b/cell/health.go
@@ -11,34 +11,34 @@
 // worker whose tasks fail, are refused or make no progress. One whose tasks end at once
 // always looks free, and would be given more than any other. An ejected worker gets one
 // probe task at a time.
-func (b *Planner) updateHealth(now time.Time, w *worker, s lease.Speed) {
+func (pl *Planner) updateHealth(now time.Time, w *worker, s lease.Speed) {
 	previous := w.speed
 	w.speed = s
 	switch {
 	case w.ejected && s.BadJobs == 0:
 		w.ejected = false
-		event.WorkerReadmitted.Log(b.log, "worker", w.ID)
+		event.WorkerReadmitted.Log(pl.log, "worker", w.ID)
 	case w.ejected && s.BadJobs > previous.BadJobs:
-		w.probeInterval = min(2*w.probeInterval, b.policy.MaxProbeInterval)
+		w.probeInterval = min(2*w.probeInterval, pl.policy.MaxProbeInterval)
 		w.nextProbe = now.Add(w.probeInterval)
-	case !w.ejected && b.policy.EjectAfter > 0 && s.BadJobs >= b.policy.EjectAfter && b.mayEject():
+	case !w.ejected && pl.policy.EjectAfter > 0 && s.BadJobs >= pl.policy.EjectAfter && pl.mayEject():
 		w.ejected = true
-		w.probeInterval = b.policy.ProbeInterval
+		w.probeInterval = pl.policy.ProbeInterval
 		w.nextProbe = now.Add(w.probeInterval)
-		event.WorkerEjected.Log(b.log, "worker", w.ID, "bad", s.BadJobs, "factor", s.Factor)
+		event.WorkerEjected.Log(pl.log, "worker", w.ID, "bad", s.BadJobs, "factor", s.Factor)
 	}
 }
 
 // mayEject reports whether one more worker may be ejected. If most workers fail, they
 // likely share the cause, and using them is better than using none.
-func (b *Planner) mayEject() bool {
+func (pl *Planner) mayEject() bool {
 	n := 0
-	for _, w := range b.workers {
+	for _, w := range pl.workers {
 		if w.ejected {
 			n++
 		}
 	}
-	return float64(n+1) <= b.policy.MaxEjectedShare*float64(len(b.workers))
+	return float64(n+1) <= pl.policy.MaxEjectedShare*float64(len(pl.workers))
 }
 
 // probeDue reports whether an ejected worker may get a probe task now.
--- a/cell/load_test.go
+++ b/cell/load_test.go
@@ -15,30 +15,30 @@
 // a second after a burst while a quarter of the workers is slow.
 func crowded(tb testing.TB, seed uint64, n int) *Planner {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	b := crowdedWorkers(tb, rnd)
+	pl := crowdedWorkers(tb, rnd)
 	for i := range n {
 		a := newRequest(fmt.Sprintf("j%04d", i), 4)
 		a.Rank = rnd.IntN(3)
 		a.Estimate = time.Duration(60+rnd.IntN(900)) * time.Millisecond
 		a.Objective = a.Estimate*16/10 + time.Duration(60+rnd.IntN(2000))*time.Millisecond
-		b.Request(ms(700), memberID(1), a)
+		pl.Request(ms(700), memberID(1), a)
 	}
-	return b
+	return pl
 }
 
 func crowdedWorkers(tb testing.TB, rnd *rand.Rand) *Planner {
 	tb.Helper()
-	b := newPlannerWithHolders(tb, 4, 350)
-	for i, w := range b.sortedWorkers() {
+	pl := newPlannerWithHolders(tb, 4, 350)
+	for i, w := range pl.sortedWorkers() {
 		w.speed = lease.Speed{Factor: []float64{0.6, 1, 1.7}[i%3] * (0.99 + 0.02*rnd.Float64()), Ends: 9}
 		for k := range 2 {
 			r := lease.Run{Task: lease.Task(fmt.Sprintf("running%d.0.0.%d", i, k)), Number: 1}
 			w.addRun(r, activeRun{resources: lease.Resources{CPU: 25}, startedAt: ms(600), estimate: time.Duration(50+rnd.IntN(900)) * time.Millisecond})
 		}
 	}
-	b.sortBySpeed()
-	b.TakeActions()
-	return b
+	pl.sortBySpeed()
+	pl.TakeActions()
+	return pl
 }
 
 // Many more tasks are requested than can be served. The planner compared each pending
@@ -47,8 +47,8 @@
 // workers the jobs that were served made up only an eighth of the value of all, until
 // seconds after the burst. A task must be compared with a few groups of slots only.
 func TestLookAheadUsesFewSlotGroups(t *testing.T) {
-	b := crowded(t, 1, 400)
-	groups := b.slots(ms(700), b.requestQueue.pending)
+	pl := crowded(t, 1, 400)
+	groups := pl.slots(ms(700), pl.requestQueue.pending)
 	slotCount := 0
 	for _, g := range groups {
 		slotCount += len(g.freeAt)
@@ -62,30 +62,30 @@
 // compares all slots.
 func TestLookAheadMatchesPlainSearch(t *testing.T) {
 	for seed := range uint64(5) {
-		b := crowded(t, seed, 200)
-		for _, w := range b.workers {
+		pl := crowded(t, seed, 200)
+		for _, w := range pl.workers {
 			w.speed.Factor = []float64{0.6, 1, 1.7}[w.Resources.CPU%3]
 		}
-		queue := slices.Clone(b.requestQueue.pending)
-		want := plainLookAhead(b, queue)
-		groups := b.slots(ms(700), queue)
+		queue := slices.Clone(pl.requestQueue.pending)
+		want := plainLookAhead(pl, queue)
+		groups := pl.slots(ms(700), queue)
 		for i, w := range queue {
-			if got := b.scheduleInTime(w, groups); got != want[i] {
+			if got := pl.scheduleInTime(w, groups); got != want[i] {
 				t.Errorf("seed %d: job %s fits %v, want %v", seed, w.job, got, want[i])
 			}
 		}
 	}
 }
 
-func plainLookAhead(b *Planner, queue []*pendingRequest) (fits []bool) {
+func plainLookAhead(pl *Planner, queue []*pendingRequest) (fits []bool) {
 	type slot struct {
 		free   time.Time
 		factor float64
 	}
 	var slots []slot
-	for _, w := range b.bySpeed {
+	for _, w := range pl.bySpeed {
 		for _, active := range w.runs {
-			slots = append(slots, slot{active.end(ms(700), b.factor(w)), b.factor(w)})
+			slots = append(slots, slot{active.end(ms(700), pl.factor(w)), pl.factor(w)})
 		}
 	}
 	for _, w := range queue {
@@ -141,16 +141,16 @@
 func BenchmarkCrowded(b *testing.B) {
 	for _, n := range []int{10, 100, 400, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book := crowded(b, 1, n)
-			book.policy.Margin = 1000
+			pl := crowded(b, 1, n)
+			pl.policy.Margin = 1000
 			at := 700
 			for b.Loop() {
 				at += 10
-				book.needsPlanning = true
-				for _, p := range book.pending {
+				pl.needsPlanning = true
+				for _, p := range pl.pending {
 					p.objective = ms(at + 5000)
 				}
-				book.Place(ms(at))
+				pl.Place(ms(at))
 			}
 		})
 	}
@@ -158,11 +158,11 @@
 
 // BenchmarkIdleTick measures a tick with nothing to do.
 func BenchmarkIdleTick(b *testing.B) {
-	book := crowded(b, 1, 0)
+	pl := crowded(b, 1, 0)
 	at := 6000
 	for b.Loop() {
 		at += 50
-		book.Tick(ms(at))
+		pl.Tick(ms(at))
 	}
 }
 
@@ -170,21 +170,21 @@
 // takes twice as long: a job that would be late there must be refused at once instead of
 // waiting for the rack.
 func TestLookAheadKnowsRacks(t *testing.T) {
-	b := crowded(t, 1, 0)
+	pl := crowded(t, 1, 0)
 	for i := range 300 {
 		a := newRequest(fmt.Sprintf("r%04d", i), 2)
 		a.Rack, a.Estimate, a.Objective = "r1", 500*time.Millisecond, 1000*time.Millisecond
-		b.Request(ms(700), memberID(1), a)
+		pl.Request(ms(700), memberID(1), a)
 	}
-	groups := b.slots(ms(700), b.requestQueue.pending)
+	groups := pl.slots(ms(700), pl.requestQueue.pending)
 	fit := 0
-	for _, p := range slices.Clone(b.requestQueue.pending) {
-		if b.scheduleInTime(p, groups) {
+	for _, p := range slices.Clone(pl.requestQueue.pending) {
+		if pl.scheduleInTime(p, groups) {
 			fit++
 		}
 	}
 	plain := 0
-	for _, g := range b.slots(ms(700), b.requestQueue.pending) {
+	for _, g := range pl.slots(ms(700), pl.requestQueue.pending) {
 		for _, free := range g.freeAt {
 			f := g.factor
 			if g.rack != "r1" {
@@ -205,13 +205,13 @@
 // They must be told when there will be free resources, spread over a second.
 func TestRefusedCallersComeBackSpread(t *testing.T) {
 	refusals := func(work time.Duration) (after []time.Duration) {
-		b := crowded(t, 1, 0)
+		pl := crowded(t, 1, 0)
 		for i := range 600 {
 			a := newRequest(fmt.Sprintf("j%04d", i), 4)
 			a.Estimate, a.Objective = work, 2*work+200*time.Millisecond
-			b.Request(ms(700), memberID(1), a)
+			pl.Request(ms(700), memberID(1), a)
 		}
-		_, refused := place(b, 700)
+		_, refused := place(pl, 700)
 		for _, r := range refused {
 			after = append(after, r.RetryAfter)
 		}
--- a/cell/message.go
+++ b/cell/message.go
@@ -20,8 +20,8 @@
 	Resources lease.Resources `cbor:"7,keyasint,omitzero"`
 	// Estimate is the expected time of one task on a worker of average speed.
 	Estimate time.Duration `cbor:"8,keyasint,omitzero"`
-	// Age is the time since the job arrived, Aim the time left to its objective, Limit
-	// the time left to its deadline, when its caller gives up.
+	// Age is the time since the job arrived, Objective the time left to its
+	// objective, Timeout the time left to its deadline, when its caller gives up.
 	Age       time.Duration `cbor:"9,keyasint,omitzero"`
 	Objective time.Duration `cbor:"10,keyasint,omitzero"`
 	Timeout   time.Duration `cbor:"11,keyasint,omitzero"`
@@ -29,8 +29,8 @@
 	// more.
 	Begun bool `cbor:"12,keyasint,omitzero"`
 	// Label is the kind or the rack that the worker must have, Rack the rack that holds
-	// the data, Apart the maximum number of tasks of the step on one worker. Empty and 0
-	// mean no requirement.
+	// the data, MaxPerWorker the maximum number of tasks of the step on one worker.
+	// Empty and 0 mean no requirement.
 	Label        string `cbor:"13,keyasint,omitzero"`
 	Rack         string `cbor:"14,keyasint,omitzero"`
 	MaxPerWorker int    `cbor:"15,keyasint,omitzero"`
@@ -54,7 +54,7 @@
 	// Fence is the holder's fence.
 	Fence lease.Fence `cbor:"5,keyasint,omitzero"`
 	// Estimate is the expected time on a worker of average speed, if it differs from that
-	// of the Ask because the worker is not on the rack that holds the data.
+	// of the Request because the worker is not on the rack that holds the data.
 	Estimate time.Duration `cbor:"6,keyasint,omitzero"`
 }
 
--- a/cell/place.go
+++ b/cell/place.go
@@ -11,26 +11,26 @@
 )
 
 // Request adds a request for workers, or updates the pending one for the same step.
-func (b *Planner) Request(now time.Time, from mesh.ID, a Request) {
-	if !b.active {
+func (pl *Planner) Request(now time.Time, from mesh.ID, a Request) {
+	if !pl.active {
 		return
 	}
 	k := stepKey{a.Job, a.Step}
-	p := b.pending[k]
+	p := pl.pending[k]
 	if p == nil || p.owner != from {
 		if p != nil {
-			b.requestQueue.remove(p)
+			pl.requestQueue.remove(p)
 		}
 		p = &pendingRequest{Request: a, stepKey: k, owner: from, arrivedAt: now.Add(-a.Age), objective: now.Add(a.Objective), deadline: now.Add(a.Timeout), requestedAt: now}
-		b.pending[k] = p
-		b.requestQueue.add(p)
+		pl.pending[k] = p
+		pl.requestQueue.add(p)
 	} else {
-		b.requestQueue.change(p, func() {
+		pl.requestQueue.change(p, func() {
 			p.Begun, p.Avoid, p.requestedAt = a.Begun, a.Avoid, now
 			p.Tasks = mergeRuns(p.Tasks, a.Tasks)
 		})
 	}
-	b.needsPlanning = true
+	pl.needsPlanning = true
 }
 
 // mergeRuns adds the runs of more to those of have, replacing older runs of the same
@@ -44,32 +44,32 @@
 
 // Withdraw removes the pending requests of a job, or the grants of the given runs, which
 // won't be used.
-func (b *Planner) Withdraw(wd Withdrawal) {
-	if !b.active {
+func (pl *Planner) Withdraw(wd Withdrawal) {
+	if !pl.active {
 		return
 	}
 	if len(wd.Runs) == 0 {
-		for _, w := range b.pending {
+		for _, w := range pl.pending {
 			if w.job == wd.Job {
-				b.drop(w)
+				pl.drop(w)
 			}
 		}
 		return
 	}
-	for _, w := range b.workers {
+	for _, w := range pl.workers {
 		for _, r := range wd.Runs {
 			if w.runs[r].unreported {
 				w.drop(r)
 			}
 		}
 	}
-	b.needsPlanning = true
+	pl.needsPlanning = true
 }
 
 // drop deletes a pending request.
-func (b *Planner) drop(p *pendingRequest) {
-	delete(b.pending, p.stepKey)
-	b.requestQueue.remove(p)
+func (pl *Planner) drop(p *pendingRequest) {
+	delete(pl.pending, p.stepKey)
+	pl.requestQueue.remove(p)
 }
 
 // candidate is a worker with free resources that a task may be placed on, during one
@@ -88,43 +88,43 @@
 // Place grants workers to pending requests in the order of the queue, and refuses jobs
 // that cannot meet their objective. It does nothing if nothing has changed since the last
 // call, so that a burst of events is planned once.
-func (b *Planner) Place(now time.Time) {
-	if !b.active || !b.needsPlanning {
+func (pl *Planner) Place(now time.Time) {
+	if !pl.active || !pl.needsPlanning {
 		return
 	}
-	b.needsPlanning = false
-	if len(b.pending) == 0 {
+	pl.needsPlanning = false
+	if len(pl.pending) == 0 {
 		return
 	}
-	queue := slices.Clone(b.requestQueue.pending)
-	best := b.bestFactor()
+	queue := slices.Clone(pl.requestQueue.pending)
+	best := pl.bestFactor()
 	nearFactors := make(map[string]float64)
-	candidates := b.candidates(now, minCPU(queue))
+	candidates := pl.candidates(now, minCPU(queue))
 	for _, p := range queue {
 		best := best
 		if p.Rack != "" {
-			best = b.bestFactorNear(p.Rack, best, nearFactors)
+			best = pl.bestFactorNear(p.Rack, best, nearFactors)
 		}
-		if b.cannotMeetObjective(now, p, best) {
-			b.refuse(now, p, reasonCannotMeetObjective)
+		if pl.cannotMeetObjective(now, p, best) {
+			pl.refuse(now, p, reasonCannotMeetObjective)
 			continue
 		}
-		b.grantTasks(now, p, candidates, best)
+		pl.grantTasks(now, p, candidates, best)
 	}
-	b.lookAhead(now)
+	pl.lookAhead(now)
 }
 
 // bestFactorNear returns the lowest factor for tasks whose data is on a rack, given the
 // lowest factor of all workers. It caches the result in nearFactors for other requests
 // that prefer the same rack.
-func (b *Planner) bestFactorNear(rack string, best float64, nearFactors map[string]float64) float64 {
+func (pl *Planner) bestFactorNear(rack string, best float64, nearFactors map[string]float64) float64 {
 	if f, ok := nearFactors[rack]; ok {
 		return f
 	}
-	near := best * b.policy.OtherRackFactor
-	for _, w := range b.bySpeed {
+	near := best * pl.policy.OtherRackFactor
+	for _, w := range pl.bySpeed {
 		if w.Rack == rack && w.acceptsTasks() && !w.ejected {
-			near = min(near, b.factor(w))
+			near = min(near, pl.factor(w))
 		}
 	}
 	nearFactors[rack] = near
@@ -133,21 +133,21 @@
 
 // rackFactor returns the factor by which tasks with data on a rack take longer on a
 // worker because it is on another rack.
-func (b *Planner) rackFactor(rack string, w *worker) float64 {
+func (pl *Planner) rackFactor(rack string, w *worker) float64 {
 	if rack == "" || rack == w.Rack {
 		return 1
 	}
-	return b.policy.OtherRackFactor
+	return pl.policy.OtherRackFactor
 }
 
 // sortBySpeed rebuilds bySpeed.
-func (b *Planner) sortBySpeed() {
-	b.bySpeed = b.bySpeed[:0]
-	for _, w := range b.workers {
-		b.bySpeed = append(b.bySpeed, w)
+func (pl *Planner) sortBySpeed() {
+	pl.bySpeed = pl.bySpeed[:0]
+	for _, w := range pl.workers {
+		pl.bySpeed = append(pl.bySpeed, w)
 	}
-	slices.SortFunc(b.bySpeed, func(x, y *worker) int {
-		return cmp.Or(cmp.Compare(b.factor(x), b.factor(y)), cmp.Compare(x.ID, y.ID))
+	slices.SortFunc(pl.bySpeed, func(x, y *worker) int {
+		return cmp.Or(cmp.Compare(pl.factor(x), pl.factor(y)), cmp.Compare(x.ID, y.ID))
 	})
 }
 
@@ -166,25 +166,25 @@
 
 // candidates returns the workers with enough free CPU for the smallest pending task:
 // first those that are due a probe, then the others, fastest first.
-func (b *Planner) candidates(now time.Time, least int) []*candidate {
-	if len(b.bySpeed) != len(b.workers) {
-		b.sortBySpeed()
+func (pl *Planner) candidates(now time.Time, least int) []*candidate {
+	if len(pl.bySpeed) != len(pl.workers) {
+		pl.sortBySpeed()
 	}
-	b.candidateBuf = slices.Grow(b.candidateBuf[:0], len(b.bySpeed))
+	pl.candidateBuf = slices.Grow(pl.candidateBuf[:0], len(pl.bySpeed))
 	var probes []*candidate
-	for _, w := range b.bySpeed {
+	for _, w := range pl.bySpeed {
 		free := w.free()
 		switch {
 		case !w.acceptsTasks() || free.CPU < least:
 		case w.probeDue(now):
-			probes = append(probes, &candidate{worker: w, free: free, factor: b.factor(w), probe: true})
+			probes = append(probes, &candidate{worker: w, free: free, factor: pl.factor(w), probe: true})
 		case !w.ejected:
-			b.candidateBuf = append(b.candidateBuf, candidate{worker: w, free: free, factor: b.factor(w)})
+			pl.candidateBuf = append(pl.candidateBuf, candidate{worker: w, free: free, factor: pl.factor(w)})
 		}
 	}
 	out := probes
-	for i := range b.candidateBuf {
-		out = append(out, &b.candidateBuf[i])
+	for i := range pl.candidateBuf {
+		out = append(out, &pl.candidateBuf[i])
 	}
 	byFactor := func(x, y *candidate) int { return cmp.Compare(x.factor, y.factor) }
 	if rest := out[len(probes):]; !slices.IsSortedFunc(rest, byFactor) {
@@ -196,10 +196,10 @@
 // bestFactor returns the factor of the fastest worker that accepts tasks and isn't
 // ejected, or 0 if there is none. It looks at all workers because bySpeed is as of the
 // last tick: the first one may have turned out to be slow since then.
-func (b *Planner) bestFactor() float64 {
+func (pl *Planner) bestFactor() float64 {
 	best := 0.0
-	for _, w := range b.bySpeed {
-		if f := b.factor(w); w.acceptsTasks() && !w.ejected && (best == 0 || f < best) {
+	for _, w := range pl.bySpeed {
+		if f := pl.factor(w); w.acceptsTasks() && !w.ejected && (best == 0 || f < best) {
 			best = f
 		}
 	}
@@ -207,7 +207,7 @@
 }
 
 // factor returns the ratio of the time that tasks take on a worker to their estimate.
-func (b *Planner) factor(w *worker) float64 {
+func (pl *Planner) factor(w *worker) float64 {
 	if w.speed.Ends == 0 {
 		return 1
 	}
@@ -244,7 +244,7 @@
 
 // cannotMeetObjective reports whether a job that has not begun would miss its objective
 // even if it started now on the fastest worker.
-func (b *Planner) cannotMeetObjective(now time.Time, p *pendingRequest, best float64) bool {
+func (pl *Planner) cannotMeetObjective(now time.Time, p *pendingRequest, best float64) bool {
 	if p.Begun {
 		return false
 	}
@@ -255,28 +255,28 @@
 	return time.Duration(float64(d) * factor)
 }
 
-func (b *Planner) refuse(now time.Time, p *pendingRequest, reason string) {
-	b.drop(p)
-	b.counts.Refused[reason]++
-	event.JobRefused.Log(b.log, "job", p.job, "queue", p.Queue, "why", reason, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "aim_ms", p.objective.Sub(now).Milliseconds(), "waiting", len(b.pending))
-	b.emit(Action{To: p.owner, Refusal: &Refusal{Job: p.job, Reason: reason, RetryAfter: b.retryAfter(p.job), Waited: now.Sub(p.requestedAt)}})
+func (pl *Planner) refuse(now time.Time, p *pendingRequest, reason string) {
+	pl.drop(p)
+	pl.counts.Refused[reason]++
+	event.JobRefused.Log(pl.log, "job", p.job, "queue", p.Queue, "why", reason, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "aim_ms", p.objective.Sub(now).Milliseconds(), "waiting", len(pl.pending))
+	pl.emit(Action{To: p.owner, Refusal: &Refusal{Job: p.job, Reason: reason, RetryAfter: pl.retryAfter(p.job), Waited: now.Sub(p.requestedAt)}})
 }
 
 // reasonCannotMeetObjective is the reason of a refusal when cannotMeetObjective holds.
 const reasonCannotMeetObjective = "no_room_in_time"
 
 // grantTasks grants workers to the tasks of a request.
-func (b *Planner) grantTasks(now time.Time, p *pendingRequest, candidates []*candidate, best float64) {
+func (pl *Planner) grantTasks(now time.Time, p *pendingRequest, candidates []*candidate, best float64) {
 	if len(candidates) == 0 {
 		return
 	}
 	// A request that will miss its objective anyway takes any worker.
 	late := now.Add(scaled(p.Estimate, best)).After(p.objective)
 	var g *Grant
-	h := b.holderSelector(p)
+	h := pl.holderSelector(p)
 	rest := p.Tasks
 	for _, r := range p.Tasks {
-		c := b.pickCandidate(now, p, candidates, late, h)
+		c := pl.pickCandidate(now, p, candidates, late, h)
 		if c == nil {
 			// The tasks of a step are alike: if there is no candidate for one, there is
 			// none for the others.
@@ -294,43 +294,43 @@
 		}
 		it := GrantedRun{Run: r, Worker: c.ID, Holder: c.holder, Fence: c.fence}
 		estimate := p.Estimate
-		if rackFactor := b.rackFactor(p.Rack, c.worker); rackFactor != 1 {
+		if rackFactor := pl.rackFactor(p.Rack, c.worker); rackFactor != 1 {
 			estimate = scaled(estimate, rackFactor)
 			it.Estimate = estimate
 		}
 		c.addRun(r, activeRun{resources: p.Resources, startedAt: now, estimate: estimate, unreported: true, job: p.job})
-		b.counts.Granted++
+		pl.counts.Granted++
 		g.Items = append(g.Items, it)
-		event.TaskGranted.Log(b.log, "job", p.job, "task", r.Task, "run", r.Number, "worker", c.ID, "holder", c.holder,
+		event.TaskGranted.Log(pl.log, "job", p.job, "task", r.Task, "run", r.Number, "worker", c.ID, "holder", c.holder,
 			"factor", c.factor, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "left_cpu", c.free.CPU)
 	}
 	if g == nil {
 		return
 	}
 	if len(rest) == 0 {
-		b.drop(p)
+		pl.drop(p)
 	} else {
-		b.requestQueue.change(p, func() { p.Begun, p.Tasks = true, rest })
+		pl.requestQueue.change(p, func() { p.Begun, p.Tasks = true, rest })
 	}
-	b.emit(Action{To: p.owner, Grant: g})
+	pl.emit(Action{To: p.owner, Grant: g})
 }
 
 // pickCandidate returns the candidate for a task: one of the fastest workers with enough
 // free resources. Their speeds differ by less than the error of the estimates, so the
 // choice among them is made by holder.
-func (b *Planner) pickCandidate(now time.Time, p *pendingRequest, candidates []*candidate, late bool, h *holderSelector) *candidate {
+func (pl *Planner) pickCandidate(now time.Time, p *pendingRequest, candidates []*candidate, late bool, h *holderSelector) *candidate {
 	if p.Rack != "" {
-		return b.pickCandidateNear(now, p, candidates, late)
+		return pl.pickCandidateNear(now, p, candidates, late)
 	}
 	h.clear()
 	for _, c := range candidates {
-		if !b.meetsRequirements(p, c) {
+		if !pl.meetsRequirements(p, c) {
 			continue
 		}
 		if c.probe {
 			return c
 		}
-		if !late && b.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, c.factor)).After(p.objective) {
+		if !late && pl.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, c.factor)).After(p.objective) {
 			break
 		}
 		if len(h.candidates) > 0 && c.factor > h.candidates[0].factor*similarSpeedRatio || h.full() {
@@ -347,14 +347,14 @@
 
 // pickCandidateNear is pickCandidate for tasks whose data is on a rack: a slower worker
 // on that rack may run them faster than any other.
-func (b *Planner) pickCandidateNear(now time.Time, p *pendingRequest, candidates []*candidate, late bool) *candidate {
+func (pl *Planner) pickCandidateNear(now time.Time, p *pendingRequest, candidates []*candidate, late bool) *candidate {
 	var best *candidate
 	var least float64
 	for _, c := range candidates {
-		f := c.factor * b.rackFactor(p.Rack, c.worker)
+		f := c.factor * pl.rackFactor(p.Rack, c.worker)
 		switch {
-		case !b.meetsRequirements(p, c):
-		case !late && b.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, f)).After(p.objective):
+		case !pl.meetsRequirements(p, c):
+		case !late && pl.policy.WaitForFaster.on() && now.Add(scaled(p.Estimate, f)).After(p.objective):
 		case best == nil || f < least || f == least && c.free.CPU < best.free.CPU:
 			best, least = c, f
 		}
@@ -365,7 +365,7 @@
 // meetsRequirements reports whether a candidate has the pool, the label and the free
 // resources that a request needs, is not to be avoided, and has fewer tasks of the step
 // than the allowed maximum.
-func (b *Planner) meetsRequirements(p *pendingRequest, c *candidate) bool {
+func (pl *Planner) meetsRequirements(p *pendingRequest, c *candidate) bool {
 	switch {
 	case c.Pool != p.Pool || !p.Resources.Fits(c.free):
 		return false
--- a/cell/report.go
+++ b/cell/report.go
@@ -9,54 +9,54 @@
 )
 
 // Report applies a holder's report on its workers.
-func (b *Planner) Report(now time.Time, from mesh.ID, r Report) {
-	m := b.members[from]
-	if !b.active || m == nil {
+func (pl *Planner) Report(now time.Time, from mesh.ID, r Report) {
+	m := pl.members[from]
+	if !pl.active || m == nil {
 		return
 	}
 	firstFull := r.Full && !m.reported
 	if r.Full {
 		m.reported = true
-		b.clearHolderOfMissing(now, from, r)
+		pl.clearHolderOfMissing(now, from, r)
 	}
 	for _, s := range r.States {
-		b.updateState(now, from, s)
+		pl.updateState(now, from, s)
 	}
-	b.hasUnheld = b.hasUnheld || firstFull
-	b.assignUnheld(now)
-	b.needsPlanning = true
+	pl.hasUnheld = pl.hasUnheld || firstFull
+	pl.assignUnheld(now)
+	pl.needsPlanning = true
 }
 
 // assignUnheld assigns workers that have just lost their holder.
-func (b *Planner) assignUnheld(now time.Time) {
-	if b.hasUnheld {
-		b.hasUnheld = false
-		b.assign(now)
+func (pl *Planner) assignUnheld(now time.Time) {
+	if pl.hasUnheld {
+		pl.hasUnheld = false
+		pl.assign(now)
 	}
 }
 
 // clearHolderOfMissing clears the holder of workers that are missing from a member's full
 // report.
-func (b *Planner) clearHolderOfMissing(now time.Time, from mesh.ID, r Report) {
-	for _, w := range b.workers {
+func (pl *Planner) clearHolderOfMissing(now time.Time, from mesh.ID, r Report) {
+	for _, w := range pl.workers {
 		if w.holder != from || !w.confirmed {
 			continue
 		}
 		if !slices.ContainsFunc(r.States, func(s lease.State) bool { return s.ID == w.ID }) {
-			b.clearHolder(now, w)
+			pl.clearHolder(now, w)
 		}
 	}
 }
 
-func (b *Planner) updateState(now time.Time, from mesh.ID, s lease.State) {
-	w := b.workers[s.ID]
+func (pl *Planner) updateState(now time.Time, from mesh.ID, s lease.State) {
+	w := pl.workers[s.ID]
 	if w == nil {
 		if s.Released || s.Worker == nil {
 			return
 		}
 		// The platform's store may be unreachable, while its workers are still held.
-		w = &worker{Worker: *s.Worker, listed: !b.listRead, runs: make(map[lease.Run]activeRun)}
-		b.workers[s.ID], b.byID = w, nil
+		w = &worker{Worker: *s.Worker, listed: !pl.listRead, runs: make(map[lease.Run]activeRun)}
+		pl.workers[s.ID], pl.byID = w, nil
 	}
 	if w.holder != from {
 		if s.Released || s.Fence < w.fence {
@@ -67,31 +67,31 @@
 	}
 	if s.Released {
 		w.fence = max(w.fence, s.Fence)
-		b.clearHolder(now, w)
+		pl.clearHolder(now, w)
 		return
 	}
 	w.setOpen(now, s.Open)
 	w.confirmed = true
 	if w.draining && !s.Draining {
-		b.sendDrain(w)
+		pl.sendDrain(w)
 	}
 	w.draining = w.draining || s.Draining
 	if s.Fence != 0 {
 		w.fence = s.Fence
 	}
 	if s.Speed != (lease.Speed{}) || !s.Partial {
-		b.updateHealth(now, w, s.Speed)
+		pl.updateHealth(now, w, s.Speed)
 	}
 	if s.Failures > 0 && w.failures == 0 {
 		w.failingSince = now
 	}
 	w.failures = s.Failures
-	b.runs(now, w, s)
+	pl.runs(now, w, s)
 }
 
 // runs applies what a state says about a worker's runs. Grants that the holder has not
 // reported yet stay.
-func (b *Planner) runs(now time.Time, w *worker, s lease.State) {
+func (pl *Planner) runs(now time.Time, w *worker, s lease.State) {
 	if !s.Partial {
 		w.dropReportedRuns(now)
 	}
--- a/cell/view.go
+++ b/cell/view.go
@@ -33,12 +33,12 @@
 }
 
 // View returns the planner's state for operators.
-func (b *Planner) View(now time.Time) View {
-	v := View{Waiting: len(b.pending), Queues: make(map[string]int)}
-	for _, w := range b.pending {
+func (pl *Planner) View(now time.Time) View {
+	v := View{Waiting: len(pl.pending), Queues: make(map[string]int)}
+	for _, w := range pl.pending {
 		v.Queues[w.Queue] += len(w.Tasks)
 	}
-	for _, w := range b.sortedWorkers() {
+	for _, w := range pl.sortedWorkers() {
 		if w.acceptsTasks() {
 			v.Workers++
 			v.FreeCores += float64(w.free().CPU) / 1000
