--- a/hub/forward.go
+++ b/hub/forward.go
@@ -49,15 +49,15 @@
 // peers answer forwarded calls from their own tickets only, so a call can't go
 // in circles.
 type forwarder struct {
-	log     *slog.Logger
-	meter   *meter.Meter
-	self    ticket.Owner
-	address netip.AddrPort
-	seeds   []netip.AddrPort
-	now     func() time.Time
-	net     caller
-	members members
-	holder  *job.ClosedStore
+	log         *slog.Logger
+	meter       *meter.Meter
+	self        ticket.Owner
+	address     netip.AddrPort
+	seeds       []netip.AddrPort
+	now         func() time.Time
+	net         caller
+	members     members
+	closedStore *job.ClosedStore
 	// stopping tells that this process is stopping.
 	stopping func() bool
 
--- a/hub/forward_test.go
+++ b/hub/forward_test.go
@@ -49,7 +49,7 @@
 			o.stop()
 			o.gone = true
 			for _, n := range w.nodes {
-				n.desk.fwd.holder = job.NewClosedStore(0, 0, w.clock)
+				n.desk.fwd.closedStore = job.NewClosedStore(0, 0, w.clock)
 				w.deaf[n.at] = true
 			}
 		}, refusal.OwnerUnreachable, refusal.RanUnknown},
--- a/hub/gauges.go
+++ b/hub/gauges.go
@@ -42,7 +42,7 @@
 		claims, pending, evicted := h.claims.Stats()
 		h.meter.Gauge(meter.PendingKeys, float64(pending))
 		h.observe(keys, int64(claims), evicted)
-		bytes, dropped := h.fwd.holder.Stats()
+		bytes, dropped := h.fwd.closedStore.Stats()
 		h.observe(held, bytes, dropped)
 		h.meter.Gauge(meter.Windows, float64(s.Tickets*int64(h.cfg.Limits.TicketWindow)))
 		h.observeOthers()
--- a/hub/handoff.go
+++ b/hub/handoff.go
@@ -93,7 +93,7 @@
 // that may hold it. Without an outcome, certain tells that all were asked and
 // none holds it.
 func (f *forwarder) held(ctx context.Context, q question) (out *job.Outcome, certain bool) {
-	if o, ok := f.holder.Answer(q.caller, q.id, q.sum); ok {
+	if o, ok := f.closedStore.Answer(q.caller, q.id, q.sum); ok {
 		return &o, true
 	}
 	if f.knownUnheld(q.id.Owner) {
@@ -135,7 +135,7 @@
 
 // answerHeld answers a peer's question to the holder.
 func (f *forwarder) answerHeld(_ context.Context, q heldQuestion) (heldAnswer, error) {
-	o, ok := f.holder.Answer(q.Caller, q.ID, q.Sum)
+	o, ok := f.closedStore.Answer(q.Caller, q.ID, q.Sum)
 	return heldAnswer{Held: ok, Outcome: o}, nil
 }
 
@@ -149,7 +149,7 @@
 	if f.stopping() {
 		return struct{}{}, errStopping
 	}
-	f.holder.AddPart(c)
+	f.closedStore.AddPart(c)
 	return struct{}{}, nil
 }
 
--- a/hub/hub.go
+++ b/hub/hub.go
@@ -134,25 +134,25 @@
 	h.dialer = peer.NewDialer(h.certs.PeerClient(), cfg.Peers.Timeout.D(), h.net.DialContext)
 	h.peers = peer.NewServer(h.log, h.ln.peers)
 	h.fwd = &forwarder{
-		log:      h.log,
-		meter:    h.meter,
-		self:     h.self,
-		address:  cfg.Listen.Peers,
-		seeds:    cfg.Peers.Seeds,
-		now:      h.clock.Now,
-		net:      dialed{h.dialer},
-		members:  h.roster,
-		holder:   job.NewClosedStore(cfg.Limits.HeldBytes, cfg.Limits.KeptAnswerFor.D(), h.clock.Now),
-		stopping: h.stopping.Load,
-		waiting:  make(map[*awaited]struct{}),
-		unheld:   make(map[ticket.Owner]time.Time),
+		log:         h.log,
+		meter:       h.meter,
+		self:        h.self,
+		address:     cfg.Listen.Peers,
+		seeds:       cfg.Peers.Seeds,
+		now:         h.clock.Now,
+		net:         dialed{h.dialer},
+		members:     h.roster,
+		closedStore: job.NewClosedStore(cfg.Limits.HeldBytes, cfg.Limits.KeptAnswerFor.D(), h.clock.Now),
+		stopping:    h.stopping.Load,
+		waiting:     make(map[*awaited]struct{}),
+		unheld:      make(map[ticket.Owner]time.Time),
 	}
 	h.claims = claim.New(claim.Config{
 		Claims:         cfg.Limits.Claims,
 		Pending:        cfg.Limits.PendingKeys,
 		Skew:           cfg.Limits.KeySkew.D(),
 		LogTimeout:     cfg.Platform.Timeout.D(),
-		MarkerInterval: markEvery,
+		MarkerInterval: markerInterval,
 	}, h.ledger, h.clock.Now, h.appendShare, h.owner.Reserve)
 	h.desk = &desk{self: h.self, owner: h.owner, fwd: h.fwd, keys: h.claims, tables: h.tables.State}
 	h.handlePeers()
@@ -190,7 +190,7 @@
 	defer cancel()
 	h.guests.Stop()
 	h.finish(ctx)
-	h.fwd.handOver(ctx, append(h.owner.ClosedParts(h.cfg.Limits.HandoffBytes), h.fwd.holder.ClosedParts()...))
+	h.fwd.handOver(ctx, append(h.owner.ClosedParts(h.cfg.Limits.HandoffBytes), h.fwd.closedStore.ClosedParts()...))
 	_ = h.http.Shutdown(ctx)
 	h.guests.Drain(ctx)
 	h.peers.Drain(ctx)
@@ -276,8 +276,8 @@
 	h.desk.handle(h.peers)
 }
 
-// markEvery is how old the newest claim on the log may get; see claim.Config.
-const markEvery = time.Minute
+// markerInterval is how old the newest claim on the log may get; see claim.Config.
+const markerInterval = time.Minute
 
 // appendShare is this process's part of the append rate: all dispatchers that
 // are not gone share it alike.
--- a/hub/placing.go
+++ b/hub/placing.go
@@ -65,10 +65,10 @@
 // neighbours carries hand-overs over the connections between dispatchers.
 type neighbours struct{ h *Hub }
 
-// Ask sends an ask and returns its answer.
-func (n neighbours) Ask(ctx context.Context, to roster.Known, a handover.Request) (handover.Response, error) {
+// Ask sends a request and returns the response.
+func (n neighbours) Ask(ctx context.Context, to roster.Known, r handover.Request) (handover.Response, error) {
 	n.h.meter.Count(meter.HandoverCalls, 1)
-	out, err := peer.Call[handover.Response](ctx, n.h.dialer, to.Address, methodHand, a)
+	out, err := peer.Call[handover.Response](ctx, n.h.dialer, to.Address, methodHand, r)
 	if errors.Is(err, peer.ErrNotSent) {
 		return out, errors.Wrap(handover.ErrNotSent, err.Error())
 	}
--- a/hub/standing.go
+++ b/hub/standing.go
@@ -131,12 +131,12 @@
 // get their answers.
 type gate struct{ h *Hub }
 
-// Submit passes the batch on or refuses it whole.
-func (g gate) Submit(b dispatch.Submission) error {
+// Submit passes the submission on or refuses all of it.
+func (g gate) Submit(s dispatch.Submission) error {
 	if !g.h.mayPlace(g.h.clock.Now()) {
 		return refusal.New(refusal.CutOff, "").After(cutOffRetryAfter)
 	}
-	return g.h.place.Submit(b)
+	return g.h.place.Submit(s)
 }
 
 // Cancel passes the cancellation on.
--- a/hub/world_test.go
+++ b/hub/world_test.go
@@ -56,12 +56,12 @@
 	// down processes answer nothing; gone tells that the roster knows it.
 	down, gone, suspect, stopping bool
 	keys                          *claim.Core
-	// refuse is the answer to the next batches.
-	refuse  error
-	batches []dispatch.Submission
+	// refuse is the answer to the next submissions.
+	refuse      error
+	submissions []dispatch.Submission
 	// broken panics, repeatable is what the route says of the kind.
 	broken, repeatable bool
-	// instant ends each batch at once with the result.
+	// instant ends each submission at once with the result.
 	instant *dispatch.Result
 }
 
@@ -94,16 +94,16 @@
 	}
 	owner := job.New(n.self, n, w.limits, w.clock)
 	fwd := &forwarder{
-		log:      slog.New(slog.DiscardHandler),
-		self:     n.self,
-		address:  n.at,
-		now:      w.clock,
-		net:      w,
-		members:  n,
-		holder:   job.NewClosedStore(1<<20, time.Hour, w.clock),
-		stopping: func() bool { return n.stopping },
-		waiting:  make(map[*awaited]struct{}),
-		unheld:   make(map[ticket.Owner]time.Time),
+		log:         slog.New(slog.DiscardHandler),
+		self:        n.self,
+		address:     n.at,
+		now:         w.clock,
+		net:         w,
+		members:     n,
+		closedStore: job.NewClosedStore(1<<20, time.Hour, w.clock),
+		stopping:    func() bool { return n.stopping },
+		waiting:     make(map[*awaited]struct{}),
+		unheld:      make(map[ticket.Owner]time.Time),
 	}
 	n.keys = claim.NewCore(claim.Config{Claims: 50, Pending: 20, Skew: keySkew, LogTimeout: time.Second, MarkerInterval: time.Minute}, owner.Reserve)
 	n.desk = &desk{self: n.self, owner: owner, fwd: fwd, keys: n, tables: n.tables}
@@ -135,7 +135,7 @@
 }
 
 // Submit makes node a placer that records starts.
-func (n *node) Submit(b dispatch.Submission) error {
+func (n *node) Submit(s dispatch.Submission) error {
 	if n.broken {
 		panic("broken")
 	}
@@ -143,41 +143,41 @@
 		return n.refuse
 	}
 	n.w.mu.Lock()
-	for _, t := range b.Tasks {
+	for _, t := range s.Tasks {
 		n.w.starts[string(t)]++
 	}
 	n.w.mu.Unlock()
 	if n.instant != nil {
-		b.Done(0, *n.instant)
+		s.Done(0, *n.instant)
 		return nil
 	}
-	n.batches = append(n.batches, b)
+	n.submissions = append(n.submissions, s)
 	return nil
 }
 
 // Cancel does nothing: what the fake has taken runs to its end.
 func (n *node) Cancel(string) {}
 
-// finish ends the oldest batch; each task is answered with its own body.
+// finish ends the oldest submission; each task is answered with its own body.
 func (n *node) finish() {
-	if len(n.batches) == 0 {
+	if len(n.submissions) == 0 {
 		return
 	}
-	b := n.batches[0]
-	n.batches = n.batches[1:]
-	for i, t := range b.Tasks {
-		b.Done(i, dispatch.Result{Ran: refusal.RanYes, Done: true, Answer: t})
+	s := n.submissions[0]
+	n.submissions = n.submissions[1:]
+	for i, t := range s.Tasks {
+		s.Done(i, dispatch.Result{Ran: refusal.RanYes, Done: true, Answer: t})
 	}
 }
 
 // stop is a planned stop.
 func (n *node) stop() {
 	n.stopping = true
-	for len(n.batches) > 0 {
+	for len(n.submissions) > 0 {
 		n.finish()
 	}
 	_ = n.desk.owner.Stop(context.Background())
-	n.desk.fwd.handOver(context.Background(), append(n.desk.owner.ClosedParts(1<<20), n.desk.fwd.holder.ClosedParts()...))
+	n.desk.fwd.handOver(context.Background(), append(n.desk.owner.ClosedParts(1<<20), n.desk.fwd.closedStore.ClosedParts()...))
 	n.down = true
 }
 
@@ -249,7 +249,7 @@
 // holder returns a process other than nodes 0 and 1 that holds something.
 func (w *world) holder() *node {
 	for _, n := range w.nodes[2:] {
-		if held, _ := n.desk.fwd.holder.Stats(); held > 0 {
+		if held, _ := n.desk.fwd.closedStore.Stats(); held > 0 {
 			return n
 		}
 	}
