--- a/model/bound.go
+++ b/model/bound.go
@@ -138,10 +138,10 @@
 			continue
 		}
 		owed += cl.Worth * weight
-		if _, ok := b.span(j, j.sent.Add(lateFactor*j.aim), outages); ok {
+		if _, ok := b.span(j, j.sent.Add(lateFactor*j.objective), outages); ok {
 			earned += cl.Late * weight
 		}
-		s, ok := b.span(j, j.sent.Add(j.aim), outages)
+		s, ok := b.span(j, j.sent.Add(j.objective), outages)
 		if !ok {
 			continue
 		}
--- a/model/caller.go
+++ b/model/caller.go
@@ -23,17 +23,17 @@
 
 // job is a request of a caller.
 type job struct {
-	id    string
-	class int
-	dc    string
-	sent  time.Time
-	width int
-	cpu   int
-	work  []time.Duration
-	fails []int
-	est   time.Duration
-	aim   time.Duration
-	until time.Time
+	id        string
+	class     int
+	dc        string
+	sent      time.Time
+	width     int
+	cpu       int
+	work      []time.Duration
+	fails     []int
+	est       time.Duration
+	objective time.Duration
+	until     time.Time
 	// leaves is when the caller gives up, zero if it stays.
 	leaves time.Time
 	// hopeless tells that no run of it can succeed: its failure is the right answer.
@@ -125,8 +125,8 @@
 		j.fails = append(j.fails, fails)
 	}
 	j.est = time.Duration(w.lognormal(mean, cmp.Or(cl.Misjudged, cl.Spread), 10*mean))
-	j.aim = time.Duration(cl.Stretch*float64(longest)) + cl.Objective
-	j.until = j.sent.Add(patience + lateFactor*j.aim)
+	j.objective = time.Duration(cl.Stretch*float64(longest)) + cl.Objective
+	j.until = j.sent.Add(patience + lateFactor*j.objective)
 	w.jobs = append(w.jobs, j)
 }
 
--- a/model/callers.go
+++ b/model/callers.go
@@ -70,7 +70,7 @@
 		}
 		within := d.Within
 		if within == 0 {
-			within = j.aim / 2
+			within = j.objective / 2
 		}
 		j.leaves = j.sent.Add(time.Duration(w.changes.Int64N(int64(within))))
 	}
--- a/model/drawn_test.go
+++ b/model/drawn_test.go
@@ -132,7 +132,7 @@
 	return max(objectives*longest, min(time.Duration(tasks/perSecond*float64(time.Second)), most))
 }
 
-// baselines are plain ways to plan. They put sick workers aside as the default does.
+// baselines are plain ways to plan. They eject failing workers as the default does.
 var baselines = []struct {
 	name  string
 	apply func(cfg *Config)
--- a/model/link.go
+++ b/model/link.go
@@ -221,7 +221,7 @@
 	}
 	id := from.id
 	w.result.Messages++
-	size := w.mailSize(m)
+	size := w.messageSize(m)
 	w.after(w.pass(&from.out, size)+w.delay(from.dc, n.dc), func() {
 		w.after(w.pass(&n.in, size), func() {
 			l.deliver(func() {
@@ -231,8 +231,8 @@
 	})
 }
 
-// say tells all members what a process says of itself.
-func (w *World) say(from *vm, m mesh.Member) {
+// advertise tells all members what a process says of itself.
+func (w *World) advertise(from *vm, m mesh.Member) {
 	for _, n := range w.nodes {
 		if n == from {
 			continue
--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -13,10 +13,10 @@
 func TestRunsUnderWay(t *testing.T) {
 	const work = 200 * time.Millisecond
 	tests := []struct {
-		name  string
-		fault Fault
-		took  time.Duration
-		how   lease.Outcome
+		name    string
+		fault   Fault
+		took    time.Duration
+		outcome lease.Outcome
 	}{
 		{"nothing", Fault{0, func(*World) {}}, 200 * time.Millisecond, lease.Done},
 		{"three times as slow for 150 ms", Fault{100 * time.Millisecond, Drag(0, 3, 150*time.Millisecond)}, 300 * time.Millisecond, lease.Done},
@@ -43,8 +43,8 @@
 			})
 			w.Run()
 			s := w.runs[run.Task][0]
-			if took := s.end.Sub(s.begin); took != tt.took || s.how != tt.how {
-				t.Errorf("took %v and ended as %v, want %v and %v", took, s.how, tt.took, tt.how)
+			if took := s.end.Sub(s.begin); took != tt.took || s.outcome != tt.outcome {
+				t.Errorf("took %v and ended as %v, want %v and %v", took, s.outcome, tt.took, tt.outcome)
 			}
 		})
 	}
--- a/model/score.go
+++ b/model/score.go
@@ -17,7 +17,7 @@
 	Worth, Worst float64
 	// Parts is the worth in all its parts.
 	Parts Parts
-	// Rejected counts starts for which a worker had no room, Waste the time of
+	// Rejected counts starts for which a worker had insufficient resources, Waste the time of
 	// runs that did not end as done.
 	Rejected int
 	Waste    time.Duration
@@ -79,9 +79,9 @@
 	return s
 }
 
-func (w *World) ended(s *span, how lease.Outcome) {
-	s.end, s.how = w.now, how
-	if how != lease.Done {
+func (w *World) ended(s *span, outcome lease.Outcome) {
+	s.end, s.outcome = w.now, outcome
+	if outcome != lease.Done {
 		w.result.Waste += s.end.Sub(s.begin)
 	}
 }
@@ -151,10 +151,10 @@
 		t.Refused++
 	case j.answer == entry.Failed && !j.hopeless:
 		t.Failed++
-	case j.took <= j.aim:
+	case j.took <= j.objective:
 		t.InAim++
 		earned = owed
-	case j.took <= lateFactor*j.aim:
+	case j.took <= lateFactor*j.objective:
 		t.Late++
 		earned = cl.Late * weight
 	default:
--- a/model/trouble_test.go
+++ b/model/trouble_test.go
@@ -14,7 +14,7 @@
 }
 
 // More is asked than can be served, and a good part of the workers is sick. The least
-// worth is a little below what these days came to; without putting sick workers aside
+// worth is a little below what these days came to; without ejecting failing workers
 // it was 0.84, without waiting for faster ones 0.91.
 func TestBusyDays(t *testing.T) {
 	t.Parallel()
--- a/model/vm.go
+++ b/model/vm.go
@@ -189,7 +189,7 @@
 		case o.Message != nil:
 			n.world.send(n, o.To, *o.Message)
 		case o.Advertise != nil:
-			n.world.say(n, *o.Advertise)
+			n.world.advertise(n, *o.Advertise)
 		case o.Watch != nil && o.Watch.On:
 			n.watched[o.Watch.Member] = n.world.now
 		case o.Watch != nil:
--- a/model/wire.go
+++ b/model/wire.go
@@ -45,8 +45,8 @@
 	return time.Duration(w.crossings.Int64N(int64(crossingMost)))
 }
 
-// mailSize is what a message takes on a link.
-func (w *World) mailSize(m node.Message) int {
+// messageSize is what a message takes on a link.
+func (w *World) messageSize(m node.Message) int {
 	if w.cfg.Link == 0 {
 		return 0
 	}
--- a/model/worker.go
+++ b/model/worker.go
@@ -58,15 +58,15 @@
 // execution is a run on a worker.
 type execution struct {
 	lease.Run
-	room  lease.Resources
-	began time.Time
-	total time.Duration
+	resources lease.Resources
+	began     time.Time
+	total     time.Duration
 	// full is the time of the whole run at pace 1, done the part of it that was done at
-	// since, and how its end.
-	full  time.Duration
-	done  float64
-	since time.Time
-	how   lease.Outcome
+	// since, and outcome its end.
+	full    time.Duration
+	done    float64
+	since   time.Time
+	outcome lease.Outcome
 	// paced counts the changes of the worker's pace: an end that was reckoned before the
 	// last one is not its end.
 	paced int
@@ -86,7 +86,7 @@
 	worker     string
 	run        int
 	begin, end time.Time
-	how        lease.Outcome
+	outcome    lease.Outcome
 }
 
 func (w *World) makeWorkers() {
@@ -232,7 +232,7 @@
 func (x *worker) used() lease.Resources {
 	var r lease.Resources
 	for _, e := range x.runs {
-		r = r.Plus(e.room)
+		r = r.Plus(e.resources)
 	}
 	return r
 }
@@ -270,15 +270,15 @@
 	now := x.world.now
 	total, fails := x.world.work(c.Run)
 	total = time.Duration(float64(total) / x.kind.Speed * x.slow)
-	e := &execution{Run: c.Run, room: c.Resources, began: now, total: total, full: total, since: now, how: lease.Done}
+	e := &execution{Run: c.Run, resources: c.Resources, began: now, total: total, full: total, since: now, outcome: lease.Done}
 	x.runs[c.Run] = e
 	e.span = x.world.began(x, c.Run)
 	x.extend(c.Until)
 	switch {
 	case x.health == failing || x.health == spoiling:
-		e.how, e.full = lease.Failed, failsAfter
+		e.outcome, e.full = lease.Failed, failsAfter
 	case fails:
-		e.how = lease.Failed
+		e.outcome = lease.Failed
 	}
 	if x.pace == 1 {
 		x.endAfter(e, e.full)
@@ -299,7 +299,7 @@
 		case x.health == hanging:
 			x.endAfter(e, 100*time.Millisecond)
 		default:
-			x.finish(e, e.how)
+			x.finish(e, e.outcome)
 		}
 	})
 }
@@ -329,16 +329,16 @@
 	x.endAfter(e, e.total-passed)
 }
 
-func (x *worker) finish(e *execution, how lease.Outcome) {
+func (x *worker) finish(e *execution, outcome lease.Outcome) {
 	if e.over {
 		return
 	}
 	e.over = true
 	delete(x.runs, e.Run)
 	x.last++
-	x.ended = append(x.ended, lease.ListedEnd{Number: x.last, Run: e.Run, Outcome: how})
+	x.ended = append(x.ended, lease.ListedEnd{Number: x.last, Run: e.Run, Outcome: outcome})
 	x.stopped[e.Task] = max(x.stopped[e.Task], e.Number)
-	x.world.ended(e.span, how)
+	x.world.ended(e.span, outcome)
 	waiting := x.waiting
 	x.waiting = nil
 	for _, wt := range waiting {
