--- a/lease/away.go
+++ b/lease/away.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// OwnerUnreachable records that the owner of runs is unreachable, and the time from which its
-// callers may retry at another process. The runs must be over by then even if this
+// OwnerUnreachable records that the owner of runs is unreachable, and the time from which
+// its callers may retry at another process. The runs must be over by then even if this
 // process dies before it has stopped them, so no lease is renewed beyond that time.
-func (b *WorkerLease) OwnerUnreachable(o Owner, retryAt time.Time) { b.unreachableOwners[o] = retryAt }
+func (wl *WorkerLease) OwnerUnreachable(o Owner, retryAt time.Time) {
+	wl.unreachableOwners[o] = retryAt
+}
 
 // OwnerReachable records that the owner is reachable again.
-func (b *WorkerLease) OwnerReachable(o Owner) { delete(b.unreachableOwners, o) }
+func (wl *WorkerLease) OwnerReachable(o Owner) { delete(wl.unreachableOwners, o) }
 
 // renewalEnd returns the end of the lease that a call asks for now, or 0 for none.
-func (b *WorkerLease) renewalEnd(now time.Time) int64 {
-	until := b.maxWorkerClock(now) + leaseDuration.Milliseconds()
-	for o, retryAt := range b.unreachableOwners {
+func (wl *WorkerLease) renewalEnd(now time.Time) int64 {
+	until := wl.maxWorkerClock(now) + leaseDuration.Milliseconds()
+	for o, retryAt := range wl.unreachableOwners {
 		switch {
-		case b.hasRuns(o):
-			until = min(until, b.minWorkerClock(retryAt))
+		case wl.hasRuns(o):
+			until = min(until, wl.minWorkerClock(retryAt))
 		case now.After(retryAt):
-			delete(b.unreachableOwners, o)
+			delete(wl.unreachableOwners, o)
 		}
 	}
-	if until <= b.maxWorkerClock(now) {
+	if until <= wl.maxWorkerClock(now) {
 		return 0
 	}
 	return until
 }
 
-func (b *WorkerLease) hasRuns(o Owner) bool {
-	for _, e := range b.runs {
+func (wl *WorkerLease) hasRuns(o Owner) bool {
+	for _, e := range wl.runs {
 		if e.owner == o {
 			return true
 		}
@@ -38,6 +40,6 @@
 
 // minWorkerClock returns the lowest value that the worker's clock can have at a local
 // time: the clock may run slow by MaxClockDrift.
-func (b *WorkerLease) minWorkerClock(t time.Time) int64 {
-	return b.clock + int64(float64(t.Sub(b.clockAt).Milliseconds())*(1-MaxClockDrift))
+func (wl *WorkerLease) minWorkerClock(t time.Time) int64 {
+	return wl.clock + int64(float64(t.Sub(wl.clockAt).Milliseconds())*(1-MaxClockDrift))
 }
--- a/lease/away_test.go
+++ b/lease/away_test.go
@@ -11,22 +11,22 @@
 	whole := leaseDuration.Milliseconds()
 	for _, tt := range []struct {
 		name   string
-		change func(b *WorkerLease)
+		change func(wl *WorkerLease)
 		// want is the duration that the next renewal, at 300 ms, asks for.
 		want int64
 	}{
 		{"reachable", func(*WorkerLease) {}, whole},
-		{"unreachable", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(1000)) }, 686},
-		{"unreachable, retry is far", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(2000)) }, whole},
-		{"unreachable, retry has passed", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(250)) }, 0},
-		{"reachable again", func(b *WorkerLease) { b.OwnerUnreachable(alice, ms(1000)); b.OwnerReachable(alice) }, whole},
-		{"another one is unreachable", func(b *WorkerLease) { b.OwnerUnreachable(bob, ms(1000)) }, whole},
+		{"unreachable", func(wl *WorkerLease) { wl.OwnerUnreachable(alice, ms(1000)) }, 686},
+		{"unreachable, retry is far", func(wl *WorkerLease) { wl.OwnerUnreachable(alice, ms(2000)) }, whole},
+		{"unreachable, retry has passed", func(wl *WorkerLease) { wl.OwnerUnreachable(alice, ms(250)) }, 0},
+		{"reachable again", func(wl *WorkerLease) { wl.OwnerUnreachable(alice, ms(1000)); wl.OwnerReachable(alice) }, whole},
+		{"another one is unreachable", func(wl *WorkerLease) { wl.OwnerUnreachable(bob, ms(1000)) }, whole},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b, poll, s := newRunningBook(t)
-			tt.change(b)
-			b.HoldAnswered(ms(300), poll, listResult(ms(300), []Run{s.Run}))
-			holds := takeActions(b).holds
+			wl, poll, s := newRunningLease(t)
+			tt.change(wl)
+			wl.HoldAnswered(ms(300), poll, listResult(ms(300), []Run{s.Run}))
+			holds := takeActions(wl).holds
 			if len(holds) != 1 {
 				t.Fatalf("calls %+v", holds)
 			}
--- a/lease/book.go
+++ b/lease/book.go
@@ -183,151 +183,151 @@
 
 // NewWorkerLease begins to hold a worker with a fence above floor, and with what its former
 // holder had learned of its speed. The floor must not be below any fence that is known to
-// have been used for the worker, including those of this process (Spent).
+// have been used for the worker, including those of this process (HighestFence).
 func NewWorkerLease(now time.Time, w Worker, own, floor Fence, speed Speed, stats *PoolStats) *WorkerLease {
 	fence := own.Above(floor)
-	b := &WorkerLease{worker: w, speed: speed, pool: stats, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]Outcome), nextHoldAt: now}
-	b.Tick(now)
-	return b
+	wl := &WorkerLease{worker: w, speed: speed, pool: stats, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]Outcome), nextHoldAt: now}
+	wl.Tick(now)
+	return wl
 }
 
 // Take returns the actions that have come up since the last call.
-func (b *WorkerLease) Take() []Action {
-	a := b.actions
-	b.actions = nil
+func (wl *WorkerLease) Take() []Action {
+	a := wl.actions
+	wl.actions = nil
 	return a
 }
 
-func (b *WorkerLease) Worker() Worker { return b.worker }
+func (wl *WorkerLease) Worker() Worker { return wl.worker }
 
 // Closed reports whether this process does not hold the worker any more: another holder
 // has taken over, the worker is gone or has never answered, all rounds of the term are
 // used, or the worker was released. There is nothing left to do.
-func (b *WorkerLease) Closed() bool { return b.phase == closed }
+func (wl *WorkerLease) Closed() bool { return wl.phase == closed }
 
 // CloseReason returns the reason why the worker is not held any more, as a short name.
-func (b *WorkerLease) CloseReason() string { return b.closeReason }
+func (wl *WorkerLease) CloseReason() string { return wl.closeReason }
 
 // maxWorkerClock returns the highest value that the worker's clock can have at a local
 // time: the clock may run slow, but not fast.
-func (b *WorkerLease) maxWorkerClock(t time.Time) int64 {
-	return b.clock + t.Sub(b.clockAt).Milliseconds()
+func (wl *WorkerLease) maxWorkerClock(t time.Time) int64 {
+	return wl.clock + t.Sub(wl.clockAt).Milliseconds()
 }
 
 // LeaseEnd returns when every lease asked for so far has expired.
-func (b *WorkerLease) LeaseEnd() time.Time {
-	left := time.Duration(float64(b.leaseEnd-b.clock)/(1-MaxClockDrift)) * time.Millisecond
-	return b.clockAt.Add(max(left, 0) + leaseEndMargin)
+func (wl *WorkerLease) LeaseEnd() time.Time {
+	left := time.Duration(float64(wl.leaseEnd-wl.clock)/(1-MaxClockDrift)) * time.Millisecond
+	return wl.clockAt.Add(max(left, 0) + leaseEndMargin)
 }
 
 // usedResources returns the resources that all runs take together.
-func (b *WorkerLease) usedResources() Resources {
+func (wl *WorkerLease) usedResources() Resources {
 	var r Resources
-	for _, e := range b.runs {
+	for _, e := range wl.runs {
 		r = r.Plus(e.Resources)
 	}
 	return r
 }
 
 // callMissed records a call that got no answer.
-func (b *WorkerLease) callMissed(now time.Time) {
-	b.failures++
-	b.lossyUntil = now.Add(lossyPeriod)
-	b.checkDue = true
-	b.nextHoldAt = now
-	if b.failures >= unreachableThreshold {
-		b.unreported = b.unreported || b.usable
-		b.usable = false
+func (wl *WorkerLease) callMissed(now time.Time) {
+	wl.failures++
+	wl.lossyUntil = now.Add(lossyPeriod)
+	wl.checkDue = true
+	wl.nextHoldAt = now
+	if wl.failures >= unreachableThreshold {
+		wl.unreported = wl.unreported || wl.usable
+		wl.usable = false
 	}
-	if b.failures > unreachableThreshold {
-		b.nextHoldAt = now.Add(holdRetryInterval)
+	if wl.failures > unreachableThreshold {
+		wl.nextHoldAt = now.Add(holdRetryInterval)
 	}
 }
 
 // Stop stops a run.
-func (b *WorkerLease) Stop(now time.Time, r Run) {
-	e, ok := b.runs[r]
+func (wl *WorkerLease) Stop(now time.Time, r Run) {
+	e, ok := wl.runs[r]
 	if !ok {
 		return
 	}
-	b.stop(now, e)
+	wl.stop(now, e)
 }
 
-func (b *WorkerLease) stop(now time.Time, e *run) {
+func (wl *WorkerLease) stop(now time.Time, e *run) {
 	if e.state == stopping && now.Sub(e.stopSentAt) < stopRetryInterval {
 		return
 	}
 	e.state, e.stopSentAt = stopping, now
-	b.unreported = true
-	b.emit(Action{Stop: &StopCall{Run: e.Run, Fence: b.fence}})
+	wl.unreported = true
+	wl.emit(Action{Stop: &StopCall{Run: e.Run, Fence: wl.fence}})
 }
 
 // OwnerLost stops the runs of a process that was lost. Its caller may retry at another
 // process and have the tasks started again.
-func (b *WorkerLease) OwnerLost(now time.Time, o Owner) {
-	for _, e := range b.sortedRuns() {
+func (wl *WorkerLease) OwnerLost(now time.Time, o Owner) {
+	for _, e := range wl.sortedRuns() {
 		if e.owner == o {
-			b.stop(now, e)
+			wl.stop(now, e)
 		}
 	}
 }
 
 // Drain marks the worker as draining: all further starts are refused.
-func (b *WorkerLease) Drain() {
-	b.unreported = b.unreported || !b.draining
-	b.draining = true
+func (wl *WorkerLease) Drain() {
+	wl.unreported = wl.unreported || !wl.draining
+	wl.draining = true
 }
 
 // Release gives the worker up for another holder: nothing is started any more, and the
-// book closes once no start is unanswered.
-func (b *WorkerLease) Release(now time.Time) {
-	if b.phase != closed {
-		b.phase = releasing
-		b.unreported = true
+// WorkerLease closes once no start is unanswered.
+func (wl *WorkerLease) Release(now time.Time) {
+	if wl.phase != closed {
+		wl.phase = releasing
+		wl.unreported = true
 	}
-	b.Tick(now)
+	wl.Tick(now)
 }
 
 // Tick performs what is due at a time.
-func (b *WorkerLease) Tick(now time.Time) {
-	switch b.phase {
+func (wl *WorkerLease) Tick(now time.Time) {
+	switch wl.phase {
 	case closed:
 		return
 	case claiming:
-		if now.After(b.claimDeadline) {
-			b.endClaiming(now)
+		if now.After(wl.claimDeadline) {
+			wl.endClaiming(now)
 		}
 	case releasing:
-		if b.UnansweredStarts() == 0 {
-			b.close("passed_on")
+		if wl.UnansweredStarts() == 0 {
+			wl.close("passed_on")
 			return
 		}
 	}
-	for _, e := range b.sortedRuns() {
+	for _, e := range wl.sortedRuns() {
 		if e.state == stopping && now.Sub(e.stopSentAt) >= stopRetryInterval {
-			b.stop(now, e)
+			wl.stop(now, e)
 		}
 		// The planner knows what it has granted and needs no report of each start; short
 		// runs end before this delay, with one report in place of two.
 		if !e.reported && now.Sub(e.sentAt) >= reportDelay {
-			b.unreported = true
+			wl.unreported = true
 		}
 	}
 	// A lost poll hides ends until it times out. While calls get lost, a second call
 	// checks from time to time, but not so often that the checks fill the link.
-	if len(b.runs) > 0 && now.Before(b.lossyUntil) && b.openCheck == 0 && now.Sub(b.checkedAt) >= b.pool.timeout(0) {
-		b.checkDue = true
+	if len(wl.runs) > 0 && now.Before(wl.lossyUntil) && wl.openCheck == 0 && now.Sub(wl.checkedAt) >= wl.pool.timeout(0) {
+		wl.checkDue = true
 	}
-	if !b.usable && len(b.runs) > 0 && b.clock != 0 && now.After(b.LeaseEnd()) {
-		b.expireRuns(now)
+	if !wl.usable && len(wl.runs) > 0 && wl.clock != 0 && now.After(wl.LeaseEnd()) {
+		wl.expireRuns(now)
 	}
-	b.callHold(now)
+	wl.callHold(now)
 }
 
 // UnansweredStarts returns the number of unanswered starts.
-func (b *WorkerLease) UnansweredStarts() int {
+func (wl *WorkerLease) UnansweredStarts() int {
 	n := 0
-	for _, e := range b.runs {
+	for _, e := range wl.runs {
 		if e.state == starting {
 			n++
 		}
@@ -336,47 +336,47 @@
 }
 
 // expireRuns reports the runs of an unusable worker as lost: their leases have expired.
-func (b *WorkerLease) expireRuns(now time.Time) {
-	for _, e := range b.sortedRuns() {
-		b.end(now, e, End{Run: e.Run, Outcome: Lost})
+func (wl *WorkerLease) expireRuns(now time.Time) {
+	for _, e := range wl.sortedRuns() {
+		wl.end(now, e, End{Run: e.Run, Outcome: Lost})
 	}
 }
 
-func (b *WorkerLease) emit(a Action) { b.actions = append(b.actions, a) }
+func (wl *WorkerLease) emit(a Action) { wl.actions = append(wl.actions, a) }
 
-func (b *WorkerLease) tellOwner(o Owner, e End) {
-	b.emit(Action{Report: &OwnerReport{Owner: o, End: e}})
+func (wl *WorkerLease) tellOwner(o Owner, e End) {
+	wl.emit(Action{Report: &OwnerReport{Owner: o, End: e}})
 }
 
 // end removes a run and reports its end to the owner.
-func (b *WorkerLease) end(now time.Time, e *run, end End) {
-	if _, ok := b.runs[e.Run]; !ok {
+func (wl *WorkerLease) end(now time.Time, e *run, end End) {
+	if _, ok := wl.runs[e.Run]; !ok {
 		return
 	}
 	if !e.confirmedAt.IsZero() {
 		end.Took = now.Sub(e.confirmedAt)
 	}
-	delete(b.runs, e.Run)
-	b.removedRuns = append(b.removedRuns, e.Run)
-	b.unreported = true
-	b.speed.learnFromEnd(e, end)
+	delete(wl.runs, e.Run)
+	wl.removedRuns = append(wl.removedRuns, e.Run)
+	wl.unreported = true
+	wl.speed.learnFromEnd(e, end)
 	if !e.orphan {
-		b.tellOwner(e.owner, end)
+		wl.tellOwner(e.owner, end)
 	}
 }
 
 // close ends this holding for a reason, a short name. What still runs there belongs to
 // the next holder.
-func (b *WorkerLease) close(why string) {
-	b.phase, b.closeReason = closed, why
-	b.unreported = true
+func (wl *WorkerLease) close(why string) {
+	wl.phase, wl.closeReason = closed, why
+	wl.unreported = true
 }
 
 // sortedRuns returns the runs in the order of their starts, so that the same events have
 // the same outcome.
-func (b *WorkerLease) sortedRuns() []*run {
-	out := make([]*run, 0, len(b.runs))
-	for _, e := range b.runs {
+func (wl *WorkerLease) sortedRuns() []*run {
+	out := make([]*run, 0, len(wl.runs))
+	for _, e := range wl.runs {
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(x, y *run) int {
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -39,18 +39,18 @@
 	return r
 }
 
-// actions are the actions of a book, by kind.
+// actions are the actions of a WorkerLease, by kind.
 type actions struct {
-	holds  []HoldCall
-	starts []StartCall
-	stops  []StopCall
-	tells  []OwnerReport
-	held   bool
+	holds   []HoldCall
+	starts  []StartCall
+	stops   []StopCall
+	reports []OwnerReport
+	held    bool
 }
 
-func takeActions(b *WorkerLease) actions {
+func takeActions(wl *WorkerLease) actions {
 	var out actions
-	for _, a := range b.Take() {
+	for _, a := range wl.Take() {
 		switch {
 		case a.Hold != nil:
 			out.holds = append(out.holds, *a.Hold)
@@ -59,7 +59,7 @@
 		case a.Stop != nil:
 			out.stops = append(out.stops, *a.Stop)
 		case a.Report != nil:
-			out.tells = append(out.tells, *a.Report)
+			out.reports = append(out.reports, *a.Report)
 		case a.AnnounceHeld:
 			out.held = true
 		}
@@ -67,40 +67,41 @@
 	return out
 }
 
-// newOpenBook returns a book that holds an idle worker at 0 ms, with its first poll.
-func newOpenBook(t *testing.T) (*WorkerLease, HoldCall) {
+// newOpenLease returns a WorkerLease that holds an idle worker at 0 ms, with its first
+// poll.
+func newOpenLease(t *testing.T) (*WorkerLease, HoldCall) {
 	t.Helper()
-	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
-	first := takeActions(b).holds
+	wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	first := takeActions(wl).holds
 	if len(first) != 1 || first[0].Until != 0 || first[0].Wait != 0 {
 		t.Fatalf("the first call %+v is not a check", first)
 	}
-	b.HoldAnswered(ms(0), first[0], listResult(ms(0), nil))
-	polls := takeActions(b)
+	wl.HoldAnswered(ms(0), first[0], listResult(ms(0), nil))
+	polls := takeActions(wl)
 	if !polls.held || len(polls.holds) != 1 || polls.holds[0].Until == 0 {
 		t.Fatalf("no renewal after the first answer: %+v", polls)
 	}
-	return b, polls.holds[0]
+	return wl, polls.holds[0]
 }
 
-// newRunningBook returns a book with one run, started at 10 ms, with its poll and its
-// start.
-func newRunningBook(t *testing.T) (*WorkerLease, HoldCall, StartCall) {
+// newRunningLease returns a WorkerLease with one run, started at 10 ms, with its poll and
+// its start.
+func newRunningLease(t *testing.T) (*WorkerLease, HoldCall, StartCall) {
 	t.Helper()
-	b, poll := newOpenBook(t)
-	b.Start(ms(10), alice, order("a", 1))
-	s := takeActions(b).starts
+	wl, poll := newOpenLease(t)
+	wl.Start(ms(10), alice, order("a", 1))
+	s := takeActions(wl).starts
 	if len(s) != 1 {
 		t.Fatalf("%d starts", len(s))
 	}
-	b.StartAnswered(ms(11), s[0], Result{Verdict: OK, Clock: 5011})
-	return b, poll, s[0]
+	wl.StartAnswered(ms(11), s[0], Result{Verdict: OK, Clock: 5011})
+	return wl, poll, s[0]
 }
 
-func wantEnd(t *testing.T, tells []OwnerReport, owner Owner, how Outcome, why Reason) {
+func wantEnd(t *testing.T, reports []OwnerReport, owner Owner, how Outcome, why Reason) {
 	t.Helper()
-	if len(tells) != 1 || tells[0].Owner != owner || tells[0].End.Outcome != how || tells[0].End.Why != why {
-		t.Errorf("reported %+v, want %v to %v because of %q", tells, how, owner, why)
+	if len(reports) != 1 || reports[0].Owner != owner || reports[0].End.Outcome != how || reports[0].End.Why != why {
+		t.Errorf("reported %+v, want %v to %v because of %q", reports, how, owner, why)
 	}
 }
 
@@ -109,19 +110,19 @@
 // third would be refused by a worker that enforces its resources, and overload one that
 // doesn't.
 func TestResourcesOfUnconfirmedRuns(t *testing.T) {
-	b, _, first := newRunningBook(t)
-	b.Start(ms(12), alice, order("b", 1))
-	second := takeActions(b).starts[0]
-	b.Stop(ms(13), first.Run)
-	b.Start(ms(14), alice, order("c", 1))
-	wantEnd(t, takeActions(b).tells, alice, NeverStarted, InsufficientResources)
-
-	b.StartAnswered(ms(100), second, Result{Verdict: NoAnswer})
-	check := takeActions(b).holds[0]
-	b.HoldAnswered(ms(101), check, listResult(ms(101), []Run{second.Run}, ListedEnd{1, first.Run, Stopped}))
-	takeActions(b)
-	b.Start(ms(102), alice, order("c", 1))
-	if s := takeActions(b).starts; len(s) != 1 {
+	wl, _, first := newRunningLease(t)
+	wl.Start(ms(12), alice, order("b", 1))
+	second := takeActions(wl).starts[0]
+	wl.Stop(ms(13), first.Run)
+	wl.Start(ms(14), alice, order("c", 1))
+	wantEnd(t, takeActions(wl).reports, alice, NeverStarted, InsufficientResources)
+
+	wl.StartAnswered(ms(100), second, Result{Verdict: NoAnswer})
+	check := takeActions(wl).holds[0]
+	wl.HoldAnswered(ms(101), check, listResult(ms(101), []Run{second.Run}, ListedEnd{1, first.Run, Stopped}))
+	takeActions(wl)
+	wl.Start(ms(102), alice, order("c", 1))
+	if s := takeActions(wl).starts; len(s) != 1 {
 		t.Error("no start although the run has stopped")
 	}
 }
@@ -140,23 +141,23 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := newOpenBook(t)
-			b.Start(ms(10), alice, order("a", 1))
-			s := takeActions(b).starts[0]
-			b.StartAnswered(ms(90), s, Result{Verdict: NoAnswer})
-			got := takeActions(b)
+			wl, _ := newOpenLease(t)
+			wl.Start(ms(10), alice, order("a", 1))
+			s := takeActions(wl).starts[0]
+			wl.StartAnswered(ms(90), s, Result{Verdict: NoAnswer})
+			got := takeActions(wl)
 			if len(got.holds) != 1 || got.holds[0].Fence <= s.Fence || got.holds[0].Wait != 0 {
 				t.Fatalf("%+v, want one call that voids the start", got.holds)
 			}
-			if len(got.tells) != 0 {
-				t.Fatalf("reported %+v before it is known", got.tells)
+			if len(got.reports) != 0 {
+				t.Fatalf("reported %+v before it is known", got.reports)
 			}
 			var runs []Run
 			if tt.running {
 				runs = append(runs, s.Run)
 			}
-			b.HoldAnswered(ms(91), got.holds[0], listResult(ms(91), runs))
-			tells := takeActions(b).tells
+			wl.HoldAnswered(ms(91), got.holds[0], listResult(ms(91), runs))
+			tells := takeActions(wl).reports
 			if tt.want != 0 {
 				wantEnd(t, tells, alice, tt.want, Unanswered)
 			} else if len(tells) != 0 {
@@ -171,30 +172,30 @@
 // renewed anything. The runs continue under the old lease for almost a second. If they
 // were reported as lost earlier, their owner would start them again while they run.
 func TestLeaseOfTheHolderBefore(t *testing.T) {
-	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
-	check := takeActions(b).holds[0]
-	b.HoldAnswered(ms(0), check, listResult(ms(0), []Run{{"a", 1}}))
-	takeActions(b)
-	b.Resumed(ms(1))
-	b.Claim(ms(1), alice, []Claim{claim("a", 1)})
+	wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	check := takeActions(wl).holds[0]
+	wl.HoldAnswered(ms(0), check, listResult(ms(0), []Run{{"a", 1}}))
+	takeActions(wl)
+	wl.Resumed(ms(1))
+	wl.Claim(ms(1), alice, []Claim{claim("a", 1)})
 	for at := 1; at < 990; at += 10 {
-		got := takeActions(b)
-		if len(got.tells) != 0 {
-			t.Fatalf("at %d ms reported %+v", at, got.tells)
+		got := takeActions(wl)
+		if len(got.reports) != 0 {
+			t.Fatalf("at %d ms reported %+v", at, got.reports)
 		}
 		for _, h := range got.holds {
-			b.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
+			wl.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
 		}
-		b.Tick(ms(at + 9))
+		wl.Tick(ms(at + 9))
 	}
 	for at := 1000; at < 2300; at += 50 {
-		b.Tick(ms(at))
-		got := takeActions(b)
+		wl.Tick(ms(at))
+		got := takeActions(wl)
 		for _, h := range got.holds {
-			b.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
+			wl.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
 		}
-		if len(got.tells) > 0 {
-			wantEnd(t, got.tells, alice, Lost, "")
+		if len(got.reports) > 0 {
+			wantEnd(t, got.reports, alice, Lost, "")
 			return
 		}
 	}
@@ -204,13 +205,13 @@
 // A new holder finds runs and waits for their owners. A call that waits for ends without
 // renewing would keep it from renewing for its whole wait, and the runs would be killed.
 func TestClaimedRunsAreRenewedAtOnce(t *testing.T) {
-	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
-	b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}))
-	if h := takeActions(b).holds; len(h) != 0 {
+	wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	wl.HoldAnswered(ms(0), takeActions(wl).holds[0], listResult(ms(0), []Run{{"a", 1}}))
+	if h := takeActions(wl).holds; len(h) != 0 {
 		t.Fatalf("calls %+v while runs are claimed", h)
 	}
-	b.Claim(ms(5), alice, []Claim{claim("a", 1)})
-	if h := takeActions(b).holds; len(h) != 1 || h[0].Until == 0 {
+	wl.Claim(ms(5), alice, []Claim{claim("a", 1)})
+	if h := takeActions(wl).holds; len(h) != 1 || h[0].Until == 0 {
 		t.Errorf("calls %+v, want one that renews", h)
 	}
 }
@@ -219,16 +220,16 @@
 // holder finds a run that nobody claims. If its lease were renewed, it would run beside
 // the copy that the caller has sent to another process.
 func TestUnclaimedRunIsStopped(t *testing.T) {
-	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
-	b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}, {"b", 1}}))
-	takeActions(b)
-	b.Claim(ms(2), alice, []Claim{claim("a", 1)})
-	b.Tick(ms(100))
-	if got := takeActions(b); len(got.stops) != 0 || len(got.holds) != 0 {
+	wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	wl.HoldAnswered(ms(0), takeActions(wl).holds[0], listResult(ms(0), []Run{{"a", 1}, {"b", 1}}))
+	takeActions(wl)
+	wl.Claim(ms(2), alice, []Claim{claim("a", 1)})
+	wl.Tick(ms(100))
+	if got := takeActions(wl); len(got.stops) != 0 || len(got.holds) != 0 {
 		t.Fatalf("%+v before the owners had time to claim", got)
 	}
-	b.Tick(ms(200))
-	got := takeActions(b)
+	wl.Tick(ms(200))
+	got := takeActions(wl)
 	if len(got.stops) != 1 || got.stops[0].Run != (Run{"b", 1}) {
 		t.Errorf("stops %+v, want only that of b", got.stops)
 	}
@@ -237,12 +238,12 @@
 // A new holder gets claims for runs that ended before it took over, that continue, and
 // that it has never seen.
 func TestClaims(t *testing.T) {
-	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
-	b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), []Run{{"a", 1}}, ListedEnd{4, Run{"b", 1}, Done}, ListedEnd{5, Run{"c", 1}, Failed}))
-	takeActions(b)
-	b.Claim(ms(2), bob, []Claim{claim("a", 1), claim("b", 1), claim("c", 1), claim("d", 1)})
+	wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	wl.HoldAnswered(ms(0), takeActions(wl).holds[0], listResult(ms(0), []Run{{"a", 1}}, ListedEnd{4, Run{"b", 1}, Done}, ListedEnd{5, Run{"c", 1}, Failed}))
+	takeActions(wl)
+	wl.Claim(ms(2), bob, []Claim{claim("a", 1), claim("b", 1), claim("c", 1), claim("d", 1)})
 	var got []Outcome
-	for _, e := range takeActions(b).tells {
+	for _, e := range takeActions(wl).reports {
 		if e.Owner != bob {
 			t.Errorf("reported to %v", e.Owner)
 		}
@@ -257,14 +258,14 @@
 // refuses its fence. It must give the worker up and report nothing of runs that are not
 // its own any more.
 func TestReplacedHolder(t *testing.T) {
-	b, poll, s := newRunningBook(t)
-	b.HoldAnswered(ms(20), poll, Result{Verdict: Refused, Reason: Fenced})
-	if got := takeActions(b); !b.Closed() || len(got.tells) != 0 || len(got.stops) != 0 {
-		t.Errorf("closed %v, actions %+v", b.Closed(), got)
-	}
-	b.Start(ms(21), alice, order("z", 1))
-	wantEnd(t, takeActions(b).tells, alice, NeverStarted, NotHeld)
-	if o := b.Owners(); len(o) != 1 || o[0] != alice {
+	wl, poll, s := newRunningLease(t)
+	wl.HoldAnswered(ms(20), poll, Result{Verdict: Refused, Reason: Fenced})
+	if got := takeActions(wl); !wl.Closed() || len(got.reports) != 0 || len(got.stops) != 0 {
+		t.Errorf("closed %v, actions %+v", wl.Closed(), got)
+	}
+	wl.Start(ms(21), alice, order("z", 1))
+	wantEnd(t, takeActions(wl).reports, alice, NeverStarted, NotHeld)
+	if o := wl.Owners(); len(o) != 1 || o[0] != alice {
 		t.Errorf("owners %v of %v", o, s.Run)
 	}
 }
@@ -272,16 +273,16 @@
 // A worker restarts under its old id: what ran there is gone, and its clock and the
 // numbers of its ends start over.
 func TestRestartedWorker(t *testing.T) {
-	b, poll, _ := newRunningBook(t)
+	wl, poll, _ := newRunningLease(t)
 	r := Result{Verdict: OK, Clock: 3, Incarnation: 8}
-	b.HoldAnswered(ms(300), poll, r)
-	got := takeActions(b)
-	wantEnd(t, got.tells, alice, Lost, "")
+	wl.HoldAnswered(ms(300), poll, r)
+	got := takeActions(wl)
+	wantEnd(t, got.reports, alice, Lost, "")
 	if len(got.holds) != 1 || got.holds[0].LastEndSeen != 0 || got.holds[0].Until > 3+2000 {
 		t.Errorf("calls %+v use the clock of the earlier incarnation", got.holds)
 	}
-	b.Start(ms(301), alice, order("a", 2))
-	if len(takeActions(b).starts) != 1 {
+	wl.Start(ms(301), alice, order("a", 2))
+	if len(takeActions(wl).starts) != 1 {
 		t.Error("no start on the new incarnation")
 	}
 }
@@ -289,36 +290,36 @@
 // Answers on two connections overtake each other: the list of an older call arrives after
 // a run was started, and does not contain it.
 func TestOldList(t *testing.T) {
-	b, poll, _ := newRunningBook(t)
-	b.HoldAnswered(ms(20), poll, listResult(ms(5), nil))
-	if got := takeActions(b).tells; len(got) != 0 {
+	wl, poll, _ := newRunningLease(t)
+	wl.HoldAnswered(ms(20), poll, listResult(ms(5), nil))
+	if got := takeActions(wl).reports; len(got) != 0 {
 		t.Errorf("reported %+v from a list older than the start", got)
 	}
-	b.HoldAnswered(ms(30), HoldCall{Fence: b.Fence()}, listResult(ms(30), nil))
-	wantEnd(t, takeActions(b).tells, alice, Lost, "")
+	wl.HoldAnswered(ms(30), HoldCall{Fence: wl.Fence()}, listResult(ms(30), nil))
+	wantEnd(t, takeActions(wl).reports, alice, Lost, "")
 }
 
 // A worker is unreachable, and what it runs may go on. The runs are reported as lost only
 // when every lease that was asked for has expired, also on a clock that is slow.
 func TestRunsAreLostWhenTheLeaseExpires(t *testing.T) {
-	b, poll, _ := newRunningBook(t)
-	b.HoldAnswered(ms(500), poll, Result{Verdict: NoAnswer})
+	wl, poll, _ := newRunningLease(t)
+	wl.HoldAnswered(ms(500), poll, Result{Verdict: NoAnswer})
 	for at := 500; at < 2000; at += 10 {
-		b.Tick(ms(at))
-		got := takeActions(b)
+		wl.Tick(ms(at))
+		got := takeActions(wl)
 		for _, h := range got.holds {
 			if h.Until != 0 {
 				t.Fatalf("%+v renews although the worker does not answer", h)
 			}
-			b.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
+			wl.HoldAnswered(ms(at), h, Result{Verdict: NoAnswer})
 		}
-		if len(got.tells) == 0 {
+		if len(got.reports) == 0 {
 			continue
 		}
 		// The poll of 0 ms asked for 1,000 ms, which a clock 2% slow reaches
 		// after 1,020.
 		if at < 1020 {
-			t.Errorf("reported %+v at %d ms", got.tells, at)
+			t.Errorf("reported %+v at %d ms", got.reports, at)
 		}
 		return
 	}
@@ -328,53 +329,53 @@
 // One call to a healthy worker gets no answer. The worker stays in use: otherwise
 // occasional lost calls would take a good part of all workers out of use.
 func TestOneLostCall(t *testing.T) {
-	b, poll, _ := newRunningBook(t)
-	b.HoldAnswered(ms(400), poll, Result{Verdict: NoAnswer})
-	got := takeActions(b)
+	wl, poll, _ := newRunningLease(t)
+	wl.HoldAnswered(ms(400), poll, Result{Verdict: NoAnswer})
+	got := takeActions(wl)
 	if len(got.holds) != 1 || got.holds[0].Wait != 0 {
 		t.Fatalf("calls %+v, want one check at once", got.holds)
 	}
-	b.Start(ms(401), alice, order("b", 1))
-	if s := takeActions(b).starts; len(s) != 1 {
+	wl.Start(ms(401), alice, order("b", 1))
+	if s := takeActions(wl).starts; len(s) != 1 {
 		t.Error("the worker is not used any more")
 	}
 	for i := range unreachableThreshold - 1 {
 		check := got.holds[0]
-		b.HoldAnswered(ms(410+i), check, Result{Verdict: NoAnswer})
-		if got = takeActions(b); len(got.holds) == 0 {
+		wl.HoldAnswered(ms(410+i), check, Result{Verdict: NoAnswer})
+		if got = takeActions(wl); len(got.holds) == 0 {
 			break
 		}
 	}
-	b.Start(ms(420), alice, order("c", 1))
-	wantEnd(t, takeActions(b).tells, alice, NeverStarted, Unusable)
+	wl.Start(ms(420), alice, order("c", 1))
+	wantEnd(t, takeActions(wl).reports, alice, NeverStarted, Unusable)
 }
 
 // A holder that releases its worker starts nothing more and closes when no start is
 // unanswered.
 func TestRelease(t *testing.T) {
-	b, _ := newOpenBook(t)
-	b.Start(ms(10), alice, order("a", 1))
-	s := takeActions(b).starts[0]
-	b.Release(ms(11))
-	b.Start(ms(12), alice, order("b", 1))
-	wantEnd(t, takeActions(b).tells, alice, NeverStarted, NotHeld)
-	if b.Closed() {
+	wl, _ := newOpenLease(t)
+	wl.Start(ms(10), alice, order("a", 1))
+	s := takeActions(wl).starts[0]
+	wl.Release(ms(11))
+	wl.Start(ms(12), alice, order("b", 1))
+	wantEnd(t, takeActions(wl).reports, alice, NeverStarted, NotHeld)
+	if wl.Closed() {
 		t.Error("closed while a start is unanswered")
 	}
-	b.StartAnswered(ms(13), s, Result{Verdict: OK, Clock: 5013})
-	b.Tick(ms(14))
-	if !b.Closed() {
+	wl.StartAnswered(ms(13), s, Result{Verdict: OK, Clock: 5013})
+	wl.Tick(ms(14))
+	if !wl.Closed() {
 		t.Error("not closed")
 	}
 }
 
 // The order to drain a worker overtakes starts that were granted before.
 func TestDrainingWorker(t *testing.T) {
-	b, _ := newOpenBook(t)
-	b.Drain()
-	b.Start(ms(10), alice, order("a", 1))
-	wantEnd(t, takeActions(b).tells, alice, NeverStarted, Draining)
-	if s := b.State(ms(11)); !s.Draining {
+	wl, _ := newOpenLease(t)
+	wl.Drain()
+	wl.Start(ms(10), alice, order("a", 1))
+	wantEnd(t, takeActions(wl).reports, alice, NeverStarted, Draining)
+	if s := wl.State(ms(11)); !s.Draining {
 		t.Error("the state does not show that the worker drains")
 	}
 }
@@ -382,15 +383,15 @@
 // A start is refused as fenced because this holder has raised its own round since: it is
 // sent again and not reported as refused.
 func TestStartFencedByOwnRound(t *testing.T) {
-	b, _ := newOpenBook(t)
-	b.Start(ms(10), alice, order("a", 1))
-	b.Start(ms(10), alice, order("b", 1))
-	starts := takeActions(b).starts
-	b.StartAnswered(ms(90), starts[0], Result{Verdict: NoAnswer})
-	takeActions(b)
-	b.StartAnswered(ms(91), starts[1], Result{Verdict: Refused, Reason: Fenced, Clock: 5091})
-	got := takeActions(b)
-	if len(got.tells) != 0 || len(got.starts) != 1 || got.starts[0].Fence <= starts[1].Fence {
+	wl, _ := newOpenLease(t)
+	wl.Start(ms(10), alice, order("a", 1))
+	wl.Start(ms(10), alice, order("b", 1))
+	starts := takeActions(wl).starts
+	wl.StartAnswered(ms(90), starts[0], Result{Verdict: NoAnswer})
+	takeActions(wl)
+	wl.StartAnswered(ms(91), starts[1], Result{Verdict: Refused, Reason: Fenced, Clock: 5091})
+	got := takeActions(wl)
+	if len(got.reports) != 0 || len(got.starts) != 1 || got.starts[0].Fence <= starts[1].Fence {
 		t.Errorf("%+v, want the start again with a higher round", got)
 	}
 }
@@ -427,20 +428,20 @@
 // for starts, and what has started since would be reported as lost and start a second
 // time.
 func TestAnswersFromBeforeAPause(t *testing.T) {
-	b, poll, s := newRunningBook(t)
-	b.Resumed(ms(5000))
-	check := takeActions(b).holds
+	wl, poll, s := newRunningLease(t)
+	wl.Resumed(ms(5000))
+	check := takeActions(wl).holds
 	if len(check) != 1 || check[0].Until != 0 {
 		t.Fatalf("calls %+v after a pause, want one that renews nothing", check)
 	}
-	b.HoldAnswered(ms(5001), poll, listResult(ms(300), nil))
-	if got := takeActions(b); len(got.tells) != 0 || len(got.holds) != 0 {
+	wl.HoldAnswered(ms(5001), poll, listResult(ms(300), nil))
+	if got := takeActions(wl); len(got.reports) != 0 || len(got.holds) != 0 {
 		t.Errorf("%+v from an answer older than the suspension", got)
 	}
-	b.Start(ms(5002), alice, order("b", 1))
-	wantEnd(t, takeActions(b).tells, alice, NeverStarted, Unusable)
-	b.HoldAnswered(ms(5003), check[0], listResult(ms(5003), []Run{s.Run}))
-	if got := takeActions(b).tells; len(got) != 0 {
+	wl.Start(ms(5002), alice, order("b", 1))
+	wantEnd(t, takeActions(wl).reports, alice, NeverStarted, Unusable)
+	wl.HoldAnswered(ms(5003), check[0], listResult(ms(5003), []Run{s.Run}))
+	if got := takeActions(wl).reports; len(got) != 0 {
 		t.Errorf("reported %+v of a run that continues", got)
 	}
 }
@@ -451,15 +452,15 @@
 // lost: it was one run in three. So a holder that never got an answer gives up, and does
 // not claim to have used a fence.
 func TestHolderThatNeverGetsAnAnswerGivesUp(t *testing.T) {
-	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
 	for at := 0; at < 600; at += 20 {
-		for _, h := range takeActions(b).holds {
-			b.HoldAnswered(ms(at+20), h, Result{Verdict: NoAnswer})
+		for _, h := range takeActions(wl).holds {
+			wl.HoldAnswered(ms(at+20), h, Result{Verdict: NoAnswer})
 		}
-		b.Tick(ms(at + 20))
+		wl.Tick(ms(at + 20))
 	}
-	if s, _ := b.Changed(ms(700)); !b.Closed() || !s.Released || s.Fence != 0 {
-		t.Errorf("closed %v, state %+v", b.Closed(), s)
+	if s, _ := wl.Changed(ms(700)); !wl.Closed() || !s.Released || s.Fence != 0 {
+		t.Errorf("closed %v, state %+v", wl.Closed(), s)
 	}
 }
 
@@ -467,18 +468,18 @@
 // the run continues there. When the first one resumes, it can't conclude from its own
 // lease that the run is over: it would be started a second time beside the first.
 func TestResumedHolderReportsNoRunLost(t *testing.T) {
-	b, poll := newOpenBook(t)
-	b.Start(ms(10), alice, order("a", 1))
-	s := takeActions(b).starts[0]
-	b.StartAnswered(ms(11), s, Result{Verdict: OK, Clock: 5011})
-	b.HoldAnswered(ms(20), poll, listResult(ms(20), []Run{s.Run}))
-	takeActions(b)
+	wl, poll := newOpenLease(t)
+	wl.Start(ms(10), alice, order("a", 1))
+	s := takeActions(wl).starts[0]
+	wl.StartAnswered(ms(11), s, Result{Verdict: OK, Clock: 5011})
+	wl.HoldAnswered(ms(20), poll, listResult(ms(20), []Run{s.Run}))
+	takeActions(wl)
 	for at := 1400; at < 2390; at += 50 {
 		if at == 1400 {
-			b.Resumed(ms(at))
+			wl.Resumed(ms(at))
 		}
-		b.Tick(ms(at))
-		if got := takeActions(b).tells; len(got) != 0 {
+		wl.Tick(ms(at))
+		if got := takeActions(wl).reports; len(got) != 0 {
 			t.Fatalf("at %d ms reported %+v", at, got)
 		}
 	}
@@ -489,14 +490,14 @@
 // worker refuses the first order, and the start is sent again: it must carry the text
 // that the caller sent, or the worker does some other work, or none.
 func TestClaimedStartKeepsItsText(t *testing.T) {
-	b, _ := newOpenBook(t)
-	b.Start(ms(10), alice, order("a", 1))
-	first := takeActions(b).starts[0]
-	b.Start(ms(11), alice, order("b", 1))
-	b.StartAnswered(ms(60), takeActions(b).starts[0], Result{Verdict: NoAnswer})
-	b.Claim(ms(61), alice, []Claim{claim("a", 1)})
-	b.StartAnswered(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
-	again := takeActions(b).starts
+	wl, _ := newOpenLease(t)
+	wl.Start(ms(10), alice, order("a", 1))
+	first := takeActions(wl).starts[0]
+	wl.Start(ms(11), alice, order("b", 1))
+	wl.StartAnswered(ms(60), takeActions(wl).starts[0], Result{Verdict: NoAnswer})
+	wl.Claim(ms(61), alice, []Claim{claim("a", 1)})
+	wl.StartAnswered(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
+	again := takeActions(wl).starts
 	if len(again) != 1 || again[0].Spec != "text" {
 		t.Errorf("sent again: %+v", again)
 	}
@@ -507,14 +508,14 @@
 // be past: a run that the previous holder has just renewed would be reported as lost at
 // once, and started beside itself.
 func TestSuspendedBeforeTheFirstAnswer(t *testing.T) {
-	b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
-	first := takeActions(b).holds[0]
-	b.Resumed(ms(700))
-	b.HoldAnswered(ms(701), first, Result{Verdict: NoAnswer})
-	for _, h := range takeActions(b).holds {
-		b.HoldAnswered(ms(702), h, listResult(ms(702), nil))
-	}
-	if end := b.LeaseEnd(); end.Before(ms(1702)) || end.After(ms(3000)) {
+	wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, &PoolStats{})
+	first := takeActions(wl).holds[0]
+	wl.Resumed(ms(700))
+	wl.HoldAnswered(ms(701), first, Result{Verdict: NoAnswer})
+	for _, h := range takeActions(wl).holds {
+		wl.HoldAnswered(ms(702), h, listResult(ms(702), nil))
+	}
+	if end := wl.LeaseEnd(); end.Before(ms(1702)) || end.After(ms(3000)) {
 		t.Errorf("the lease ends at %v", end.Sub(epoch))
 	}
 }
@@ -529,29 +530,29 @@
 	}{{"it is in the list", true}, {"it is still in flight", false}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, poll, old := newRunningBook(t)
-			b.Start(ms(20), alice, order("b", 1))
-			s := takeActions(b).starts[0]
+			wl, poll, old := newRunningLease(t)
+			wl.Start(ms(20), alice, order("b", 1))
+			s := takeActions(wl).starts[0]
 			r := Result{Verdict: OK, Clock: 4, Incarnation: 8}
 			if tt.running {
 				r.Running = []ListedRun{{Run: s.Run}}
 			}
-			b.HoldAnswered(ms(21), poll, r)
-			got := takeActions(b)
-			wantEnd(t, got.tells, alice, Lost, "")
-			if got.tells[0].End.Run != old.Run {
-				t.Errorf("%v is lost", got.tells[0].End.Run)
+			wl.HoldAnswered(ms(21), poll, r)
+			got := takeActions(wl)
+			wantEnd(t, got.reports, alice, Lost, "")
+			if got.reports[0].End.Run != old.Run {
+				t.Errorf("%v is lost", got.reports[0].End.Run)
 			}
-			b.StartAnswered(ms(22), s, Result{Verdict: OK, Clock: 5})
+			wl.StartAnswered(ms(22), s, Result{Verdict: OK, Clock: 5})
 			for range 2 {
-				for _, h := range takeActions(b).holds {
-					b.HoldAnswered(ms(30), h, Result{Verdict: OK, Clock: 9, Incarnation: 8, Running: []ListedRun{{Run: s.Run}}})
+				for _, h := range takeActions(wl).holds {
+					wl.HoldAnswered(ms(30), h, Result{Verdict: OK, Clock: 9, Incarnation: 8, Running: []ListedRun{{Run: s.Run}}})
 				}
 			}
-			if got := takeActions(b).tells; len(got) != 0 {
+			if got := takeActions(wl).reports; len(got) != 0 {
 				t.Errorf("reported %+v of the run on the new incarnation", got)
 			}
-			if n := len(b.Snapshot(ms(40)).Runs); n != 1 {
+			if n := len(wl.Snapshot(ms(40)).Runs); n != 1 {
 				t.Errorf("%d runs, want that of the new incarnation", n)
 			}
 		})
@@ -562,19 +563,19 @@
 // runs something that is unknown here. If these resources were granted again and again,
 // pending tasks would be kept from resources that are really free.
 func TestRefusalForResourcesBlocksStarts(t *testing.T) {
-	b, poll := newOpenBook(t)
-	b.Start(ms(10), alice, order("a", 1))
-	s := takeActions(b).starts[0]
-	b.StartAnswered(ms(11), s, Result{Verdict: Refused, Reason: InsufficientResources, Clock: 5011})
-	got := takeActions(b)
-	wantEnd(t, got.tells, alice, NeverStarted, InsufficientResources)
-	if len(got.holds) != 1 || b.State(ms(12)).Open {
-		t.Fatalf("calls %+v, open %v; want a check, and no more starts", got.holds, b.State(ms(12)).Open)
-	}
-	b.Start(ms(13), alice, order("b", 1))
-	wantEnd(t, takeActions(b).tells, alice, NeverStarted, InsufficientResources)
-	b.HoldAnswered(ms(14), got.holds[0], listResult(ms(14), nil))
-	if !b.State(ms(15)).Open {
+	wl, poll := newOpenLease(t)
+	wl.Start(ms(10), alice, order("a", 1))
+	s := takeActions(wl).starts[0]
+	wl.StartAnswered(ms(11), s, Result{Verdict: Refused, Reason: InsufficientResources, Clock: 5011})
+	got := takeActions(wl)
+	wantEnd(t, got.reports, alice, NeverStarted, InsufficientResources)
+	if len(got.holds) != 1 || wl.State(ms(12)).Open {
+		t.Fatalf("calls %+v, open %v; want a check, and no more starts", got.holds, wl.State(ms(12)).Open)
+	}
+	wl.Start(ms(13), alice, order("b", 1))
+	wantEnd(t, takeActions(wl).reports, alice, NeverStarted, InsufficientResources)
+	wl.HoldAnswered(ms(14), got.holds[0], listResult(ms(14), nil))
+	if !wl.State(ms(15)).Open {
 		t.Error("not open after the list")
 	}
 	_ = poll
--- a/lease/call.go
+++ b/lease/call.go
@@ -4,7 +4,7 @@
 
 // HoldCall renews the lease of a worker, or only queries it if Until is 0.
 type HoldCall struct {
-	// Number identifies the call among those of a book.
+	// Number identifies the call among those of a WorkerLease.
 	Number int
 	Fence  Fence
 	// Until is the requested end of the lease on the worker's clock, in milliseconds; 0
@@ -83,15 +83,15 @@
 	Outcome Outcome
 }
 
-// Action is what a book asks its driver to do. One field is set.
+// Action is what a WorkerLease asks its driver to do. One field is set.
 type Action struct {
 	Hold  *HoldCall
 	Start *StartCall
 	Stop  *StopCall
 	// Report reports an end to the owner of the run.
 	Report *OwnerReport
-	// AnnounceHeld announces to all processes that this one holds the worker now; those that have
-	// runs there claim them.
+	// AnnounceHeld announces to all processes that this one holds the worker now; those
+	// that have runs there claim them.
 	AnnounceHeld bool
 }
 
--- a/lease/claim.go
+++ b/lease/claim.go
@@ -15,36 +15,36 @@
 // worker, or, in a new session with the owner, for those that it has started itself. Runs
 // that don't exist are reported as lost. It must not be called for runs that were placed
 // under a later holder: this one's list is older than they are.
-func (b *WorkerLease) Claim(now time.Time, owner Owner, claims []Claim) {
+func (wl *WorkerLease) Claim(now time.Time, owner Owner, claims []Claim) {
 	for _, c := range claims {
-		b.claim(owner, c)
+		wl.claim(owner, c)
 	}
-	if b.phase == claiming && !b.hasOrphans() {
-		b.endClaiming(now)
+	if wl.phase == claiming && !wl.hasOrphans() {
+		wl.endClaiming(now)
 	}
 }
 
-func (b *WorkerLease) claim(owner Owner, c Claim) {
-	if e, ok := b.runs[c.Run]; ok {
+func (wl *WorkerLease) claim(owner Owner, c Claim) {
+	if e, ok := wl.runs[c.Run]; ok {
 		e.owner, e.orphan = owner, false
 		e.Claim = c
-		e.reported, b.unreported = false, true
+		e.reported, wl.unreported = false, true
 		return
 	}
-	if how, ok := b.unclaimedEnds[c.Run]; ok {
-		b.tellOwner(owner, End{Run: c.Run, Outcome: how})
+	if outcome, ok := wl.unclaimedEnds[c.Run]; ok {
+		wl.tellOwner(owner, End{Run: c.Run, Outcome: outcome})
 		return
 	}
 	// Before the first list nothing is known; the claim is repeated when the worker is
 	// announced as held.
-	if b.phase == connecting {
+	if wl.phase == connecting {
 		return
 	}
-	b.tellOwner(owner, End{Run: c.Run, Outcome: Lost})
+	wl.tellOwner(owner, End{Run: c.Run, Outcome: Lost})
 }
 
-func (b *WorkerLease) hasOrphans() bool {
-	for _, e := range b.runs {
+func (wl *WorkerLease) hasOrphans() bool {
+	for _, e := range wl.runs {
 		if e.orphan {
 			return true
 		}
@@ -54,15 +54,15 @@
 
 // endClaiming opens the worker after the owners have claimed their runs. Unclaimed runs
 // are stopped: their caller may be served by another process by now.
-func (b *WorkerLease) endClaiming(now time.Time) {
-	b.phase = open
-	b.unclaimedEnds = make(map[Run]Outcome)
-	b.unreported = true
-	for _, e := range b.sortedRuns() {
+func (wl *WorkerLease) endClaiming(now time.Time) {
+	wl.phase = open
+	wl.unclaimedEnds = make(map[Run]Outcome)
+	wl.unreported = true
+	for _, e := range wl.sortedRuns() {
 		if e.orphan {
-			b.stop(now, e)
+			wl.stop(now, e)
 		}
 	}
-	b.nextHoldAt = now
-	b.Tick(now)
+	wl.nextHoldAt = now
+	wl.Tick(now)
 }
--- a/lease/hold.go
+++ b/lease/hold.go
@@ -8,230 +8,230 @@
 // callHold issues hold calls: a poll, which waits for ends, and a check, which returns at
 // once, when the worker does not answer or something has to be known now. No poll is made
 // while runs are being claimed: it would renew nothing and delay the call that renews.
-func (b *WorkerLease) callHold(now time.Time) {
-	if b.phase == closed || now.Before(b.nextHoldAt) {
+func (wl *WorkerLease) callHold(now time.Time) {
+	if wl.phase == closed || now.Before(wl.nextHoldAt) {
 		return
 	}
 	switch {
-	case b.openPoll == 0 && b.usable && b.failures == 0 && b.phase != connecting && b.phase != claiming:
-		b.openPoll = b.emitHoldCall(now, b.nextPollWait(now))
-	case (!b.usable || b.checkDue) && b.openCheck == 0:
-		b.checkDue, b.checkedAt = false, now
-		b.openCheck = b.emitHoldCall(now, 0)
+	case wl.openPoll == 0 && wl.usable && wl.failures == 0 && wl.phase != connecting && wl.phase != claiming:
+		wl.openPoll = wl.emitHoldCall(now, wl.nextPollWait(now))
+	case (!wl.usable || wl.checkDue) && wl.openCheck == 0:
+		wl.checkDue, wl.checkedAt = false, now
+		wl.openCheck = wl.emitHoldCall(now, 0)
 	}
 }
 
-func (b *WorkerLease) nextPollWait(now time.Time) time.Duration {
+func (wl *WorkerLease) nextPollWait(now time.Time) time.Duration {
 	switch {
-	case now.Before(b.lossyUntil):
+	case now.Before(wl.lossyUntil):
 		return lossyPollWait
-	case len(b.runs) == 0:
+	case len(wl.runs) == 0:
 		return idlePollWait
 	}
 	return pollWait
 }
 
-func (b *WorkerLease) emitHoldCall(now time.Time, wait time.Duration) int {
-	b.callCount++
-	c := &HoldCall{Number: b.callCount, Fence: b.fence, LastEndSeen: b.lastEndSeen, Wait: wait, Timeout: wait + b.pool.timeout(answerTimeout), Sent: now}
+func (wl *WorkerLease) emitHoldCall(now time.Time, wait time.Duration) int {
+	wl.callCount++
+	c := &HoldCall{Number: wl.callCount, Fence: wl.fence, LastEndSeen: wl.lastEndSeen, Wait: wait, Timeout: wait + wl.pool.timeout(answerTimeout), Sent: now}
 	// A call to an unreachable worker renews nothing: the renewal may take effect
 	// although the answer is lost, and the runs there would be in doubt for as long as
 	// calls are tried. Nor does the first call after a suspension.
-	if b.clock != 0 && b.usable && b.failures == 0 && (b.phase == open || b.phase == releasing) {
-		c.Until = b.renewalEnd(now)
-		b.leaseEnd = max(b.leaseEnd, c.Until)
+	if wl.clock != 0 && wl.usable && wl.failures == 0 && (wl.phase == open || wl.phase == releasing) {
+		c.Until = wl.renewalEnd(now)
+		wl.leaseEnd = max(wl.leaseEnd, c.Until)
 	}
-	b.emit(Action{Hold: c})
+	wl.emit(Action{Hold: c})
 	return c.Number
 }
 
 // HoldAnswered handles the answer to a hold call.
-func (b *WorkerLease) HoldAnswered(now time.Time, c HoldCall, r Result) {
-	if b.fromEarlierHolding(c.Fence) {
+func (wl *WorkerLease) HoldAnswered(now time.Time, c HoldCall, r Result) {
+	if wl.fromEarlierHolding(c.Fence) {
 		return
 	}
 	switch c.Number {
-	case b.openPoll:
-		b.openPoll = 0
-	case b.openCheck:
-		b.openCheck = 0
+	case wl.openPoll:
+		wl.openPoll = 0
+	case wl.openCheck:
+		wl.openCheck = 0
 	}
-	if b.phase == closed {
+	if wl.phase == closed {
 		return
 	}
-	if c.Sent.Before(b.resumedAt) {
-		b.Tick(now)
+	if c.Sent.Before(wl.resumedAt) {
+		wl.Tick(now)
 		return
 	}
 	if c.Wait == 0 {
-		b.pool.recordAnswer(now.Sub(c.Sent), r)
+		wl.pool.recordAnswer(now.Sub(c.Sent), r)
 	}
 	switch r.Verdict {
 	case OK:
-		b.handleList(now, c, r)
+		wl.handleList(now, c, r)
 	case Refused:
-		b.holdRefused(now, c, r)
+		wl.holdRefused(now, c, r)
 	case OtherIncarnation:
-		b.loseAllRuns(now)
-		b.close("worker_gone")
+		wl.loseAllRuns(now)
+		wl.close("worker_gone")
 	case NoAnswer:
-		b.callMissed(now)
-		b.closeIfNeverAnswered()
+		wl.callMissed(now)
+		wl.closeIfNeverAnswered()
 	}
-	b.Tick(now)
+	wl.Tick(now)
 }
 
 // fromEarlierHolding reports whether a call was made in an earlier holding of the worker
 // by this process. Its answer shows the state before others held the worker: taken for
 // the answer to the first call, it would make this holder report runs as missing that it
 // has never seen.
-func (b *WorkerLease) fromEarlierHolding(f Fence) bool { return f < b.firstFence }
+func (wl *WorkerLease) fromEarlierHolding(f Fence) bool { return f < wl.firstFence }
 
 // HighestFence returns the highest fence that was used in calls. The next holding of this
 // process must begin above it, also when the planner does not know of it.
-func (b *WorkerLease) HighestFence() Fence { return max(b.spentFence, b.fence) }
+func (wl *WorkerLease) HighestFence() Fence { return max(wl.spentFence, wl.fence) }
 
 // closeIfNeverAnswered gives up a worker that has never answered.
-func (b *WorkerLease) closeIfNeverAnswered() {
-	if b.phase == connecting && b.clock == 0 && b.failures >= unreachableThreshold {
-		b.spentFence, b.fence = b.fence, 0
-		b.close("out_of_reach")
+func (wl *WorkerLease) closeIfNeverAnswered() {
+	if wl.phase == connecting && wl.clock == 0 && wl.failures >= unreachableThreshold {
+		wl.spentFence, wl.fence = wl.fence, 0
+		wl.close("out_of_reach")
 	}
 }
 
 // holdRefused looks for a higher fence at the beginning; later, a refusal of the fence in
 // use means that another holder has taken over.
-func (b *WorkerLease) holdRefused(now time.Time, c HoldCall, r Result) {
+func (wl *WorkerLease) holdRefused(now time.Time, c HoldCall, r Result) {
 	switch {
 	case r.Reason != Fenced:
-		b.usable = false
-		b.failures++
-		b.nextHoldAt = now.Add(holdRetryInterval)
-	case c.Fence < b.fence:
+		wl.usable = false
+		wl.failures++
+		wl.nextHoldAt = now.Add(holdRetryInterval)
+	case c.Fence < wl.fence:
 		// A call from before the last round.
-	case b.phase == connecting && b.fenceRaises < maxFenceRaises:
-		b.fence = b.fence.AddTerms(1 << b.fenceRaises)
-		b.fenceRaises++
-		b.nextHoldAt = now
+	case wl.phase == connecting && wl.fenceRaises < maxFenceRaises:
+		wl.fence = wl.fence.AddTerms(1 << wl.fenceRaises)
+		wl.fenceRaises++
+		wl.nextHoldAt = now
 	default:
-		b.close(string(Fenced))
+		wl.close(string(Fenced))
 	}
 }
 
 // handleList handles a worker's list of what it runs and what has ended.
-func (b *WorkerLease) handleList(now time.Time, c HoldCall, r Result) {
-	if b.incarnation != 0 && r.Incarnation != b.incarnation {
-		b.handleRestart(now, c, r)
-	}
-	b.incarnation = r.Incarnation
-	b.unreported = b.unreported || b.failures > 0
-	b.failures = 0
-	if c.Fence == b.fence && !b.usable {
-		b.usable, b.unreported = true, true
-	}
-	b.nextHoldAt = now
-	b.updateClock(now, r)
+func (wl *WorkerLease) handleList(now time.Time, c HoldCall, r Result) {
+	if wl.incarnation != 0 && r.Incarnation != wl.incarnation {
+		wl.handleRestart(now, c, r)
+	}
+	wl.incarnation = r.Incarnation
+	wl.unreported = wl.unreported || wl.failures > 0
+	wl.failures = 0
+	if c.Fence == wl.fence && !wl.usable {
+		wl.usable, wl.unreported = true, true
+	}
+	wl.nextHoldAt = now
+	wl.updateClock(now, r)
 	for _, e := range r.Ended {
-		b.handleListedEnd(now, e)
+		wl.handleListedEnd(now, e)
 	}
 	// Answers on two connections can overtake each other; an old list says nothing of
 	// what has started since.
-	if r.Clock >= b.listClock {
-		b.listClock = r.Clock
-		b.unreported = b.unreported || b.resourcesRefused
-		b.resourcesRefused = false
-		b.reconcileRuns(now, c, r)
+	if r.Clock >= wl.listClock {
+		wl.listClock = r.Clock
+		wl.unreported = wl.unreported || wl.resourcesRefused
+		wl.resourcesRefused = false
+		wl.reconcileRuns(now, c, r)
 	}
-	if b.phase == connecting {
+	if wl.phase == connecting {
 		// The previous holder may have renewed until just now. It can't renew from here
 		// on, but its last renewal keeps its runs alive for a whole lease.
-		b.leaseEnd = max(b.leaseEnd, r.Clock+leaseDuration.Milliseconds())
-		b.firstListDone(now)
+		wl.leaseEnd = max(wl.leaseEnd, r.Clock+leaseDuration.Milliseconds())
+		wl.firstListDone(now)
 	}
 }
 
 // firstListDone announces the worker as held, and opens it or waits for claims.
-func (b *WorkerLease) firstListDone(now time.Time) {
-	b.emit(Action{AnnounceHeld: true})
-	b.unreported = true
-	if len(b.runs) == 0 && len(b.unclaimedEnds) == 0 {
-		b.phase = open
+func (wl *WorkerLease) firstListDone(now time.Time) {
+	wl.emit(Action{AnnounceHeld: true})
+	wl.unreported = true
+	if len(wl.runs) == 0 && len(wl.unclaimedEnds) == 0 {
+		wl.phase = open
 		return
 	}
-	b.phase = claiming
-	b.claimDeadline = now.Add(claimTimeout)
+	wl.phase = claiming
+	wl.claimDeadline = now.Add(claimTimeout)
 }
 
 // handleRestart handles a restart of the worker: nothing that ran before runs any more,
 // and its clock and the numbers of its ends start over. A start in flight may have
 // reached the new incarnation, which knows no fence yet; it is either listed, or
 // unconfirmed for as long as the worker may still accept it.
-func (b *WorkerLease) handleRestart(now time.Time, c HoldCall, r Result) {
-	b.clock, b.listClock, b.leaseEnd, b.lastEndSeen = 0, 0, 0, 0
-	b.unclaimedEnds = make(map[Run]Outcome)
-	for _, e := range b.sortedRuns() {
+func (wl *WorkerLease) handleRestart(now time.Time, c HoldCall, r Result) {
+	wl.clock, wl.listClock, wl.leaseEnd, wl.lastEndSeen = 0, 0, 0, 0
+	wl.unclaimedEnds = make(map[Run]Outcome)
+	for _, e := range wl.sortedRuns() {
 		here := slices.ContainsFunc(r.Running, func(l ListedRun) bool { return l.Run == e.Run })
 		switch {
 		case here:
 			e.clock = r.Clock
 		case e.confirmedAt.IsZero() && c.Fence <= e.fence:
-			b.resolveStart(now, e)
+			wl.resolveStart(now, e)
 		default:
-			b.end(now, e, End{Run: e.Run, Outcome: Lost})
+			wl.end(now, e, End{Run: e.Run, Outcome: Lost})
 		}
 	}
 }
 
-func (b *WorkerLease) loseAllRuns(now time.Time) {
-	for _, e := range b.sortedRuns() {
-		b.end(now, e, End{Run: e.Run, Outcome: Lost})
+func (wl *WorkerLease) loseAllRuns(now time.Time) {
+	for _, e := range wl.sortedRuns() {
+		wl.end(now, e, End{Run: e.Run, Outcome: Lost})
 	}
 }
 
-func (b *WorkerLease) handleListedEnd(now time.Time, l ListedEnd) {
-	if l.Number <= b.lastEndSeen {
+func (wl *WorkerLease) handleListedEnd(now time.Time, l ListedEnd) {
+	if l.Number <= wl.lastEndSeen {
 		return
 	}
-	b.lastEndSeen = l.Number
-	e, ok := b.runs[l.Run]
+	wl.lastEndSeen = l.Number
+	e, ok := wl.runs[l.Run]
 	switch {
 	case ok && e.orphan:
-		delete(b.runs, l.Run)
-		b.unclaimedEnds[l.Run] = l.Outcome
-		b.removedRuns = append(b.removedRuns, l.Run)
-		b.unreported = true
+		delete(wl.runs, l.Run)
+		wl.unclaimedEnds[l.Run] = l.Outcome
+		wl.removedRuns = append(wl.removedRuns, l.Run)
+		wl.unreported = true
 	case ok:
-		b.end(now, e, End{Run: l.Run, Outcome: l.Outcome})
-	case b.phase == connecting || b.phase == claiming:
-		b.unclaimedEnds[l.Run] = l.Outcome
+		wl.end(now, e, End{Run: l.Run, Outcome: l.Outcome})
+	case wl.phase == connecting || wl.phase == claiming:
+		wl.unclaimedEnds[l.Run] = l.Outcome
 	}
 }
 
 // reconcileRuns updates the known runs from a list.
-func (b *WorkerLease) reconcileRuns(now time.Time, c HoldCall, r Result) {
+func (wl *WorkerLease) reconcileRuns(now time.Time, c HoldCall, r Result) {
 	listed := make(map[Run]ListedRun, len(r.Running))
 	for _, l := range r.Running {
 		listed[l.Run] = l
 	}
-	for _, e := range b.sortedRuns() {
+	for _, e := range wl.sortedRuns() {
 		l, ok := listed[e.Run]
 		switch {
 		case ok:
-			b.updateProgress(now, e, l.Percent)
+			wl.updateProgress(now, e, l.Percent)
 			if e.state == unconfirmed || e.state == starting {
-				b.confirmStart(now, e, r.Clock)
+				wl.confirmStart(now, e, r.Clock)
 			}
 		case e.state == unconfirmed && c.Fence > e.fence:
-			b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: Unanswered})
+			wl.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: Unanswered})
 		case e.state == stopping && e.confirmedAt.IsZero() && c.Fence > e.fence:
-			b.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: Unanswered})
+			wl.end(now, e, End{Run: e.Run, Outcome: NeverStarted, Why: Unanswered})
 		case !e.confirmedAt.IsZero() && r.Clock > e.clock:
-			b.end(now, e, End{Run: e.Run, Outcome: Lost})
+			wl.end(now, e, End{Run: e.Run, Outcome: Lost})
 		}
 	}
 	for _, l := range r.Running {
-		if _, ok := b.runs[l.Run]; !ok {
-			b.adopt(now, l, r.Clock)
+		if _, ok := wl.runs[l.Run]; !ok {
+			wl.adopt(now, l, r.Clock)
 		}
 	}
 }
@@ -239,16 +239,16 @@
 // adopt adds a listed run that is unknown here: it was started by the previous holder, or
 // by an order that was carried out late. If tasks may already be started, or the worker
 // is being released, the run is stopped.
-func (b *WorkerLease) adopt(now time.Time, l ListedRun, clock int64) {
+func (wl *WorkerLease) adopt(now time.Time, l ListedRun, clock int64) {
 	e := &run{Claim: Claim{Run: l.Run}, state: running, orphan: true, adopted: true, sentAt: now, confirmedAt: now, progressedAt: now, clock: clock, percent: l.Percent}
-	b.runs[l.Run] = e
-	if b.phase == open || b.phase == releasing {
-		b.stop(now, e)
+	wl.runs[l.Run] = e
+	if wl.phase == open || wl.phase == releasing {
+		wl.stop(now, e)
 	}
 }
 
-func (b *WorkerLease) updateClock(now time.Time, r Result) {
-	if r.Clock > b.clock {
-		b.clock, b.clockAt = r.Clock, now
+func (wl *WorkerLease) updateClock(now time.Time, r Result) {
+	if r.Clock > wl.clock {
+		wl.clock, wl.clockAt = r.Clock, now
 	}
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -6,8 +6,9 @@
 // is suspended, dead or cut off can't keep a task running, and can't start a task once
 // another holder has taken over.
 //
-// A Book is the state of one worker as a deterministic state machine without I/O: events
-// and times go in, actions come out. It has no goroutine, socket or clock. It guarantees:
+// A WorkerLease is the state of one worker as a deterministic state machine without I/O:
+// events and times go in, actions come out. It has no goroutine, socket or clock. It
+// guarantees:
 //
 //   - a run that it reports as not started, ended or lost does not run and will not run,
 //     whatever happens to orders that are still in flight;
@@ -157,10 +158,10 @@
 var outcomeNames = map[Outcome]string{Done: "done", Failed: "failed", Stopped: "stopped", LeaseExpired: "lapsed", NeverStarted: "never", Lost: "lost"}
 
 // String returns the outcome's name.
-func (h Outcome) String() string { return outcomeNames[h] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
 // LogValue logs the outcome by its name.
-func (h Outcome) LogValue() slog.Value { return slog.StringValue(h.String()) }
+func (o Outcome) LogValue() slog.Value { return slog.StringValue(o.String()) }
 
 // Reason is why a run was not started.
 type Reason string
@@ -175,7 +176,8 @@
 	Unhealthy Reason = "unhealthy"
 	// Late: the order had expired when it reached the worker.
 	Late Reason = "late"
-	// AlreadyStopped: the worker was told before to stop this run of the task, or a later one.
+	// AlreadyStopped: the worker was told before to stop this run of the task, or a later
+	// one.
 	AlreadyStopped Reason = "old"
 	// Fenced: the worker has seen a higher fence than the order's.
 	Fenced Reason = "fenced"
@@ -191,14 +193,14 @@
 type End struct {
 	Run
 	Outcome Outcome `cbor:"3,keyasint,omitzero"`
-	// Why is set if How is Never.
+	// Why is set if Outcome is NeverStarted.
 	Why Reason `cbor:"4,keyasint,omitzero"`
 	// Took is how long it ran as seen by the holder, or 0 if that is unknown.
 	Took time.Duration `cbor:"5,keyasint,omitzero"`
 }
 
-// IsOrderWrong reports whether the order itself was wrong, so that no other worker will start
-// the run either.
+// IsOrderWrong reports whether the order itself was wrong, so that no other worker will
+// start the run either.
 func (e End) IsOrderWrong() bool {
 	return e.Outcome == NeverStarted && (e.Why == TextDiffers || e.Why == Invalid)
 }
--- a/lease/speed.go
+++ b/lease/speed.go
@@ -14,8 +14,8 @@
 	Factor float64 `json:"factor,omitempty" cbor:"1,keyasint,omitzero"`
 	// Ends counts the ends that Factor is based on.
 	Ends int `json:"ends,omitempty" cbor:"2,keyasint,omitzero"`
-	// BadJobs counts the jobs in a row whose runs failed, were refused or stalled, since the
-	// last run that was done. A job whose tasks fail everywhere counts once.
+	// BadJobs counts the jobs in a row whose runs failed, were refused or stalled, since
+	// the last run that was done. A job whose tasks fail everywhere counts once.
 	BadJobs int `json:"bad,omitempty" cbor:"3,keyasint,omitzero"`
 
 	lastBadJob string
@@ -92,8 +92,8 @@
 	s.Factor += w * (float64(max(took-messageOverhead, 0))/float64(estimate) - s.Factor)
 }
 
-// PoolStats is what is known of all workers of a pool together. The books of one process
-// share it.
+// PoolStats is what is known of all workers of a pool together. The worker leases of one
+// process share it.
 type PoolStats struct {
 	// ReportsProgress is set if workers report the progress of their runs. Where none
 	// does, a run without progress is not stalled.
@@ -105,10 +105,10 @@
 // updateProgress learns from the progress of a run. A worker whose tasks are stalled
 // looks healthy and keeps its resources in use; the run is stopped, so that its task can
 // continue on another worker.
-func (b *WorkerLease) updateProgress(now time.Time, e *run, percent int) {
+func (wl *WorkerLease) updateProgress(now time.Time, e *run, percent int) {
 	if percent != e.percent {
 		e.percent, e.progressedAt = percent, now
-		b.pool.ReportsProgress = b.pool.ReportsProgress || percent > 0 && percent < 100
+		wl.pool.ReportsProgress = wl.pool.ReportsProgress || percent > 0 && percent < 100
 	}
 	if e.adopted || e.state != running {
 		return
@@ -117,13 +117,13 @@
 		// The next tick reports this to the planner: it is not urgent, and each hold call
 		// may bring one.
 		e.sampled, e.reported = true, false
-		b.speed.addSample(now.Sub(e.confirmedAt)*100/time.Duration(percent), e.Estimate)
+		wl.speed.addSample(now.Sub(e.confirmedAt)*100/time.Duration(percent), e.Estimate)
 	}
 	stallTimeout := max(minStallTimeout, time.Duration(stallShare*float64(e.Estimate)))
-	if b.pool.ReportsProgress && now.Sub(e.progressedAt) > stallTimeout && now.Sub(e.confirmedAt) > stallTimeout {
-		b.speed.countBad(e.Run)
-		b.speed.BadJobs = max(b.speed.BadJobs, stallBadCount)
-		b.stop(now, e)
+	if wl.pool.ReportsProgress && now.Sub(e.progressedAt) > stallTimeout && now.Sub(e.confirmedAt) > stallTimeout {
+		wl.speed.countBad(e.Run)
+		wl.speed.BadJobs = max(wl.speed.BadJobs, stallBadCount)
+		wl.stop(now, e)
 	}
 }
 
--- a/lease/speed_test.go
+++ b/lease/speed_test.go
@@ -54,16 +54,16 @@
 func TestStalledRuns(t *testing.T) {
 	for _, reportsProgress := range []bool{true, false} {
 		stats := &PoolStats{ReportsProgress: reportsProgress}
-		b := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, stats)
-		b.HoldAnswered(ms(0), takeActions(b).holds[0], listResult(ms(0), nil))
-		poll := takeActions(b).holds[0]
-		b.Start(ms(10), alice, order("a", 1))
-		s := takeActions(b).starts[0]
-		b.StartAnswered(ms(11), s, Result{Verdict: OK, Clock: 5011})
+		wl := NewWorkerLease(ms(0), testWorker(), NewFence(9), 0, Speed{}, stats)
+		wl.HoldAnswered(ms(0), takeActions(wl).holds[0], listResult(ms(0), nil))
+		poll := takeActions(wl).holds[0]
+		wl.Start(ms(10), alice, order("a", 1))
+		s := takeActions(wl).starts[0]
+		wl.StartAnswered(ms(11), s, Result{Verdict: OK, Clock: 5011})
 		stops := 0
 		for at := 300; at <= 1200; at += 300 {
-			b.HoldAnswered(ms(at), poll, listResult(ms(at), []Run{s.Run}))
-			got := takeActions(b)
+			wl.HoldAnswered(ms(at), poll, listResult(ms(at), []Run{s.Run}))
+			got := takeActions(wl)
 			stops += len(got.stops)
 			if len(got.holds) > 0 {
 				poll = got.holds[0]
@@ -72,7 +72,7 @@
 		if want := reportsProgress; (stops > 0) != want {
 			t.Errorf("%d stops of a run without progress; progress is reported: %v", stops, reportsProgress)
 		}
-		if reportsProgress && b.State(ms(1300)).Speed.BadJobs < 2 {
+		if reportsProgress && wl.State(ms(1300)).Speed.BadJobs < 2 {
 			t.Error("the worker counts as healthy")
 		}
 	}
@@ -81,11 +81,11 @@
 // The duration of a run is extrapolated from its progress, so a worker that has turned
 // slow is recognized before its first task ends.
 func TestSpeedFromProgress(t *testing.T) {
-	b, poll, s := newRunningBook(t)
+	wl, poll, s := newRunningLease(t)
 	r := listResult(ms(310), nil)
 	r.Running = []ListedRun{{Run: s.Run, Percent: 50}}
-	b.HoldAnswered(ms(310), poll, r)
-	if f := b.State(ms(311)).Speed.Factor; f < 2 {
+	wl.HoldAnswered(ms(310), poll, r)
+	if f := wl.State(ms(311)).Speed.Factor; f < 2 {
 		t.Errorf("factor %.2f of a worker that took 300 ms for half of 100 ms of work", f)
 	}
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -36,90 +36,91 @@
 	Resources Resources     `json:"room" cbor:"3,keyasint,omitzero"`
 	Age       time.Duration `json:"age" cbor:"4,keyasint,omitzero"`
 	Estimate  time.Duration `json:"estimate,omitempty" cbor:"5,keyasint,omitzero"`
-	// Percent is how much of the work was done when it last changed, which is Seen ago.
+	// Percent is how much of the work was done when it last changed, which is ProgressAge
+	// ago.
 	Percent     int           `json:"percent,omitempty" cbor:"6,keyasint,omitzero"`
 	ProgressAge time.Duration `json:"seen,omitempty" cbor:"7,keyasint,omitzero"`
 	Stopping    bool          `json:"stopping,omitempty" cbor:"8,keyasint,omitzero"`
 }
 
-// Changed returns what has changed of the state since the last call of Changed, Part or
+// Changed returns what has changed of the state since the last call of Changed, Changes or
 // State, or false if nothing has.
-func (b *WorkerLease) Changed(now time.Time) (State, bool) {
-	if !b.unreported {
+func (wl *WorkerLease) Changed(now time.Time) (State, bool) {
+	if !wl.unreported {
 		return State{}, false
 	}
-	return b.Changes(now), true
+	return wl.Changes(now), true
 }
 
 // Changes returns what has changed of the state, which may be nothing, or the full state
 // without the worker while that is due.
-func (b *WorkerLease) Changes(now time.Time) State {
-	if !b.fullStateSent {
-		s := b.State(now)
+func (wl *WorkerLease) Changes(now time.Time) State {
+	if !wl.fullStateSent {
+		s := wl.State(now)
 		s.Worker = nil
 		return s
 	}
-	s := b.summary()
+	s := wl.summary()
 	s.Partial = true
-	if s.Speed.nearlyEqual(b.lastReported.Speed) {
+	if s.Speed.nearlyEqual(wl.lastReported.Speed) {
 		s.Speed = Speed{}
 	}
-	if s.Fence == b.lastReported.Fence {
+	if s.Fence == wl.lastReported.Fence {
 		s.Fence = 0
 	}
-	b.recordReported(s)
-	for _, e := range b.sortedRuns() {
+	wl.recordReported(s)
+	for _, e := range wl.sortedRuns() {
 		if !e.reported && now.Sub(e.sentAt) >= reportDelay {
 			s.Runs = append(s.Runs, e.report(now))
 			e.reported = true
 		}
 	}
-	b.unreported, b.removedRuns = false, nil
+	wl.unreported, wl.removedRuns = false, nil
 	return s
 }
 
 // recordReported records what the planner is told now.
-func (b *WorkerLease) recordReported(s State) {
+func (wl *WorkerLease) recordReported(s State) {
 	if s.Fence != 0 {
-		b.lastReported.Fence = s.Fence
+		wl.lastReported.Fence = s.Fence
 	}
 	if s.Speed != (Speed{}) {
-		b.lastReported.Speed = s.Speed
+		wl.lastReported.Speed = s.Speed
 	}
 }
 
 // State returns the full state and marks everything as reported.
-func (b *WorkerLease) State(now time.Time) State {
-	s := b.Snapshot(now)
-	b.unreported, b.removedRuns, b.fullStateSent = false, nil, true
-	b.recordReported(s)
-	for _, e := range b.runs {
+func (wl *WorkerLease) State(now time.Time) State {
+	s := wl.Snapshot(now)
+	wl.unreported, wl.removedRuns, wl.fullStateSent = false, nil, true
+	wl.recordReported(s)
+	for _, e := range wl.runs {
 		e.reported = true
 	}
 	return s
 }
 
 // Snapshot returns the full state without marking it as reported.
-func (b *WorkerLease) Snapshot(now time.Time) State {
-	s := b.summary()
-	s.Worker = &b.worker
-	for _, e := range b.sortedRuns() {
+func (wl *WorkerLease) Snapshot(now time.Time) State {
+	s := wl.summary()
+	s.Worker = &wl.worker
+	for _, e := range wl.sortedRuns() {
 		s.Runs = append(s.Runs, e.report(now))
 	}
 	return s
 }
 
 // summary returns the state without the worker and its runs.
-func (b *WorkerLease) summary() State {
+func (wl *WorkerLease) summary() State {
 	return State{
-		ID:       b.worker.ID,
-		Fence:    b.fence,
-		Open:     b.phase == open && b.usable && !b.resourcesRefused,
-		Released: b.phase == closed,
-		Draining: b.draining,
-		Failures: b.failures,
-		Ended:    b.removedRuns,
-		Speed:    b.speed,
+		ID:       wl.worker.ID,
+		Fence:    wl.fence,
+		Open:     wl.phase == open && wl.usable && !wl.resourcesRefused,
+		Released: wl.phase == closed,
+		Draining: wl.draining,
+		Failures: wl.failures,
+		Ended:    wl.removedRuns,
+		Speed:    wl.speed,
 	}
 }
 
@@ -145,32 +146,32 @@
 }
 
 // Fence returns the fence in use.
-func (b *WorkerLease) Fence() Fence { return b.fence }
+func (wl *WorkerLease) Fence() Fence { return wl.fence }
 
 // Resumed handles the end of a suspension of this process. The worker is checked before
 // anything is started: another holder may have taken over in the meantime, and have
 // renewed the lease until just now.
-func (b *WorkerLease) Resumed(now time.Time) {
-	b.resumedAt = now
-	if b.clock != 0 {
-		b.leaseEnd = max(b.leaseEnd, b.maxWorkerClock(now)+leaseDuration.Milliseconds())
+func (wl *WorkerLease) Resumed(now time.Time) {
+	wl.resumedAt = now
+	if wl.clock != 0 {
+		wl.leaseEnd = max(wl.leaseEnd, wl.maxWorkerClock(now)+leaseDuration.Milliseconds())
 	}
-	b.usable, b.openPoll, b.openCheck = false, 0, 0
-	b.unreported = true
-	b.nextHoldAt = now
-	b.Tick(now)
+	wl.usable, wl.openPoll, wl.openCheck = false, 0, 0
+	wl.unreported = true
+	wl.nextHoldAt = now
+	wl.Tick(now)
 }
 
 // Claiming reports whether runs of unknown owners were found, who may claim them now.
-func (b *WorkerLease) Claiming() bool { return b.phase == claiming }
+func (wl *WorkerLease) Claiming() bool { return wl.phase == claiming }
 
 // Established reports whether the worker has accepted this holder and has listed its runs.
-func (b *WorkerLease) Established() bool { return b.phase != connecting && b.phase != closed }
+func (wl *WorkerLease) Established() bool { return wl.phase != connecting && wl.phase != closed }
 
 // Owners returns the processes that have runs on the worker.
-func (b *WorkerLease) Owners() []Owner {
+func (wl *WorkerLease) Owners() []Owner {
 	var out []Owner
-	for _, e := range b.sortedRuns() {
+	for _, e := range wl.sortedRuns() {
 		if !e.orphan && !slices.Contains(out, e.owner) {
 			out = append(out, e.owner)
 		}
--- a/lease/text_test.go
+++ b/lease/text_test.go
@@ -21,14 +21,14 @@
 		{"a letter changed", Text{Spec: "tezt", Sum: NewText("a", "text").Sum}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := newOpenBook(t)
-			b.Start(ms(10), alice, Order{claim("a", 1), tt.text})
-			got := takeActions(b)
+			wl, _ := newOpenLease(t)
+			wl.Start(ms(10), alice, Order{claim("a", 1), tt.text})
+			got := takeActions(wl)
 			if sent := len(got.starts) == 1; sent != tt.sent {
 				t.Fatalf("sent %v, want %v", sent, tt.sent)
 			}
-			if !tt.sent && (len(got.tells) != 1 || got.tells[0].End.Outcome != NeverStarted || got.tells[0].End.Why != TextDiffers) {
-				t.Errorf("reported to the owner: %+v", got.tells)
+			if !tt.sent && (len(got.reports) != 1 || got.reports[0].End.Outcome != NeverStarted || got.reports[0].End.Why != TextDiffers) {
+				t.Errorf("reported to the owner: %+v", got.reports)
 			}
 		})
 	}
@@ -37,27 +37,27 @@
 // Two processes accept different jobs under one id, and the planner assigns both to one
 // worker. The second job's caller was told that its job is done when the first one's was.
 func TestStartOfAnotherJobUnderTheSameName(t *testing.T) {
-	b, _, s := newRunningBook(t)
+	wl, _, s := newRunningLease(t)
 	o := Order{Claim: Claim{Run: s.Run}, Text: NewText(s.Job(), "another")}
-	b.Start(ms(20), bob, o)
-	wantEnd(t, takeActions(b).tells, bob, NeverStarted, TextDiffers)
-	b.HoldAnswered(ms(120), HoldCall{Fence: b.Fence()}, listResult(ms(120), nil, ListedEnd{Number: 1, Run: s.Run, Outcome: Done}))
-	wantEnd(t, takeActions(b).tells, alice, Done, "")
+	wl.Start(ms(20), bob, o)
+	wantEnd(t, takeActions(wl).reports, bob, NeverStarted, TextDiffers)
+	wl.HoldAnswered(ms(120), HoldCall{Fence: wl.Fence()}, listResult(ms(120), nil, ListedEnd{Number: 1, Run: s.Run, Outcome: Done}))
+	wantEnd(t, takeActions(wl).reports, alice, Done, "")
 }
 
 // An order whose run was claimed in the meantime is sent again with its own text, and the
 // worker's resources are counted as the claim has them.
 func TestClaimChangesNoText(t *testing.T) {
-	b, _ := newOpenBook(t)
-	b.Start(ms(10), alice, order("a", 1))
-	first := takeActions(b).starts[0]
-	b.Start(ms(11), alice, order("b", 1))
-	b.StartAnswered(ms(60), takeActions(b).starts[0], Result{Verdict: NoAnswer})
+	wl, _ := newOpenLease(t)
+	wl.Start(ms(10), alice, order("a", 1))
+	first := takeActions(wl).starts[0]
+	wl.Start(ms(11), alice, order("b", 1))
+	wl.StartAnswered(ms(60), takeActions(wl).starts[0], Result{Verdict: NoAnswer})
 	c := claim("a", 1)
 	c.Resources.CPU = 30000
-	b.Claim(ms(61), bob, []Claim{c})
-	b.StartAnswered(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
-	again := takeActions(b).starts
+	wl.Claim(ms(61), bob, []Claim{c})
+	wl.StartAnswered(ms(62), first, Result{Verdict: Refused, Reason: Fenced, Clock: 5062})
+	again := takeActions(wl).starts
 	if len(again) != 1 || again[0].Text != first.Text || again[0].Resources.CPU != 30000 {
 		t.Errorf("sent again: %+v", again)
 	}
