--- a/entry/book.go
+++ b/entry/book.go
@@ -94,7 +94,7 @@
 	t *task
 }
 
-// New returns an empty book.
+// New returns a Jobs without any job.
 func New(log *slog.Logger) *Jobs {
 	return &Jobs{
 		log:     log,
@@ -113,22 +113,22 @@
 
 // PlannerDelay returns how long the planner takes to answer, without the time for which
 // it waits for free resources.
-func (b *Jobs) PlannerDelay() time.Duration { return b.delay.plannerTime.Value(plannerTimeRange) }
+func (js *Jobs) PlannerDelay() time.Duration { return js.delay.plannerTime.Value(plannerTimeRange) }
 
-// Counts returns the counts. They share the book's maps, which change later.
-func (b *Jobs) Counts() Counts { return b.counts }
+// Counts returns the counts. They share the maps of Jobs, which change later.
+func (js *Jobs) Counts() Counts { return js.counts }
 
 // Take returns the actions that have come up since the last call.
-func (b *Jobs) Take() []Action {
-	a := b.actions
-	b.actions = nil
+func (js *Jobs) Take() []Action {
+	a := js.actions
+	js.actions = nil
 	return a
 }
 
 // Len returns the number of jobs that are not answered.
-func (b *Jobs) Len() int {
+func (js *Jobs) Len() int {
 	n := 0
-	for _, j := range b.jobs {
+	for _, j := range js.jobs {
 		if j.answer == nil {
 			n++
 		}
@@ -136,9 +136,9 @@
 	return n
 }
 
-func (b *Jobs) sortedJobs() []*job {
-	out := make([]*job, 0, len(b.jobs))
-	for _, j := range b.jobs {
+func (js *Jobs) sortedJobs() []*job {
+	out := make([]*job, 0, len(js.jobs))
+	for _, j := range js.jobs {
 		out = append(out, j)
 	}
 	slices.SortFunc(out, func(x, y *job) int { return cmp.Or(x.arrived.Compare(y.arrived), cmp.Compare(x.ID, y.ID)) })
@@ -146,34 +146,34 @@
 }
 
 // CallerLeft records that a caller has gone. Work that no caller waits for is stopped.
-func (b *Jobs) CallerLeft(now time.Time, w Waiter) {
-	j, ok := b.waiters[w]
+func (js *Jobs) CallerLeft(now time.Time, w Waiter) {
+	j, ok := js.waiters[w]
 	if !ok {
 		return
 	}
-	delete(b.waiters, w)
+	delete(js.waiters, w)
 	j.waiters = slices.DeleteFunc(j.waiters, func(o Waiter) bool { return o == w })
 	if len(j.waiters) == 0 && j.answer == nil {
-		b.finish(now, j, Answer{Status: Unknown, Why: "caller_left"})
+		js.finish(now, j, Answer{Status: Unknown, Why: "caller_left"})
 	}
 }
 
 // Cancel stops a job at its caller's request, and reports whether it is known here.
-func (b *Jobs) Cancel(now time.Time, id string) bool {
-	j, ok := b.jobs[id]
+func (js *Jobs) Cancel(now time.Time, id string) bool {
+	j, ok := js.jobs[id]
 	if !ok {
 		return false
 	}
 	if j.answer == nil {
-		b.finish(now, j, Answer{Status: Unknown, Why: "cancelled"})
+		js.finish(now, j, Answer{Status: Unknown, Why: "cancelled"})
 	}
 	return true
 }
 
 // State returns what a caller that asks for a job's state is shown; ok is false if the
 // job is unknown.
-func (b *Jobs) State(id string) (started bool, answer *Answer, ok bool) {
-	j, ok := b.jobs[id]
+func (js *Jobs) State(id string) (started bool, answer *Answer, ok bool) {
+	j, ok := js.jobs[id]
 	if !ok {
 		return false, nil, false
 	}
@@ -181,9 +181,9 @@
 }
 
 // Pending counts the jobs of a queue of which no task has begun.
-func (b *Jobs) Pending(queue string) int {
+func (js *Jobs) Pending(queue string) int {
 	n := 0
-	for _, j := range b.jobs {
+	for _, j := range js.jobs {
 		if j.Queue.Name == queue && j.answer == nil && !j.hasBegun() {
 			n++
 		}
@@ -194,36 +194,36 @@
 // Tick gives up jobs past their deadline, and runs whose holder was lost for so long that
 // they have ended. It refuses jobs that can't meet their objective any more, and forgets
 // those that are over.
-func (b *Jobs) Tick(now time.Time) {
-	b.delay.fade(now)
-	for _, p := range b.expiredRuns(now) {
-		b.handleRunEnd(now, p.j, p.t, lease.End{Run: p.j.lastRun(p.t), Outcome: lease.Lost})
+func (js *Jobs) Tick(now time.Time) {
+	js.delay.fade(now)
+	for _, p := range js.expiredRuns(now) {
+		js.handleRunEnd(now, p.j, p.t, lease.End{Run: p.j.lastRun(p.t), Outcome: lease.Lost})
 	}
-	for _, j := range b.sortedJobs() {
+	for _, j := range js.sortedJobs() {
 		switch {
 		case j.answer != nil:
-			b.forgetIfOver(now, j)
+			js.forgetIfOver(now, j)
 		case now.Before(j.deadline):
-			b.refuseIfTooLate(now, j)
+			js.refuseIfTooLate(now, j)
 		case j.hasBegun():
-			b.finish(now, j, Answer{Status: Unknown, Why: "time_over"})
+			js.finish(now, j, Answer{Status: Unknown, Why: "time_over"})
 		default:
-			b.finish(now, j, Answer{Status: Refused, Why: "time_over"})
+			js.finish(now, j, Answer{Status: Refused, Why: "time_over"})
 		}
 	}
 }
 
 // Resumed gives up all jobs: this process was suspended for so long that its callers may
 // be served by others.
-func (b *Jobs) Resumed(now time.Time) {
-	for _, j := range b.sortedJobs() {
+func (js *Jobs) Resumed(now time.Time) {
+	for _, j := range js.sortedJobs() {
 		if j.answer == nil {
-			b.finish(now, j, Answer{Status: Unknown, Why: "process_was_frozen"})
+			js.finish(now, j, Answer{Status: Unknown, Why: "process_was_frozen"})
 		}
 	}
 }
 
-func (b *Jobs) emit(a Action) { b.actions = append(b.actions, a) }
+func (js *Jobs) emit(a Action) { js.actions = append(js.actions, a) }
 
 func compareRuns(x, y lease.Run) int {
 	return cmp.Or(cmp.Compare(x.Task, y.Task), cmp.Compare(x.Number, y.Number))
--- a/entry/book_test.go
+++ b/entry/book_test.go
@@ -40,9 +40,9 @@
 	return r
 }
 
-// actions are the actions of a book, by kind.
+// actions are the actions of a Jobs, by kind.
 type actions struct {
-	asks      []cell.Request
+	requests  []cell.Request
 	withdraws []cell.Withdrawal
 	starts    []Start
 	stops     []Stop
@@ -50,12 +50,12 @@
 	answers   []CallerAnswer
 }
 
-func takeActions(b *Jobs) actions {
+func takeActions(js *Jobs) actions {
 	var out actions
-	for _, a := range b.Take() {
+	for _, a := range js.Take() {
 		switch {
 		case a.Request != nil:
-			out.asks = append(out.asks, *a.Request)
+			out.requests = append(out.requests, *a.Request)
 		case a.Withdraw != nil:
 			out.withdraws = append(out.withdraws, *a.Withdraw)
 		case a.Start != nil:
@@ -71,18 +71,18 @@
 	return out
 }
 
-// newSubmittedBook returns a book with one job, submitted at 0 ms, and the request to the
+// newSubmittedJobs returns a Jobs with one job, submitted at 0 ms, and the request to the
 // planner.
-func newSubmittedBook(t *testing.T, r Request) (*Jobs, cell.Request) {
+func newSubmittedJobs(t *testing.T, r Request) (*Jobs, cell.Request) {
 	t.Helper()
-	b := New(slog.New(slog.DiscardHandler))
-	b.SetPlanner(ms(0), planner)
-	b.Submit(ms(0), 1, r)
-	got := takeActions(b)
-	if len(got.asks) != 1 {
-		t.Fatalf("%d requests", len(got.asks))
-	}
-	return b, got.asks[0]
+	js := New(slog.New(slog.DiscardHandler))
+	js.SetPlanner(ms(0), planner)
+	js.Submit(ms(0), 1, r)
+	got := takeActions(js)
+	if len(got.requests) != 1 {
+		t.Fatalf("%d requests", len(got.requests))
+	}
+	return js, got.requests[0]
 }
 
 // grantAll grants the worker for every requested task.
@@ -94,20 +94,20 @@
 	return g
 }
 
-// newRunningBook returns a book whose only job has all its tasks on worker "w".
-func newRunningBook(t *testing.T, r Request) (*Jobs, cell.Request) {
+// newRunningJobs returns a Jobs whose only job has all its tasks on worker "w".
+func newRunningJobs(t *testing.T, r Request) (*Jobs, cell.Request) {
 	t.Helper()
-	b, a := newSubmittedBook(t, r)
-	b.Grant(ms(1), planner, grantAll(a, "w"))
-	if got := takeActions(b); len(got.starts) != 1 || len(got.starts[0].Runs) != len(a.Tasks) {
+	js, a := newSubmittedJobs(t, r)
+	js.Grant(ms(1), planner, grantAll(a, "w"))
+	if got := takeActions(js); len(got.starts) != 1 || len(got.starts[0].Runs) != len(a.Tasks) {
 		t.Fatalf("starts %+v", got.starts)
 	}
-	return b, a
+	return js, a
 }
 
-func endRun(b *Jobs, at int, r lease.Run, how lease.Outcome) actions {
-	b.Ended(ms(at), holder, Ended{Worker: "w", End: lease.End{Run: r, Outcome: how}})
-	return takeActions(b)
+func endRun(js *Jobs, at int, r lease.Run, how lease.Outcome) actions {
+	js.Ended(ms(at), holder, Ended{Worker: "w", End: lease.End{Run: r, Outcome: how}})
+	return takeActions(js)
 }
 
 func wantAnswer(t *testing.T, got actions, s Status) {
@@ -118,26 +118,26 @@
 }
 
 func TestJobIsAnsweredWhenAllIsDone(t *testing.T) {
-	b, a := newRunningBook(t, request(2))
-	if got := endRun(b, 100, a.Tasks[0], lease.Done); len(got.answers) != 0 {
+	js, a := newRunningJobs(t, request(2))
+	if got := endRun(js, 100, a.Tasks[0], lease.Done); len(got.answers) != 0 {
 		t.Errorf("answers %+v after half of the job", got.answers)
 	}
-	wantAnswer(t, endRun(b, 110, a.Tasks[1], lease.Done), Completed)
-	if b.Len() != 0 {
-		t.Errorf("%d jobs open", b.Len())
+	wantAnswer(t, endRun(js, 110, a.Tasks[1], lease.Done), Completed)
+	if js.Len() != 0 {
+		t.Errorf("%d jobs open", js.Len())
 	}
 }
 
 func TestStepsFollowEachOther(t *testing.T) {
-	b, a := newRunningBook(t, request(2, 1))
-	endRun(b, 100, a.Tasks[0], lease.Done)
-	got := endRun(b, 110, a.Tasks[1], lease.Done)
-	if len(got.asks) != 1 || got.asks[0].Step != 1 || len(got.asks[0].Tasks) != 1 {
-		t.Fatalf("requests %+v, want the second step", got.asks)
-	}
-	b.Grant(ms(111), planner, grantAll(got.asks[0], "w"))
-	takeActions(b)
-	wantAnswer(t, endRun(b, 200, got.asks[0].Tasks[0], lease.Done), Completed)
+	js, a := newRunningJobs(t, request(2, 1))
+	endRun(js, 100, a.Tasks[0], lease.Done)
+	got := endRun(js, 110, a.Tasks[1], lease.Done)
+	if len(got.requests) != 1 || got.requests[0].Step != 1 || len(got.requests[0].Tasks) != 1 {
+		t.Fatalf("requests %+v, want the second step", got.requests)
+	}
+	js.Grant(ms(111), planner, grantAll(got.requests[0], "w"))
+	takeActions(js)
+	wantAnswer(t, endRun(js, 200, got.requests[0].Tasks[0], lease.Done), Completed)
 }
 
 // Runs end in other ways than done. Only ends by a fault of the task or the worker count
@@ -156,20 +156,20 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, a := newRunningBook(t, request(1))
+			js, a := newRunningJobs(t, request(1))
 			run := a.Tasks[0]
 			for i, how := range tt.ends {
-				got := endRun(b, 10*i+10, run, how)
+				got := endRun(js, 10*i+10, run, how)
 				if i == len(tt.ends)-1 && tt.want != 0 {
 					wantAnswer(t, got, tt.want)
 					return
 				}
-				if len(got.answers) != 0 || len(got.asks) != 1 || got.asks[0].Tasks[0].Number <= run.Number {
+				if len(got.answers) != 0 || len(got.requests) != 1 || got.requests[0].Tasks[0].Number <= run.Number {
 					t.Fatalf("after %v: %+v, want the task to be placed again", how, got)
 				}
-				run = got.asks[0].Tasks[0]
-				b.Grant(ms(10*i+15), planner, grantAll(got.asks[0], "w"))
-				takeActions(b)
+				run = got.requests[0].Tasks[0]
+				js.Grant(ms(10*i+15), planner, grantAll(got.requests[0], "w"))
+				takeActions(js)
 			}
 		})
 	}
@@ -179,18 +179,18 @@
 // the other. Told that nothing has run, the caller would submit the job to another
 // process while the first copy is in progress.
 func TestRefusalOfABegunJob(t *testing.T) {
-	b, a := newSubmittedBook(t, request(2))
+	js, a := newSubmittedJobs(t, request(2))
 	g := grantAll(a, "w")
 	g.Items = g.Items[:1]
-	b.Grant(ms(1), planner, g)
-	takeActions(b)
-	b.Refused(ms(2), planner, cell.Refusal{Job: jobID, Reason: "late"})
-	if got := takeActions(b); len(got.answers) != 0 {
+	js.Grant(ms(1), planner, g)
+	takeActions(js)
+	js.Refused(ms(2), planner, cell.Refusal{Job: jobID, Reason: "late"})
+	if got := takeActions(js); len(got.answers) != 0 {
 		t.Errorf("answers %+v", got.answers)
 	}
-	endRun(b, 3, a.Tasks[0], lease.NeverStarted)
-	b.Refused(ms(4), planner, cell.Refusal{Job: jobID, Reason: "late", RetryAfter: time.Second})
-	wantAnswer(t, takeActions(b), Refused)
+	endRun(js, 3, a.Tasks[0], lease.NeverStarted)
+	js.Refused(ms(4), planner, cell.Refusal{Job: jobID, Reason: "late", RetryAfter: time.Second})
+	wantAnswer(t, takeActions(js), Refused)
 }
 
 // A job's deadline passes while it runs. What runs is stopped; the same job, sent again,
@@ -198,39 +198,39 @@
 func TestSecondCopyWaitsForTheFirst(t *testing.T) {
 	r := request(1)
 	r.Timeout = time.Second
-	b, a := newRunningBook(t, r)
-	b.Tick(ms(1000))
-	got := takeActions(b)
+	js, a := newRunningJobs(t, r)
+	js.Tick(ms(1000))
+	got := takeActions(js)
 	wantAnswer(t, got, Unknown)
 	if len(got.stops) != 1 {
 		t.Fatalf("stops %+v", got.stops)
 	}
-	b.Submit(ms(1010), 2, r)
-	got = takeActions(b)
-	if len(got.asks) != 0 {
-		t.Errorf("requested workers while the first copy may run: %+v", got.asks)
+	js.Submit(ms(1010), 2, r)
+	got = takeActions(js)
+	if len(got.requests) != 0 {
+		t.Errorf("requested workers while the first copy may run: %+v", got.requests)
 	}
 	wantAnswer(t, got, Unknown)
-	endRun(b, 1050, a.Tasks[0], lease.Stopped)
-	b.Submit(ms(1060), 3, r)
-	if got = takeActions(b); len(got.asks) != 1 {
+	endRun(js, 1050, a.Tasks[0], lease.Stopped)
+	js.Submit(ms(1060), 3, r)
+	if got = takeActions(js); len(got.requests) != 1 {
 		t.Errorf("%+v, want the job to start again", got)
 	}
 }
 
 func TestSameIDJoins(t *testing.T) {
-	b, a := newRunningBook(t, request(1))
-	b.Submit(ms(50), 2, request(1))
-	if got := takeActions(b); len(got.asks) != 0 || len(got.answers) != 0 {
+	js, a := newRunningJobs(t, request(1))
+	js.Submit(ms(50), 2, request(1))
+	if got := takeActions(js); len(got.requests) != 0 || len(got.answers) != 0 {
 		t.Errorf("%+v for a copy of a job in progress", got)
 	}
-	b.CallerLeft(ms(60), 1)
-	if got := takeActions(b); len(got.stops) != 0 {
+	js.CallerLeft(ms(60), 1)
+	if got := takeActions(js); len(got.stops) != 0 {
 		t.Errorf("stopped %+v although a caller still waits", got.stops)
 	}
-	wantAnswer(t, endRun(b, 100, a.Tasks[0], lease.Done), Completed)
-	b.Submit(ms(200), 3, request(1))
-	wantAnswer(t, takeActions(b), Completed)
+	wantAnswer(t, endRun(js, 100, a.Tasks[0], lease.Done), Completed)
+	js.Submit(ms(200), 3, request(1))
+	wantAnswer(t, takeActions(js), Completed)
 }
 
 // Two callers choose the same id for different jobs. The second one was joined to the job
@@ -238,15 +238,15 @@
 func TestSameIDForAnotherJob(t *testing.T) {
 	r := request(1)
 	r.Spec = "another"
-	b, a := newRunningBook(t, request(1))
-	b.Submit(ms(50), 2, r)
-	wantAnswer(t, takeActions(b), Refused)
-	wantAnswer(t, endRun(b, 100, a.Tasks[0], lease.Done), Completed)
-	b.Submit(ms(200), 3, r)
-	wantAnswer(t, takeActions(b), Refused)
-	b.Tick(ms(200).Add(answerRetention))
-	b.Submit(ms(300).Add(answerRetention), 4, r)
-	if got := takeActions(b); len(got.asks) != 1 {
+	js, a := newRunningJobs(t, request(1))
+	js.Submit(ms(50), 2, r)
+	wantAnswer(t, takeActions(js), Refused)
+	wantAnswer(t, endRun(js, 100, a.Tasks[0], lease.Done), Completed)
+	js.Submit(ms(200), 3, r)
+	wantAnswer(t, takeActions(js), Refused)
+	js.Tick(ms(200).Add(answerRetention))
+	js.Submit(ms(300).Add(answerRetention), 4, r)
+	if got := takeActions(js); len(got.requests) != 1 {
 		t.Errorf("%+v, want the job to start", got)
 	}
 }
@@ -256,14 +256,14 @@
 func TestSameJobInARenamedQueue(t *testing.T) {
 	r := request(1)
 	r.Queue.Name = "renamed"
-	b, a := newRunningBook(t, request(1))
-	b.Submit(ms(50), 2, r)
-	if got := takeActions(b); len(got.answers) != 0 {
+	js, a := newRunningJobs(t, request(1))
+	js.Submit(ms(50), 2, r)
+	if got := takeActions(js); len(got.answers) != 0 {
 		t.Errorf("answers %+v while the job runs", got.answers)
 	}
-	endRun(b, 100, a.Tasks[0], lease.Done)
-	b.Submit(ms(200), 3, r)
-	wantAnswer(t, takeActions(b), Completed)
+	endRun(js, 100, a.Tasks[0], lease.Done)
+	js.Submit(ms(200), 3, r)
+	wantAnswer(t, takeActions(js), Completed)
 }
 
 // Each order for a task is wrong: its text was corrupted, or the worker can't read it.
@@ -281,25 +281,25 @@
 		{"a worker can't read it", 2, lease.Invalid, Unknown},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b, a := newRunningBook(t, request(tt.tasks))
+			js, a := newRunningJobs(t, request(tt.tasks))
 			if tt.tasks > 1 {
-				endRun(b, 5, a.Tasks[1], lease.Done)
+				endRun(js, 5, a.Tasks[1], lease.Done)
 			}
 			r := a.Tasks[0]
 			for i := range 3 {
 				at := ms(10 + 5*i)
-				b.Ended(at, holder, Ended{Worker: "w", End: lease.End{Run: r, Outcome: lease.NeverStarted, Why: tt.why}})
-				got := takeActions(b)
+				js.Ended(at, holder, Ended{Worker: "w", End: lease.End{Run: r, Outcome: lease.NeverStarted, Why: tt.why}})
+				got := takeActions(js)
 				if i == 2 {
 					wantAnswer(t, got, tt.want)
 					return
 				}
-				if len(got.asks) != 1 || len(got.answers) != 0 {
+				if len(got.requests) != 1 || len(got.answers) != 0 {
 					t.Fatalf("after %d wrong orders: %+v", i+1, got)
 				}
-				r = got.asks[0].Tasks[0]
-				b.Grant(at, planner, grantAll(got.asks[0], "w"))
-				takeActions(b)
+				r = got.requests[0].Tasks[0]
+				js.Grant(at, planner, grantAll(got.requests[0], "w"))
+				takeActions(js)
 			}
 		})
 	}
@@ -308,14 +308,14 @@
 // The last caller of a job leaves. Its runs would take resources from the jobs of waiting
 // callers.
 func TestNobodyWaits(t *testing.T) {
-	b, _ := newRunningBook(t, request(2))
-	b.CallerLeft(ms(20), 1)
-	if got := takeActions(b); len(got.stops) != 1 || len(got.stops[0].Runs) != 2 {
+	js, _ := newRunningJobs(t, request(2))
+	js.CallerLeft(ms(20), 1)
+	if got := takeActions(js); len(got.stops) != 1 || len(got.stops[0].Runs) != 2 {
 		t.Errorf("stops %+v, want both runs", got.stops)
 	}
-	b, _ = newSubmittedBook(t, request(2))
-	b.CallerLeft(ms(20), 1)
-	if got := takeActions(b); len(got.withdraws) != 1 {
+	js, _ = newSubmittedJobs(t, request(2))
+	js.CallerLeft(ms(20), 1)
+	if got := takeActions(js); len(got.withdraws) != 1 {
 		t.Errorf("%+v, want the tasks withdrawn", got)
 	}
 }
@@ -323,16 +323,16 @@
 // The planner dies with all its pending requests. The next one is asked again, and a
 // grant of the first one that arrives after that of the second is returned.
 func TestPlannerReplaced(t *testing.T) {
-	b, a := newSubmittedBook(t, request(2))
-	b.SetPlanner(ms(10), nextPlanner)
-	again := takeActions(b).asks
+	js, a := newSubmittedJobs(t, request(2))
+	js.SetPlanner(ms(10), nextPlanner)
+	again := takeActions(js).requests
 	if len(again) != 1 || len(again[0].Tasks) != 2 {
 		t.Fatalf("requests %+v", again)
 	}
-	b.Grant(ms(11), planner, grantAll(again[0], "w"))
-	takeActions(b)
-	b.Grant(ms(12), planner, grantAll(a, "v"))
-	got := takeActions(b)
+	js.Grant(ms(11), planner, grantAll(again[0], "w"))
+	takeActions(js)
+	js.Grant(ms(12), planner, grantAll(a, "v"))
+	got := takeActions(js)
 	if len(got.starts) != 0 || len(got.withdraws) != 1 || len(got.withdraws[0].Runs) != 2 {
 		t.Errorf("%+v, want the second grant returned", got)
 	}
@@ -342,19 +342,19 @@
 // its runs there, and an older announcement that arrives late changes nothing: its sender
 // does not know what was started under its successor.
 func TestHolderReplaced(t *testing.T) {
-	b, a := newRunningBook(t, request(1))
-	b.HolderUnreachable(ms(100), holder)
-	b.Held(other, "w", lease.NewFence(5))
-	got := takeActions(b)
+	js, a := newRunningJobs(t, request(1))
+	js.HolderUnreachable(ms(100), holder)
+	js.Held(other, "w", lease.NewFence(5))
+	got := takeActions(js)
 	if len(got.claims) != 1 || got.claims[0].Runs[0].Run != a.Tasks[0] {
 		t.Fatalf("claims %+v", got.claims)
 	}
-	b.Held(holder, "w", lease.NewFence(2))
-	if got := takeActions(b); len(got.claims) != 0 {
+	js.Held(holder, "w", lease.NewFence(2))
+	if got := takeActions(js); len(got.claims) != 0 {
 		t.Errorf("claims %+v at a former holder", got.claims)
 	}
-	b.Tick(ms(5000))
-	if got := takeActions(b); len(got.asks) != 0 {
+	js.Tick(ms(5000))
+	if got := takeActions(js); len(got.requests) != 0 {
 		t.Error("the run was given up although its holder is reachable")
 	}
 }
@@ -365,15 +365,15 @@
 // believed: that is true whoever holds the worker now.
 func TestFormerHolderTellsOfARun(t *testing.T) {
 	for _, c := range []struct {
-		how  lease.Outcome
-		asks int
+		how      lease.Outcome
+		requests int
 	}{{lease.Lost, 0}, {lease.Stopped, 1}} {
-		b, a := newRunningBook(t, request(1))
-		b.HolderUnreachable(ms(100), holder)
-		b.Held(other, "w", lease.NewFence(5))
-		takeActions(b)
-		if got := endRun(b, 200, a.Tasks[0], c.how); len(got.asks) != c.asks {
-			t.Errorf("%v: requests %+v, want %d", c.how, got.asks, c.asks)
+		js, a := newRunningJobs(t, request(1))
+		js.HolderUnreachable(ms(100), holder)
+		js.Held(other, "w", lease.NewFence(5))
+		takeActions(js)
+		if got := endRun(js, 200, a.Tasks[0], c.how); len(got.requests) != c.requests {
+			t.Errorf("%v: requests %+v, want %d", c.how, got.requests, c.requests)
 		}
 	}
 }
@@ -382,14 +382,14 @@
 // between arrived over a new session. Counted from when the holder was last heard, the
 // run would be given up at once and placed again while it runs.
 func TestHolderLostLate(t *testing.T) {
-	b, _ := newRunningBook(t, request(1))
-	b.HolderUnreachable(ms(3000), holder)
-	b.Tick(ms(3050))
-	if got := takeActions(b); len(got.asks) != 0 {
+	js, _ := newRunningJobs(t, request(1))
+	js.HolderUnreachable(ms(3000), holder)
+	js.Tick(ms(3050))
+	if got := takeActions(js); len(got.requests) != 0 {
 		t.Error("the run was placed again at once")
 	}
-	b.Tick(ms(3000).Add(lostHolderTimeout + time.Millisecond))
-	if got := takeActions(b); len(got.asks) != 1 {
+	js.Tick(ms(3000).Add(lostHolderTimeout + time.Millisecond))
+	if got := takeActions(js); len(got.requests) != 1 {
 		t.Errorf("%+v, want the task to be placed again", got)
 	}
 }
@@ -397,14 +397,14 @@
 // A holder is connected again in a new session; the start, or the report of its end, may
 // have been lost with the old one.
 func TestHolderInANewSession(t *testing.T) {
-	b, a := newRunningBook(t, request(2))
-	b.HolderUnreachable(ms(10), holder)
-	b.HolderReachable(holder)
-	got := takeActions(b)
+	js, a := newRunningJobs(t, request(2))
+	js.HolderUnreachable(ms(10), holder)
+	js.HolderReachable(holder)
+	got := takeActions(js)
 	if len(got.claims) != 1 || len(got.claims[0].Runs) != 2 {
 		t.Fatalf("claims %+v", got.claims)
 	}
-	if got := endRun(b, 20, a.Tasks[1], lease.Lost); len(got.asks) != 1 {
+	if got := endRun(js, 20, a.Tasks[1], lease.Lost); len(got.requests) != 1 {
 		t.Errorf("%+v, want the lost start to be placed again", got)
 	}
 }
@@ -412,9 +412,9 @@
 // The process was suspended. Its callers may be served by others by now, and its runs
 // would continue beside their copies.
 func TestSuspendedProcessGivesUpJobs(t *testing.T) {
-	b, _ := newRunningBook(t, request(2))
-	b.Resumed(ms(4000))
-	got := takeActions(b)
+	js, _ := newRunningJobs(t, request(2))
+	js.Resumed(ms(4000))
+	got := takeActions(js)
 	wantAnswer(t, got, Unknown)
 	if len(got.stops) != 1 {
 		t.Errorf("stops %+v", got.stops)
@@ -433,14 +433,14 @@
 // members. The callers got no answer until their timeout, ten seconds here, although the
 // job could have been in time at another process.
 func TestPlannerIsSilent(t *testing.T) {
-	b, _ := newSubmittedBook(t, request(2))
+	js, _ := newSubmittedJobs(t, request(2))
 	// The objective is 220 ms, and 40 ms of work at the least.
-	b.Tick(ms(270))
-	if got := takeActions(b); len(got.answers) != 0 {
+	js.Tick(ms(270))
+	if got := takeActions(js); len(got.answers) != 0 {
 		t.Fatalf("answered at once: %+v", got.answers)
 	}
-	b.Tick(ms(300))
-	got := takeActions(b)
+	js.Tick(ms(300))
+	got := takeActions(js)
 	if len(got.answers) != 1 || got.answers[0].Answer.Status != Refused {
 		t.Fatalf("answers %+v, want a refusal", got.answers)
 	}
@@ -451,11 +451,11 @@
 
 // As TestPlannerIsSilent, with a job that has begun: a refusal would not be true.
 func TestPlannerIsSilentAfterABeginning(t *testing.T) {
-	b, ask := newSubmittedBook(t, request(2))
-	b.Grant(ms(10), planner, cell.Grant{Job: jobID, Items: []cell.GrantedRun{{Run: ask.Tasks[0], Worker: "w", Holder: holder, Fence: 1}}})
-	takeActions(b)
-	b.Tick(ms(300))
-	if got := takeActions(b); len(got.answers) != 0 {
+	js, req := newSubmittedJobs(t, request(2))
+	js.Grant(ms(10), planner, cell.Grant{Job: jobID, Items: []cell.GrantedRun{{Run: req.Tasks[0], Worker: "w", Holder: holder, Fence: 1}}})
+	takeActions(js)
+	js.Tick(ms(300))
+	if got := takeActions(js); len(got.answers) != 0 {
 		t.Errorf("answered %+v", got.answers)
 	}
 }
--- a/entry/delay_test.go
+++ b/entry/delay_test.go
@@ -9,20 +9,20 @@
 	"snipehub.example/lease"
 )
 
-// runJobs sends jobs through a book, one after the other, with the given message times:
+// runJobs sends jobs through a Jobs, one after the other, with the given message times:
 // from the request to the grant, and from the grant to the end besides the time of the
 // run.
-func runJobs(b *Jobs, at, n int, plannerTime, runOverhead time.Duration) (last int) {
+func runJobs(js *Jobs, at, n int, plannerTime, runOverhead time.Duration) (last int) {
 	for i := range n {
 		r := request(1)
 		r.ID = string(rune('a' + i))
-		b.Submit(ms(at), Waiter(at), r)
-		for _, a := range takeActions(b).asks {
+		js.Submit(ms(at), Waiter(at), r)
+		for _, a := range takeActions(js).requests {
 			granted := ms(at).Add(plannerTime)
-			b.Grant(granted, planner, cell.Grant{Job: a.Job, Items: []cell.GrantedRun{{Run: a.Tasks[0], Worker: "w", Holder: holder}}})
-			b.Ended(granted.Add(runOverhead+50*time.Millisecond), holder, Ended{Worker: "w", End: lease.End{Run: a.Tasks[0], Outcome: lease.Done, Took: 50 * time.Millisecond}})
+			js.Grant(granted, planner, cell.Grant{Job: a.Job, Items: []cell.GrantedRun{{Run: a.Tasks[0], Worker: "w", Holder: holder}}})
+			js.Ended(granted.Add(runOverhead+50*time.Millisecond), holder, Ended{Worker: "w", End: lease.End{Run: a.Tasks[0], Outcome: lease.Done, Took: 50 * time.Millisecond}})
 		}
-		takeActions(b)
+		takeActions(js)
 		at += 200
 	}
 	return at
@@ -33,23 +33,23 @@
 // the objective that it gets. When the links are free again, no job may be refused
 // because of it.
 func TestSlowMessagesComeOffTheObjective(t *testing.T) {
-	b := New(slog.New(slog.DiscardHandler))
-	b.SetPlanner(ms(0), holder)
-	at := runJobs(b, 0, 40, 40*time.Millisecond, 80*time.Millisecond)
-	if d := b.delay.total(1); d < 90*time.Millisecond || d > 170*time.Millisecond {
+	js := New(slog.New(slog.DiscardHandler))
+	js.SetPlanner(ms(0), holder)
+	at := runJobs(js, 0, 40, 40*time.Millisecond, 80*time.Millisecond)
+	if d := js.delay.total(1); d < 90*time.Millisecond || d > 170*time.Millisecond {
 		t.Errorf("a delay of %v, messages take 120 ms", d)
 	}
 	r := request(1)
 	r.ID = "next"
-	b.Submit(ms(at), 1, r)
-	asks := takeActions(b).asks
-	if want := objective(r) - b.delay.total(1); len(asks) != 1 || asks[0].Objective != want {
-		t.Errorf("requests %+v, want one with an objective of %v", asks, want)
+	js.Submit(ms(at), 1, r)
+	requests := takeActions(js).requests
+	if want := objective(r) - js.delay.total(1); len(requests) != 1 || requests[0].Objective != want {
+		t.Errorf("requests %+v, want one with an objective of %v", requests, want)
 	}
 	for end := at + 5000; at < end; at += 50 {
-		b.Tick(ms(at))
+		js.Tick(ms(at))
 	}
-	if d := b.delay.total(1); d > 5*time.Millisecond {
+	if d := js.delay.total(1); d > 5*time.Millisecond {
 		t.Errorf("a delay of %v long after the last sample", d)
 	}
 }
@@ -58,15 +58,15 @@
 // jobs that are late when they arrive there keep it full; their callers are told at once
 // to retry later.
 func TestJobsThatMessagesMakeLateAreRefusedAtOnce(t *testing.T) {
-	b := New(slog.New(slog.DiscardHandler))
-	b.SetPlanner(ms(0), holder)
+	js := New(slog.New(slog.DiscardHandler))
+	js.SetPlanner(ms(0), holder)
 	for i := range 60 {
 		r := request(1)
 		r.ID = string(rune(0x4e00 + i))
-		b.Tick(ms(50 * i))
-		takeActions(b)
-		b.Submit(ms(50*i), Waiter(i), r)
-		if got := takeActions(b); len(got.asks) == 0 {
+		js.Tick(ms(50 * i))
+		takeActions(js)
+		js.Submit(ms(50*i), Waiter(i), r)
+		if got := takeActions(js); len(got.requests) == 0 {
 			wantAnswer(t, got, Refused)
 			if after := got.answers[0].Answer.RetryAfter; after < minRetryAfter {
 				t.Errorf("told to retry after %v", after)
@@ -80,13 +80,13 @@
 // The planner dies, and for a while nobody answers. That says nothing of the next one:
 // short jobs were refused for a second after it had begun.
 func TestNewPlannerIsNotTakenForSlow(t *testing.T) {
-	b := New(slog.New(slog.DiscardHandler))
-	b.SetPlanner(ms(0), holder)
+	js := New(slog.New(slog.DiscardHandler))
+	js.SetPlanner(ms(0), holder)
 	for i := range 60 {
-		b.delay.plannerSilent(ms(i), 500*time.Millisecond)
+		js.delay.plannerSilent(ms(i), 500*time.Millisecond)
 	}
-	b.SetPlanner(ms(100), other)
-	if d := b.PlannerDelay(); d > time.Millisecond {
+	js.SetPlanner(ms(100), other)
+	if d := js.PlannerDelay(); d > time.Millisecond {
 		t.Errorf("a new planner is assumed to need %v", d)
 	}
 }
--- a/entry/elsewhere.go
+++ b/entry/elsewhere.go
@@ -11,9 +11,9 @@
 )
 
 // SetOtherPlanners sets the planners of the other cells.
-func (b *Jobs) SetOtherPlanners(planners []mesh.ID) {
-	if !slices.Equal(planners, b.otherPlanners) {
-		b.otherPlanners = planners
+func (js *Jobs) SetOtherPlanners(planners []mesh.ID) {
+	if !slices.Equal(planners, js.otherPlanners) {
+		js.otherPlanners = planners
 	}
 }
 
@@ -22,23 +22,23 @@
 // are, by a burst of its own callers or the loss of its workers; if the other one is full
 // too, it answers at once. A hash of the job's id selects the cell, so that jobs refused
 // together spread.
-func (b *Jobs) requestFromOtherCell(now time.Time, j *job) bool {
-	if len(b.otherPlanners) == 0 || j.otherPlanner != (mesh.ID{}) || now.Add(j.minDuration()).After(j.objectiveAt) {
+func (js *Jobs) requestFromOtherCell(now time.Time, j *job) bool {
+	if len(js.otherPlanners) == 0 || j.otherPlanner != (mesh.ID{}) || now.Add(j.minDuration()).After(j.objectiveAt) {
 		return false
 	}
-	j.otherPlanner = b.otherPlanners[xxhash.Sum64String(j.ID)%uint64(len(b.otherPlanners))]
-	event.JobOfferedToOtherCell.Log(b.log, "job", j.ID, "queue", j.Queue.Name, "planner", j.otherPlanner, "age_ms", now.Sub(j.arrived).Milliseconds())
-	b.repeatRequests(now, j)
+	j.otherPlanner = js.otherPlanners[xxhash.Sum64String(j.ID)%uint64(len(js.otherPlanners))]
+	event.JobOfferedToOtherCell.Log(js.log, "job", j.ID, "queue", j.Queue.Name, "planner", j.otherPlanner, "age_ms", now.Sub(j.arrived).Milliseconds())
+	js.repeatRequests(now, j)
 	return true
 }
 
 // otherPlannerUnreachable asks this cell's planner again for jobs that were sent to a
 // planner of another cell which is unreachable now.
-func (b *Jobs) otherPlannerUnreachable(now time.Time, p mesh.ID) {
-	for _, j := range b.sortedJobs() {
+func (js *Jobs) otherPlannerUnreachable(now time.Time, p mesh.ID) {
+	for _, j := range js.sortedJobs() {
 		if j.answer == nil && j.otherPlanner == p && p != (mesh.ID{}) {
 			j.otherPlanner = mesh.ID{}
-			b.repeatRequests(now, j)
+			js.repeatRequests(now, j)
 		}
 	}
 }
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -16,34 +16,34 @@
 	tests := []struct {
 		name string
 		// do is what happens after this cell's planner has refused.
-		do      func(b *Jobs)
-		to      mesh.ID
-		asks    int
-		answers int
+		do       func(js *Jobs)
+		to       mesh.ID
+		requests int
+		answers  int
 	}{
 		{"requested there", func(*Jobs) {}, other, 1, 0},
-		{"refused there too", func(b *Jobs) { b.Refused(ms(20), other, cell.Refusal{Job: jobID, Reason: "others_first"}) }, other, 1, 1},
-		{"the own planner repeats itself", func(b *Jobs) { b.Refused(ms(20), planner, cell.Refusal{Job: jobID, Reason: "others_first"}) }, other, 1, 0},
-		{"its planner is lost", func(b *Jobs) { b.HolderUnreachable(ms(20), other) }, mesh.ID{}, 2, 0},
+		{"refused there too", func(js *Jobs) { js.Refused(ms(20), other, cell.Refusal{Job: jobID, Reason: "others_first"}) }, other, 1, 1},
+		{"the own planner repeats itself", func(js *Jobs) { js.Refused(ms(20), planner, cell.Refusal{Job: jobID, Reason: "others_first"}) }, other, 1, 0},
+		{"its planner is lost", func(js *Jobs) { js.HolderUnreachable(ms(20), other) }, mesh.ID{}, 2, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := newSubmittedBook(t, request(1))
-			b.SetOtherPlanners([]mesh.ID{other})
-			b.Refused(ms(10), planner, cell.Refusal{Job: jobID, Reason: "others_first"})
-			tt.do(b)
-			asks, answers, to := 0, 0, mesh.ID{}
-			for _, a := range b.Take() {
+			js, _ := newSubmittedJobs(t, request(1))
+			js.SetOtherPlanners([]mesh.ID{other})
+			js.Refused(ms(10), planner, cell.Refusal{Job: jobID, Reason: "others_first"})
+			tt.do(js)
+			requests, answers, to := 0, 0, mesh.ID{}
+			for _, a := range js.Take() {
 				switch {
 				case a.Request != nil:
-					asks++
+					requests++
 					to = a.To
 				case a.Answer != nil:
 					answers++
 				}
 			}
-			if asks != tt.asks || answers != tt.answers || to != tt.to {
-				t.Errorf("%d requests, the last to %q, %d answers; want %d to %q and %d", asks, to, answers, tt.asks, tt.to, tt.answers)
+			if requests != tt.requests || answers != tt.answers || to != tt.to {
+				t.Errorf("%d requests, the last to %q, %d answers; want %d to %q and %d", requests, to, answers, tt.requests, tt.to, tt.answers)
 			}
 		})
 	}
--- a/entry/end.go
+++ b/entry/end.go
@@ -11,41 +11,41 @@
 
 // Refused handles the planner's message that a job gets no workers. A job of which
 // something may have begun can't be refused truthfully; it continues.
-func (b *Jobs) Refused(now time.Time, from mesh.ID, r cell.Refusal) {
-	j := b.jobs[r.Job]
+func (js *Jobs) Refused(now time.Time, from mesh.ID, r cell.Refusal) {
+	j := js.jobs[r.Job]
 	if j == nil || j.answer != nil || j.otherPlanner != (mesh.ID{}) && from != j.otherPlanner {
 		return
 	}
-	b.plannerAnswered(now, j, r.Waited)
-	if j.hasBegun() || b.requestFromOtherCell(now, j) {
+	js.plannerAnswered(now, j, r.Waited)
+	if j.hasBegun() || js.requestFromOtherCell(now, j) {
 		return
 	}
-	b.finish(now, j, Answer{Status: Refused, Why: r.Reason, RetryAfter: r.RetryAfter})
+	js.finish(now, j, Answer{Status: Refused, Why: r.Reason, RetryAfter: r.RetryAfter})
 }
 
 // Ended handles the end of a run. That a run is lost is concluded from a lease that has
 // expired, and only its holder can conclude it: a former holder that was suspended does
 // not know who has renewed the lease since.
-func (b *Jobs) Ended(now time.Time, from mesh.ID, e Ended) {
-	p, ok := b.runs[e.End.Run]
+func (js *Jobs) Ended(now time.Time, from mesh.ID, e Ended) {
+	p, ok := js.runs[e.End.Run]
 	if !ok || p.t.worker != e.Worker {
 		return
 	}
 	if e.End.Outcome == lease.Lost && from != p.t.holder {
 		return
 	}
-	b.handleRunEnd(now, p.j, p.t, e.End)
+	js.handleRunEnd(now, p.j, p.t, e.End)
 }
 
-func (b *Jobs) handleRunEnd(now time.Time, j *job, t *task, end lease.End) {
-	delete(b.runs, end.Run)
-	event.RunEnded.Log(b.log, "job", j.ID, "task", end.Task, "run", end.Number, "how", end.Outcome, "why", string(end.Why), "worker", t.worker, "took_ms", end.Took.Milliseconds(), "age_ms", now.Sub(j.arrived).Milliseconds())
+func (js *Jobs) handleRunEnd(now time.Time, j *job, t *task, end lease.End) {
+	delete(js.runs, end.Run)
+	event.RunEnded.Log(js.log, "job", j.ID, "task", end.Task, "run", end.Number, "how", end.Outcome, "why", string(end.Why), "worker", t.worker, "took_ms", end.Took.Milliseconds(), "age_ms", now.Sub(j.arrived).Milliseconds())
 	worker := t.worker
 	t.worker, t.holder, t.avoidWorker = "", mesh.ID{}, ""
 	switch end.Outcome {
 	case lease.Done:
 		t.state = done
-		b.delay.ran(now, now.Sub(t.placedAt)-end.Took)
+		js.delay.ran(now, now.Sub(t.placedAt)-end.Took)
 	case lease.Failed:
 		t.failures++
 		t.state = blocked
@@ -59,19 +59,19 @@
 		t.wrongOrders++
 	}
 	if end.Outcome == lease.NeverStarted {
-		b.counts.NotStarted[end.Why]++
+		js.counts.NotStarted[end.Why]++
 	} else {
 		j.ran = true
-		b.counts.Ended[end.Outcome]++
+		js.counts.Ended[end.Outcome]++
 	}
 	switch {
 	case j.answer != nil:
 	case t.wrongOrders >= maxWrongOrders:
-		b.abandon(now, j, string(end.Why))
+		js.abandon(now, j, string(end.Why))
 	default:
-		b.continueJob(now, j, t)
+		js.continueJob(now, j, t)
 	}
-	b.forgetIfOver(now, j)
+	js.forgetIfOver(now, j)
 }
 
 // maxWrongOrders is how many orders for one task may be wrong before its job is given up.
@@ -80,25 +80,25 @@
 const maxWrongOrders = 3
 
 // abandon ends a job that can't be done, with a truthful answer.
-func (b *Jobs) abandon(now time.Time, j *job, why string) {
+func (js *Jobs) abandon(now time.Time, j *job, why string) {
 	status := Refused
 	if j.hasBegun() {
 		status = Unknown
 	}
-	b.finish(now, j, Answer{Status: status, Why: why})
+	js.finish(now, j, Answer{Status: status, Why: why})
 }
 
 // continueJob continues a job after the end of a run.
-func (b *Jobs) continueJob(now time.Time, j *job, t *task) {
+func (js *Jobs) continueJob(now time.Time, j *job, t *task) {
 	switch {
 	case t.failures >= max(1, j.Queue.Attempts):
-		b.finish(now, j, Answer{Status: Failed, Why: "attempts"})
+		js.finish(now, j, Answer{Status: Failed, Why: "attempts"})
 	case j.allDone():
-		b.finish(now, j, Answer{Status: Completed})
+		js.finish(now, j, Answer{Status: Completed})
 	case t.state == done:
-		b.requestReadySteps(now, j)
+		js.requestReadySteps(now, j)
 	default:
-		b.requestWorkers(now, j, []*task{t})
+		js.requestWorkers(now, j, []*task{t})
 	}
 }
 
@@ -112,25 +112,25 @@
 }
 
 // finish answers a job and stops what still runs.
-func (b *Jobs) finish(now time.Time, j *job, a Answer) {
+func (js *Jobs) finish(now time.Time, j *job, a Answer) {
 	j.answer, j.answeredAt = &a, now
-	event.JobAnswered.Log(b.log, "job", j.ID, "queue", j.Queue.Name, "status", a.Status, "why", a.Why, "after_ms", a.RetryAfter.Milliseconds(),
+	event.JobAnswered.Log(js.log, "job", j.ID, "queue", j.Queue.Name, "status", a.Status, "why", a.Why, "after_ms", a.RetryAfter.Milliseconds(),
 		"age_ms", now.Sub(j.arrived).Milliseconds(), "aim_ms", j.objectiveAt.Sub(j.arrived).Milliseconds())
 	for _, w := range j.waiters {
-		b.reply(w, a)
+		js.reply(w, a)
 	}
 	j.waiters = nil
-	b.cancelWork(now, j)
-	b.forgetIfOver(now, j)
+	js.cancelWork(now, j)
+	js.forgetIfOver(now, j)
 }
 
-func (b *Jobs) reply(w Waiter, a Answer) {
-	delete(b.waiters, w)
-	b.emit(Action{Answer: &CallerAnswer{Waiter: w, Answer: a}})
+func (js *Jobs) reply(w Waiter, a Answer) {
+	delete(js.waiters, w)
+	js.emit(Action{Answer: &CallerAnswer{Waiter: w, Answer: a}})
 }
 
 // cancelWork stops what runs and withdraws pending requests.
-func (b *Jobs) cancelWork(_ time.Time, j *job) {
+func (js *Jobs) cancelWork(_ time.Time, j *job) {
 	stops := make(map[mesh.ID]*Stop)
 	var holders []mesh.ID
 	anyPending := false
@@ -150,10 +150,10 @@
 		}
 	}
 	if anyPending {
-		b.emit(Action{To: j.otherPlanner, Withdraw: &cell.Withdrawal{Job: j.ID}})
+		js.emit(Action{To: j.otherPlanner, Withdraw: &cell.Withdrawal{Job: j.ID}})
 	}
 	for _, h := range holders {
-		b.emit(Action{To: h, Stop: stops[h]})
+		js.emit(Action{To: h, Stop: stops[h]})
 	}
 }
 
@@ -173,12 +173,12 @@
 
 // forgetIfOver removes an answered job once nothing of it runs and its answer need not be
 // retained.
-func (b *Jobs) forgetIfOver(now time.Time, j *job) {
+func (js *Jobs) forgetIfOver(now time.Time, j *job) {
 	if j.answer == nil || j.activeRuns() > 0 {
 		return
 	}
 	retained := j.answer.Status == Completed || j.answer.Status == Failed
 	if !retained || now.Sub(j.answeredAt) > answerRetention {
-		delete(b.jobs, j.ID)
+		delete(js.jobs, j.ID)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -5,7 +5,7 @@
 // when every task is done, when one has failed as often as its queue allows, or when the
 // job is refused.
 //
-// The rules that the Book keeps:
+// The rules that Jobs keeps:
 //
 //   - a task is placed again only after its run is known to be over;
 //   - a refusal ("not run, will not run") is given only while no run of the job can have
@@ -44,8 +44,8 @@
 	Estimate  time.Duration
 	// DependsOn are the indexes of the steps whose tasks must be done first.
 	DependsOn []int
-	// Label is a label that the worker must have; Rack is where the data is; Apart is the
-	// maximum number of tasks of the step on one worker.
+	// Label is a label that the worker must have; Rack is where the data is;
+	// MaxPerWorker is the maximum number of tasks of the step on one worker.
 	Label        string
 	Rack         string
 	MaxPerWorker int
--- a/entry/grant.go
+++ b/entry/grant.go
@@ -12,20 +12,20 @@
 
 // Grant handles workers granted for tasks. Grants that are not needed any more are
 // returned.
-func (b *Jobs) Grant(now time.Time, from mesh.ID, g cell.Grant) {
-	j := b.jobs[g.Job]
+func (js *Jobs) Grant(now time.Time, from mesh.ID, g cell.Grant) {
+	j := js.jobs[g.Job]
 	if j != nil {
-		b.plannerAnswered(now, j, g.Waited)
+		js.plannerAnswered(now, j, g.Waited)
 	}
 	var unused []lease.Run
 	starts := make(map[mesh.ID]map[int]*Start)
 	for _, item := range g.Items {
-		t := b.pendingTask(j, item.Run)
+		t := js.pendingTask(j, item.Run)
 		if t == nil {
 			unused = append(unused, item.Run)
 			continue
 		}
-		b.place(now, j, t, item)
+		js.place(now, j, t, item)
 		byStep := starts[item.Holder]
 		if byStep == nil {
 			byStep = make(map[int]*Start)
@@ -40,13 +40,13 @@
 		s.Runs = append(s.Runs, PlacedRun{Run: item.Run, Worker: item.Worker, Estimate: item.Estimate, Fence: item.Fence})
 	}
 	if len(unused) > 0 {
-		b.emit(Action{To: from, Withdraw: &cell.Withdrawal{Job: g.Job, Runs: unused}})
+		js.emit(Action{To: from, Withdraw: &cell.Withdrawal{Job: g.Job, Runs: unused}})
 	}
-	b.sendStarts(starts)
+	js.sendStarts(starts)
 }
 
 // sendStarts sends in a fixed order, so that the same events have the same outcome.
-func (b *Jobs) sendStarts(starts map[mesh.ID]map[int]*Start) {
+func (js *Jobs) sendStarts(starts map[mesh.ID]map[int]*Start) {
 	var holders []mesh.ID
 	for h := range starts {
 		holders = append(holders, h)
@@ -55,14 +55,14 @@
 	for _, h := range holders {
 		for s := 0; len(starts[h]) > 0; s++ {
 			if start, ok := starts[h][s]; ok {
-				b.emit(Action{To: h, Start: start})
+				js.emit(Action{To: h, Start: start})
 				delete(starts[h], s)
 			}
 		}
 	}
 }
 
-func (b *Jobs) pendingTask(j *job, r lease.Run) *task {
+func (js *Jobs) pendingTask(j *job, r lease.Run) *task {
 	if j == nil || j.answer != nil {
 		return nil
 	}
@@ -74,9 +74,9 @@
 	return nil
 }
 
-func (b *Jobs) place(now time.Time, j *job, t *task, item cell.GrantedRun) {
+func (js *Jobs) place(now time.Time, j *job, t *task, item cell.GrantedRun) {
 	t.placedAt = now
 	t.state, t.worker, t.holder, t.fence, t.unreachableSince = placed, item.Worker, item.Holder, item.Fence, time.Time{}
 	t.estimate = cmp.Or(item.Estimate, j.Steps[t.step].Estimate)
-	b.runs[item.Run] = placedTask{j, t}
+	js.runs[item.Run] = placedTask{j, t}
 }
--- a/entry/late.go
+++ b/entry/late.go
@@ -29,20 +29,20 @@
 // objective any more. The planner does that too, and earlier. But the process that is
 // taken for the planner may not be planning, for instance when it and this process see
 // different members: all callers would then wait for nothing until their deadlines.
-func (b *Jobs) refuseIfTooLate(now time.Time, j *job) {
+func (js *Jobs) refuseIfTooLate(now time.Time, j *job) {
 	if !j.hasBegun() && now.After(j.objectiveAt.Add(plannerGrace-j.minDuration())) {
 		if !j.asked.IsZero() && j.otherPlanner == (mesh.ID{}) {
-			b.delay.plannerSilent(now, now.Sub(j.asked))
+			js.delay.plannerSilent(now, now.Sub(j.asked))
 		}
-		b.finish(now, j, Answer{Status: Refused, Why: "planner_silent", RetryAfter: minRetryAfter + cell.RetryJitter(j.ID)})
+		js.finish(now, j, Answer{Status: Refused, Why: "planner_silent", RetryAfter: minRetryAfter + cell.RetryJitter(j.ID)})
 	}
 }
 
 // plannerAnswered records that the planner has answered for a job, after waiting for free
 // resources for a time.
-func (b *Jobs) plannerAnswered(now time.Time, j *job, waited time.Duration) {
+func (js *Jobs) plannerAnswered(now time.Time, j *job, waited time.Duration) {
 	if !j.asked.IsZero() && j.otherPlanner == (mesh.ID{}) {
-		b.delay.asked(now, now.Sub(j.asked)-waited)
+		js.delay.asked(now, now.Sub(j.asked)-waited)
 		j.asked = time.Time{}
 	}
 }
@@ -51,11 +51,11 @@
 // time that messages take, and reports whether it did. A request to the planner would
 // only add to the load of its link: at twice what the links bore, requests for jobs that
 // were late when they arrived kept the link half a second behind permanently.
-func (b *Jobs) refuseIfMessagesSlow(now time.Time, j *job) bool {
+func (js *Jobs) refuseIfMessagesSlow(now time.Time, j *job) bool {
 	remaining := j.objectiveAt.Sub(now)
-	if remaining == 0 || b.delay.total(j.Steps[0].Count)+j.minDuration() <= remaining {
+	if remaining == 0 || js.delay.total(j.Steps[0].Count)+j.minDuration() <= remaining {
 		return false
 	}
-	b.finish(now, j, Answer{Status: Refused, Why: "messages_slow", RetryAfter: minRetryAfter + cell.RetryJitter(j.ID)})
+	js.finish(now, j, Answer{Status: Refused, Why: "messages_slow", RetryAfter: minRetryAfter + cell.RetryJitter(j.ID)})
 	return true
 }
--- a/entry/message.go
+++ b/entry/message.go
@@ -65,9 +65,9 @@
 	Worker string `cbor:"1,keyasint,omitzero"`
 }
 
-// Action is what a book asks its driver to do. One of the pointers is set.
+// Action is what Jobs asks its driver to do. One of the pointers is set.
 type Action struct {
-	// To is the destination of a message; zero means this cell's planner, for Ask and
+	// To is the destination of a message; zero means this cell's planner, for Request and
 	// Withdraw.
 	To       mesh.ID
 	Request  *cell.Request
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -12,19 +12,19 @@
 
 // Submit accepts a job for a caller, or joins the caller to the job of the same id that
 // is in progress here.
-func (b *Jobs) Submit(now time.Time, w Waiter, r Request) {
-	j, ok := b.jobs[r.ID]
+func (js *Jobs) Submit(now time.Time, w Waiter, r Request) {
+	j, ok := js.jobs[r.ID]
 	switch {
 	case !ok:
-		b.admit(now, w, r)
+		js.admit(now, w, r)
 	case !j.matches(r):
 		// The caller would be given the answer of another caller's job. Nor can its job
 		// start under this id: its tasks would have the names of tasks that may still
 		// run.
-		event.JobAnswered.Log(b.log, "job", r.ID, "queue", r.Queue.Name, "status", Refused, "why", idInUse, "after_ms", answerRetention.Milliseconds(), "age_ms", 0)
-		b.reply(w, Answer{Status: Refused, Why: idInUse, RetryAfter: answerRetention})
+		event.JobAnswered.Log(js.log, "job", r.ID, "queue", r.Queue.Name, "status", Refused, "why", idInUse, "after_ms", answerRetention.Milliseconds(), "age_ms", 0)
+		js.reply(w, Answer{Status: Refused, Why: idInUse, RetryAfter: answerRetention})
 	default:
-		b.join(now, w, j, r)
+		js.join(now, w, j, r)
 	}
 }
 
@@ -38,23 +38,23 @@
 // join handles a request whose id is known. A finished job gives its answer again. One
 // that was given up and still runs somewhere can't be started again, since two runs of a
 // task could overlap.
-func (b *Jobs) join(now time.Time, w Waiter, j *job, r Request) {
+func (js *Jobs) join(now time.Time, w Waiter, j *job, r Request) {
 	switch {
 	case j.answer == nil:
-		event.JobJoined.Log(b.log, "job", j.ID, "age_ms", now.Sub(j.arrived).Milliseconds())
+		event.JobJoined.Log(js.log, "job", j.ID, "age_ms", now.Sub(j.arrived).Milliseconds())
 		j.waiters = append(j.waiters, w)
-		b.waiters[w] = j
+		js.waiters[w] = j
 	case j.answer.Status == Completed || j.answer.Status == Failed:
-		b.reply(w, *j.answer)
+		js.reply(w, *j.answer)
 	case j.activeRuns() > 0:
-		b.reply(w, Answer{Status: Unknown, Why: "earlier_copy_ends"})
+		js.reply(w, Answer{Status: Unknown, Why: "earlier_copy_ends"})
 	default:
-		delete(b.jobs, j.ID)
-		b.admit(now, w, r)
+		delete(js.jobs, j.ID)
+		js.admit(now, w, r)
 	}
 }
 
-func (b *Jobs) admit(now time.Time, w Waiter, r Request) {
+func (js *Jobs) admit(now time.Time, w Waiter, r Request) {
 	j := &job{Request: r, text: lease.NewText(r.ID, r.Spec), arrived: now, waiters: []Waiter{w}}
 	j.deadline = now.Add(r.Timeout)
 	j.objectiveAt = now.Add(objective(r))
@@ -63,18 +63,18 @@
 			j.tasks = append(j.tasks, &task{step: s, index: i})
 		}
 	}
-	b.jobs[r.ID] = j
-	b.waiters[w] = j
-	event.JobAdmitted.Log(b.log, "job", r.ID, "queue", r.Queue.Name, "tasks", len(j.tasks), "steps", len(r.Steps), "text_bytes", len(r.Spec),
+	js.jobs[r.ID] = j
+	js.waiters[w] = j
+	event.JobAdmitted.Log(js.log, "job", r.ID, "queue", r.Queue.Name, "tasks", len(j.tasks), "steps", len(r.Steps), "text_bytes", len(r.Spec),
 		"estimate_ms", r.Steps[0].Estimate.Milliseconds(), "cpu", r.Steps[0].Resources.CPU, "patience_ms", r.Timeout.Milliseconds(),
-		"aim_ms", j.objectiveAt.Sub(now).Milliseconds(), "delay_ms", b.delay.total(len(j.tasks)).Milliseconds(), "planner", b.planner)
-	if !b.refuseIfMessagesSlow(now, j) {
-		b.requestReadySteps(now, j)
+		"aim_ms", j.objectiveAt.Sub(now).Milliseconds(), "delay_ms", js.delay.total(len(j.tasks)).Milliseconds(), "planner", js.planner)
+	if !js.refuseIfMessagesSlow(now, j) {
+		js.requestReadySteps(now, j)
 	}
 }
 
 // objective returns the time in which the job should be answered: the longest chain of
-// estimated work, times the queue's stretch, plus the queue's aim.
+// estimated work, times the queue's stretch, plus the queue's objective.
 func objective(r Request) time.Duration {
 	chain := make([]time.Duration, len(r.Steps))
 	var longest time.Duration
@@ -89,7 +89,7 @@
 }
 
 // requestReadySteps requests workers for all blocked tasks whose earlier steps are done.
-func (b *Jobs) requestReadySteps(now time.Time, j *job) {
+func (js *Jobs) requestReadySteps(now time.Time, j *job) {
 	for s := range j.Steps {
 		if !j.stepReady(s) {
 			continue
@@ -100,7 +100,7 @@
 				unrequested = append(unrequested, t)
 			}
 		}
-		b.requestWorkers(now, j, unrequested)
+		js.requestWorkers(now, j, unrequested)
 	}
 }
 
@@ -114,7 +114,7 @@
 }
 
 // requestWorkers requests workers from the planner for tasks of one step.
-func (b *Jobs) requestWorkers(now time.Time, j *job, tasks []*task) {
+func (js *Jobs) requestWorkers(now time.Time, j *job, tasks []*task) {
 	if len(tasks) == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 		Resources:    s.Resources,
 		Estimate:     s.Estimate,
 		Age:          now.Sub(j.arrived),
-		Objective:    j.objectiveAt.Sub(now) - b.delay.total(len(tasks)),
+		Objective:    j.objectiveAt.Sub(now) - js.delay.total(len(tasks)),
 		Timeout:      j.deadline.Sub(now),
 		Begun:        j.hasBegun(),
 		Label:        s.Label,
@@ -146,33 +146,33 @@
 		}
 	}
 	j.asked = now
-	b.emit(Action{To: j.otherPlanner, Request: a})
+	js.emit(Action{To: j.otherPlanner, Request: a})
 }
 
 func (j *job) lastRun(t *task) lease.Run {
 	return lease.Run{Task: taskName(j.ID, t.step, t.index), Number: t.runNumber}
 }
 
-// SetPlanner sets the planner. A new planner is asked again for all pending tasks: grants of
-// the old one that did not reach this process are not used.
-func (b *Jobs) SetPlanner(now time.Time, id mesh.ID) {
-	if id == b.planner {
+// SetPlanner sets the planner. A new planner is asked again for all pending tasks: grants
+// of the old one that did not reach this process are not used.
+func (js *Jobs) SetPlanner(now time.Time, id mesh.ID) {
+	if id == js.planner {
 		return
 	}
-	b.planner = id
+	js.planner = id
 	if id == (mesh.ID{}) {
 		return
 	}
 	// The previous planner's answer times say nothing of this one's.
-	b.delay.plannerTime = 0
-	for _, j := range b.sortedJobs() {
+	js.delay.plannerTime = 0
+	for _, j := range js.sortedJobs() {
 		if j.answer == nil && j.otherPlanner == (mesh.ID{}) {
-			b.repeatRequests(now, j)
+			js.repeatRequests(now, j)
 		}
 	}
 }
 
-func (b *Jobs) repeatRequests(now time.Time, j *job) {
+func (js *Jobs) repeatRequests(now time.Time, j *job) {
 	for s := range j.Steps {
 		var tasks []*task
 		for _, t := range j.tasks {
@@ -180,6 +180,6 @@
 				tasks = append(tasks, t)
 			}
 		}
-		b.requestWorkers(now, j, tasks)
+		js.requestWorkers(now, j, tasks)
 	}
 }
