--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -143,7 +143,7 @@
 	queueFullLoggedAt time.Time
 }
 
-// batch is a batch with tasks that have not ended.
+// batch is a submission with tasks that have not ended.
 type batch struct {
 	Submission
 	unfinished int
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-func newBatch(id string, n int, done func(int, Result)) Submission {
+func newSubmission(id string, n int, done func(int, Result)) Submission {
 	return Submission{Job: id, Kind: "price", Caller: "x", Expires: time.Now().Add(time.Hour), Tasks: make([][]byte, n), Done: done}
 }
 
@@ -108,7 +108,7 @@
 		for i := range 20 {
 			lock <- struct{}{}
 			time.Sleep(500 * time.Millisecond)
-			if err := d.Submit(newBatch(string(rune('a'+i)), 1, done)); err != nil {
+			if err := d.Submit(newSubmission(string(rune('a'+i)), 1, done)); err != nil {
 				t.Errorf("job %d: %v", i, err)
 			}
 			<-lock
@@ -133,11 +133,11 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		cutOff.Store(false)
-		if err := d.Submit(newBatch("first", 1, func(int, Result) {})); err != nil {
+		if err := d.Submit(newSubmission("first", 1, func(int, Result) {})); err != nil {
 			t.Error(err)
 		}
 		cutOff.Store(true)
-		if d.Submit(newBatch("second", 1, func(int, Result) {})) == nil {
+		if d.Submit(newSubmission("second", 1, func(int, Result) {})) == nil {
 			t.Error("accepted while nothing may be placed")
 		}
 		time.Sleep(time.Minute)
@@ -151,7 +151,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d, deliverer, ticks := newDispatcher(t)
 		began := time.Now()
-		err := d.Submit(newBatch("late", 1, func(int, Result) {}))
+		err := d.Submit(newSubmission("late", 1, func(int, Result) {}))
 		var r *refusal.Refusal
 		if !errors.As(err, &r) || r.Ran != refusal.RanNo || time.Since(began) > submitTimeout {
 			t.Fatalf("%v after %v", err, time.Since(began))
@@ -172,7 +172,7 @@
 		var waiting sync.WaitGroup
 		for range 2 * requestBuffer {
 			waiting.Go(func() {
-				if d.Submit(newBatch("x", 1, func(int, Result) {})) == nil {
+				if d.Submit(newSubmission("x", 1, func(int, Result) {})) == nil {
 					t.Error("accepted without a planner")
 				}
 			})
@@ -189,7 +189,7 @@
 		serve(t, d, ticks)
 		var mu sync.Mutex
 		got := make(map[refusal.Ran]int)
-		_ = d.Submit(newBatch("job", 10, func(_ int, r Result) {
+		_ = d.Submit(newSubmission("job", 10, func(_ int, r Result) {
 			mu.Lock()
 			defer mu.Unlock()
 			got[r.Ran]++
--- a/dispatch/handover/handover_test.go
+++ b/dispatch/handover/handover_test.go
@@ -53,14 +53,14 @@
 
 var errLost = errors.New("lost")
 
-// fakeNetwork connects a sender with a receiver. For each ask, fault decides what happens
-// to it.
+// fakeNetwork connects a sender with a receiver. For each request, fault decides what
+// happens to it.
 type fakeNetwork struct {
-	r     *Receiver
-	fault func(n int, a Request) fate
-	gone  bool
-	asks  int
-	sent  []Request
+	r        *Receiver
+	fault    func(n int, a Request) fate
+	gone     bool
+	requests int
+	sent     []Request
 }
 
 type fate int
@@ -68,7 +68,7 @@
 const (
 	arrives fate = iota
 	notSent
-	askLost
+	requestLost
 	answerLost
 	twice
 	restarted
@@ -77,13 +77,13 @@
 func (net *fakeNetwork) Gone(ticket.Owner) bool { return net.gone }
 
 func (net *fakeNetwork) Ask(ctx context.Context, _ roster.Known, a Request) (Response, error) {
-	net.asks++
+	net.requests++
 	a = throughJSON(a)
 	net.sent = append(net.sent, a)
-	switch net.fault(net.asks, a) {
+	switch net.fault(net.requests, a) {
 	case notSent:
 		return Response{}, fmt.Errorf("%w: refused", ErrNotSent)
-	case askLost:
+	case requestLost:
 		return Response{}, errLost
 	case answerLost:
 		_, _ = net.r.Handle(ctx, a)
@@ -98,12 +98,12 @@
 	return net.r.Handle(ctx, a)
 }
 
-// throughJSON returns the ask as the receiver decodes it.
+// throughJSON returns the request as the receiver decodes it.
 func throughJSON(a Request) Request {
 	b, err := json.Marshal(a)
 	var out Request
 	if err != nil || json.Unmarshal(b, &out) != nil {
-		panic("ask does not survive JSON")
+		panic("request does not survive JSON")
 	}
 	return out
 }
@@ -138,17 +138,17 @@
 	}{
 		{"no fault", always(arrives), false, nil, delivery.Done, 1},
 		{"never connected", always(notSent), false, nil, delivery.NotRun, 0},
-		{"first ask lost", first(askLost), false, nil, delivery.Done, 1},
+		{"first request lost", first(requestLost), false, nil, delivery.Done, 1},
 		{"first answer lost", first(answerLost), false, nil, delivery.Done, 1},
 		{"every answer lost", always(answerLost), false, nil, delivery.Unknown, 1},
-		{"every ask lost", always(askLost), false, nil, delivery.Unknown, 0},
+		{"every request lost", always(requestLost), false, nil, delivery.Unknown, 0},
 		{"lost, then not connected", func(n int, _ Request) fate {
 			if n == 1 {
 				return answerLost
 			}
 			return notSent
 		}, false, nil, delivery.Unknown, 1},
-		{"every ask twice", always(twice), false, nil, delivery.Done, 1},
+		{"every request twice", always(twice), false, nil, delivery.Done, 1},
 		{"restarted after the first", func(n int, _ Request) fate {
 			if n == 1 {
 				return answerLost
@@ -156,7 +156,7 @@
 			return restarted
 		}, false, nil, delivery.Unknown, 1},
 		{"restarted before the first", always(restarted), false, nil, delivery.Unknown, 0},
-		{"gone for good", always(askLost), true, nil, delivery.Unknown, 0},
+		{"gone for good", always(requestLost), true, nil, delivery.Unknown, 0},
 		{"turned down", always(arrives), false, refusal.New(refusal.Overloaded, ""), delivery.NotRun, 0},
 		{"turned down, answer lost", first(answerLost), false, refusal.New(refusal.Overloaded, ""), delivery.NotRun, 0},
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// A duplicate of an ask is delayed and arrives when its batch has long ended and another
-// one has followed. The receiver has forgotten the batch by then; if it treated the ask
+// A duplicate of a request is delayed and arrives when its batch has long ended and another
+// one has followed. The receiver has forgotten the batch by then; if it treated the request
 // as new, every task would run twice.
 func TestLateCopy(t *testing.T) {
 	for _, err := range []error{nil, refusal.New(refusal.Overloaded, "")} {
@@ -243,8 +243,8 @@
 		dispatcher := &fakeDispatcher{starts: make(map[string]int)}
 		net := &fakeNetwork{r: NewReceiver(to, dispatcher, time.Now), fault: func(int, Request) fate { return arrives }}
 		send(t, NewSender(from, net, time.Now), delivery.Done)
-		if net.asks > 2 {
-			t.Errorf("%d asks for one batch", net.asks)
+		if net.requests > 2 {
+			t.Errorf("%d requests for one batch", net.requests)
 		}
 	})
 }
--- a/dispatch/handover/receiver.go
+++ b/dispatch/handover/receiver.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxAnswerDelay is how long an ask waits for a result.
+	// maxAnswerDelay is how long a request waits for a result.
 	maxAnswerDelay = 2 * time.Second
 	// batchingDelay is how long a result waits for others, to share an answer with them.
 	// It delays no caller: an answer is sent at once when the last task of a job in the
@@ -109,7 +109,7 @@
 	return b.unfinished == 0 && b.delivered >= len(b.results)
 }
 
-// Handle answers an ask.
+// Handle answers a request.
 func (r *Receiver) Handle(ctx context.Context, a Request) (Response, error) {
 	if a.To != r.self {
 		return Response{State: OtherIncarnation}, nil
@@ -123,11 +123,11 @@
 	return Response{State: Open, Results: results, Free: r.dispatcher.Free()}, nil
 }
 
-// batch returns the batch of the ask, and starts it if it is new. It returns nil if the
-// batch is over, or if it is not kept here and the ask has no tasks.
+// batch returns the batch of the request, and starts it if it is new. It returns nil if the
+// batch is over, or if it is not kept here and the request has no tasks.
 //
 // The lock is held until the batch is in the map, and only the caller that put it there
-// starts it: if two copies of an ask arrive together, one starts the tasks.
+// starts it: if two copies of a request arrive together, one starts the tasks.
 func (r *Receiver) batch(a Request) *receivedBatch {
 	r.mu.Lock()
 	o := r.owner(a.From)
@@ -235,7 +235,7 @@
 
 // evictOwner drops the owner that has been silent for the longest time if there are too
 // many. An owner is kept as long as possible even without batches, because its lowest
-// open batch protects against an old ask that it sends after a suspension.
+// open batch protects against an old request that it sends after a suspension.
 func (r *Receiver) evictOwner() {
 	if len(r.owners) < maxOwners {
 		return
--- a/dispatch/handover/sender.go
+++ b/dispatch/handover/sender.go
@@ -14,11 +14,11 @@
 	"snipehub.example/ticket"
 )
 
-// ErrNotSent is returned by a network if the peer certainly did not get the ask.
+// ErrNotSent is returned by a network if the peer certainly did not get the request.
 var ErrNotSent = errors.New("handover: not sent")
 
-// network sends asks to peers. After any error other than ErrNotSent, the peer may or may
-// not have got the ask.
+// network sends requests to peers. After any error other than ErrNotSent, the peer may or
+// may not have got the request.
 type network interface {
 	Ask(ctx context.Context, to roster.Known, a Request) (Response, error)
 	// Gone reports whether the incarnation is gone for good.
@@ -26,7 +26,7 @@
 }
 
 const (
-	askTimeout      = 3 * time.Second
+	requestTimeout  = 3 * time.Second
 	minRetryBackoff = 50 * time.Millisecond
 	maxRetryBackoff = time.Second
 	// resultGrace is how long after the tasks' deadline the sender still waits for
@@ -52,11 +52,11 @@
 
 // batch is a batch that is being handed over.
 type batch struct {
-	ask      Request
+	request  Request
 	to       roster.Known
 	tasks    []dispatch.HandoverTask
 	deadline time.Time
-	// mayHaveArrived is set if the peer may have got an ask.
+	// mayHaveArrived is set if the peer may have got a request.
 	mayHaveArrived bool
 	hasResult      []bool
 }
@@ -68,7 +68,7 @@
 	defer s.end(b)
 	backoff := minRetryBackoff
 	for {
-		answer, err := s.ask(ctx, b)
+		answer, err := s.sendRequest(ctx, b)
 		if err == nil && answer.State == Open {
 			reportFree(answer.Free)
 			backoff = minRetryBackoff
@@ -96,7 +96,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastBatch++
-	b.ask = Request{From: s.self, To: to.Owner, Batch: s.lastBatch}
+	b.request = Request{From: s.self, To: to.Owner, Batch: s.lastBatch}
 	if s.openBatches[to.Owner] == nil {
 		s.openBatches[to.Owner] = make(map[uint64]struct{})
 	}
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := s.openBatches[b.to.Owner]
-	delete(open, b.ask.Batch)
+	delete(open, b.request.Batch)
 	if len(open) == 0 {
 		delete(s.openBatches, b.to.Owner)
 	}
@@ -124,15 +124,15 @@
 	return lowestOpen
 }
 
-func (s *Sender) ask(ctx context.Context, b *batch) (Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (s *Sender) sendRequest(ctx context.Context, b *batch) (Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	a := b.ask
-	a.LowestOpen = s.lowestOpen(b.to.Owner)
-	if a.Received == 0 {
-		a.Tasks = b.wireTasks(s.now())
+	req := b.request
+	req.LowestOpen = s.lowestOpen(b.to.Owner)
+	if req.Received == 0 {
+		req.Tasks = b.wireTasks(s.now())
 	}
-	answer, err := s.net.Ask(ctx, b.to, a)
+	answer, err := s.net.Ask(ctx, b.to, req)
 	b.mayHaveArrived = b.mayHaveArrived || !errors.Is(err, ErrNotSent)
 	return answer, err
 }
@@ -163,11 +163,11 @@
 		b.hasResult[r.Task] = true
 		done(r.Task, r.outcome())
 	}
-	b.ask.Received += len(a.Results)
-	return b.ask.Received >= len(b.tasks)
+	b.request.Received += len(a.Results)
+	return b.request.Received >= len(b.tasks)
 }
 
-// afterFailure decides on the tasks without a result after an ask has failed. It returns
+// afterFailure decides on the tasks without a result after a request has failed. It returns
 // their outcome and true, or false while the peer may still answer.
 func (s *Sender) afterFailure(ctx context.Context, b *batch, a Response, err error) (delivery.Outcome, bool) {
 	outcome := delivery.Outcome{Kind: delivery.Unknown, Cause: delivery.Broken}
--- a/dispatch/handover/wire.go
+++ b/dispatch/handover/wire.go
@@ -1,12 +1,12 @@
 // Package handover transfers waiting tasks from the dispatcher that owns them to a peer
 // with free slots, and their outcomes back.
 //
-// An ask carries a batch of tasks, and its answer is delayed until there are results
-// worth a message. The owner repeats the ask, with the number of results that it has,
-// until it has all. If an ask or its answer is lost, the owner repeats it to the same
+// A request carries a batch of tasks, and its answer is delayed until there are results
+// worth a message. The owner repeats the request, with the number of results that it has,
+// until it has all. If a request or its answer is lost, the owner repeats it to the same
 // incarnation. The receiver starts each batch once: it keeps the open batches, and every
-// number below the owner's lowest open batch is over, so a late copy of an ask starts
-// nothing. A task is "not run" only if the receiver says so, or if no ask can have
+// number below the owner's lowest open batch is over, so a late copy of a request starts
+// nothing. A task is "not run" only if the receiver says so, or if no request can have
 // reached it. If the receiver's incarnation is gone or the tasks' time is over, tasks
 // without a result are unknown.
 package handover
@@ -21,7 +21,7 @@
 // Request is a call from an owner to a peer.
 type Request struct {
 	From ticket.Owner `json:"from"`
-	// To is the incarnation for which the ask is meant. Another one at the same address
+	// To is the incarnation for which the request is meant. Another one at the same address
 	// does not know the batch and must not start it.
 	To    ticket.Owner `json:"to"`
 	Batch uint64       `json:"batch"`
@@ -48,14 +48,14 @@
 	TimeLeft time.Duration `json:"left"`
 }
 
-// State is the state of an ask's batch at the peer.
+// State is the state of a request's batch at the peer.
 type State string
 
 // The states.
 const (
 	// Open means that Results belong to the batch.
 	Open State = "open"
-	// OtherIncarnation means that the ask was meant for another incarnation.
+	// OtherIncarnation means that the request was meant for another incarnation.
 	OtherIncarnation State = "other"
 	// Forgotten means that the peer no longer keeps the batch.
 	Forgotten State = "over"
--- a/dispatch/plan/hand.go
+++ b/dispatch/plan/hand.go
@@ -130,7 +130,7 @@
 }
 
 // startableSoon returns how many tasks of the queue this dispatcher is expected to start
-// itself within HandAfter.
+// itself within HandoverAfter.
 func (p *Planner) startableSoon(pq *poolQueue) int {
 	if p.fleet.Pool(pq.pool) == nil {
 		return 0
--- a/dispatch/plan/trial_test.go
+++ b/dispatch/plan/trial_test.go
@@ -13,8 +13,8 @@
 	tests := []struct {
 		name   string
 		policy string
-		// least is HandLeast; a negative one sets JobSlots to its absolute value, and
-		// HandLeast to 8.
+		// least is MinHandoverTasks; a negative one sets JobSlots to its absolute value,
+		// and MinHandoverTasks to 8.
 		least int
 		after time.Duration
 	}{
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -12,24 +12,24 @@
 	"snipehub.example/refusal"
 )
 
-// request is a submission or, if batch is nil, a cancellation. Both go through one
+// request is a submission or, if submission is nil, a cancellation. Both go through one
 // channel, so that a cancellation never overtakes its submission.
 type request struct {
-	batch   *Submission
-	job     string
-	claimed *atomic.Bool
-	answer  chan error
+	submission *Submission
+	job        string
+	claimed    *atomic.Bool
+	answer     chan error
 }
 
-// Submit accepts all tasks of the batch or refuses it as a whole. It waits for
+// Submit accepts all tasks of the submission or refuses it as a whole. It waits for
 // submitTimeout at most.
 //
 // The planner may be late, because the process was suspended or a service restarts.
 // Whoever sets claimed first decides: the planner, which then answers at once, or the
 // waiting submitter, which returns "not run". Without this flag the planner could accept
 // a submission after its time-out had been reported as "not run".
-func (d *Dispatcher) Submit(b Submission) error {
-	r := request{batch: &b, claimed: new(atomic.Bool), answer: make(chan error, 1)}
+func (d *Dispatcher) Submit(s Submission) error {
+	r := request{submission: &s, claimed: new(atomic.Bool), answer: make(chan error, 1)}
 	select {
 	case d.requests <- r:
 	default:
@@ -79,31 +79,31 @@
 // ignored.
 func (d *Dispatcher) handleRequest(r request) {
 	switch {
-	case r.batch == nil:
+	case r.submission == nil:
 		d.planner.Cancel(r.job)
 	case r.claimed.CompareAndSwap(false, true):
-		r.answer <- d.admit(r.batch)
+		r.answer <- d.admit(r.submission)
 	}
 }
 
-func (d *Dispatcher) admit(b *Submission) error {
+func (d *Dispatcher) admit(s *Submission) error {
 	now := d.clock.Now()
 	d.planner.SetMayPlace(d.dir.MayPlace(now))
 	if d.reports.len() > d.cfg.QueuedTasks {
 		return refusal.New(refusal.Overloaded, "results wait to be taken").After(time.Second)
 	}
 	err := d.planner.Submit(now, plan.Job{
-		ID:          b.Job,
-		Kind:        b.Kind,
-		Caller:      b.Caller,
-		Team:        b.Team,
-		Expires:     b.Expires,
-		PassThrough: b.PassThrough,
-		FromPeer:    b.FromPeer,
-		Tasks:       len(b.Tasks),
+		ID:          s.Job,
+		Kind:        s.Kind,
+		Caller:      s.Caller,
+		Team:        s.Team,
+		Expires:     s.Expires,
+		PassThrough: s.PassThrough,
+		FromPeer:    s.FromPeer,
+		Tasks:       len(s.Tasks),
 	})
 	if err == nil {
-		d.batches[b.Job] = &batch{*b, len(b.Tasks)}
+		d.batches[s.Job] = &batch{*s, len(s.Tasks)}
 		return nil
 	}
 	d.metrics.Count(meter.JobsRefused, 1)
