--- a/job/closed.go
+++ b/job/closed.go
@@ -54,10 +54,10 @@
 	return n
 }
 
-// ClosedParts returns the state of this owner in parts of up to maxBytes in total, most recently
-// used tickets first. It is called after Stop, when the owner starts nothing any more. A
-// sequence that still runs then, because the deadline of the stop has passed, stays marked
-// as running: its outcome is unknown.
+// ClosedParts returns the state of this owner in parts of up to maxBytes in total, most
+// recently used tickets first. It is called after Stop, when the owner starts nothing any
+// more. A sequence that still runs then, because the deadline of the stop has passed,
+// stays marked as running: its outcome is unknown.
 func (o *Owner) ClosedParts(maxBytes int64) []ClosedPart {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,18 +136,18 @@
 	return &ClosedStore{maxBytes: maxBytes, retention: retention, now: now, states: make(map[ticket.Owner]*closedState), byAge: list.New()}
 }
 
-// AddPart adds a part of a closed state. Tickets that are stored already are ignored. Beyond
-// the maximum size the oldest states are evicted: their identities are then answered with
-// "outcome unknown".
-func (h *ClosedStore) AddPart(c ClosedPart) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.evict()
-	s := h.states[c.Owner]
+// AddPart adds a part of a closed state. Tickets that are stored already are ignored.
+// Beyond the maximum size the oldest states are evicted: their identities are then
+// answered with "outcome unknown".
+func (cs *ClosedStore) AddPart(c ClosedPart) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.evict()
+	s := cs.states[c.Owner]
 	if s == nil {
-		s = &closedState{owner: c.Owner, stoppedAt: c.At, expiresAt: h.now().Add(h.retention), tickets: make(map[uint64]*indexedTicket)}
-		h.states[c.Owner] = s
-		h.byAge.PushBack(s)
+		s = &closedState{owner: c.Owner, stoppedAt: c.At, expiresAt: cs.now().Add(cs.retention), tickets: make(map[uint64]*indexedTicket)}
+		cs.states[c.Owner] = s
+		cs.byAge.PushBack(s)
 	}
 	for _, t := range c.Tickets {
 		if s.tickets[t.Number] != nil || t.Window == nil {
@@ -156,9 +156,9 @@
 		n := t.size()
 		s.tickets[t.Number] = indexOutcomes(t)
 		s.bytes += n
-		h.bytes += n
+		cs.bytes += n
 	}
-	h.evict()
+	cs.evict()
 }
 
 func indexOutcomes(t ClosedTicket) *indexedTicket {
@@ -169,38 +169,38 @@
 	return out
 }
 
-func (h *ClosedStore) evict() {
-	for h.byAge.Len() > 0 {
-		s := h.byAge.Front().Value.(*closedState)
-		if h.bytes <= h.maxBytes && h.now().Before(s.expiresAt) {
+func (cs *ClosedStore) evict() {
+	for cs.byAge.Len() > 0 {
+		s := cs.byAge.Front().Value.(*closedState)
+		if cs.bytes <= cs.maxBytes && cs.now().Before(s.expiresAt) {
 			return
 		}
-		if h.now().Before(s.expiresAt) {
-			h.evicted++
+		if cs.now().Before(s.expiresAt) {
+			cs.evicted++
 		}
-		h.byAge.Remove(h.byAge.Front())
-		h.bytes -= s.bytes
-		delete(h.states, s.owner)
+		cs.byAge.Remove(cs.byAge.Front())
+		cs.bytes -= s.bytes
+		delete(cs.states, s.owner)
 	}
 }
 
 // Stats returns the memory of the closed states in bytes, and how many states were evicted
 // before their retention period was over.
-func (h *ClosedStore) Stats() (bytes, evicted int64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.evict()
-	return h.bytes, h.evicted
+func (cs *ClosedStore) Stats() (bytes, evicted int64) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.evict()
+	return cs.bytes, cs.evicted
 }
 
 // Answer returns the outcome of an identity whose owner has stopped, and false if its
 // ticket is not stored here. sum is the digest of a submission, or 0 for a call without a
 // body.
-func (h *ClosedStore) Answer(caller string, id ticket.JobID, sum uint64) (Outcome, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.evict()
-	s := h.states[id.Owner]
+func (cs *ClosedStore) Answer(caller string, id ticket.JobID, sum uint64) (Outcome, bool) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.evict()
+	s := cs.states[id.Owner]
 	if s == nil {
 		return Outcome{}, false
 	}
@@ -236,13 +236,14 @@
 	return Outcome{Refused: refusal.New(code, "")}
 }
 
-// ClosedParts returns all stored states in parts, for the handover when this process stops too.
-func (h *ClosedStore) ClosedParts() []ClosedPart {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.evict()
+// ClosedParts returns all stored states in parts, for the handover when this process stops
+// too.
+func (cs *ClosedStore) ClosedParts() []ClosedPart {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.evict()
 	var parts []ClosedPart
-	for el := h.byAge.Back(); el != nil; el = el.Prev() {
+	for el := cs.byAge.Back(); el != nil; el = el.Prev() {
 		s := el.Value.(*closedState)
 		for _, t := range s.tickets {
 			parts = append(parts, ClosedPart{Owner: s.owner, At: s.stoppedAt, Tickets: []ClosedTicket{t.ClosedTicket}})
--- a/job/owner.go
+++ b/job/owner.go
@@ -12,10 +12,10 @@
 	"snipehub.example/ticket"
 )
 
-// batchRunner is the part of the dispatch package that an Owner uses.
-type batchRunner interface {
-	// Submit accepts all tasks of the batch or none. After an error, no task of the
-	// batch will ever be started.
+// submissionRunner is the part of the dispatch package that an Owner uses.
+type submissionRunner interface {
+	// Submit accepts all tasks of the submission or none. After an error, no task
+	// of it will ever be started.
 	Submit(b dispatch.Submission) error
 	Cancel(job string)
 }
@@ -34,7 +34,7 @@
 // outcomes. It guards a ticketTable with a lock and is safe for concurrent use.
 type Owner struct {
 	self   ticket.Owner
-	runner batchRunner
+	runner submissionRunner
 	now    func() time.Time
 
 	mu           sync.Mutex
@@ -47,7 +47,7 @@
 }
 
 // New returns the owner of all tickets that name self.
-func New(self ticket.Owner, runner batchRunner, limits Limits, now func() time.Time) *Owner {
+func New(self ticket.Owner, runner submissionRunner, limits Limits, now func() time.Time) *Owner {
 	return &Owner{
 		self:        self,
 		runner:      runner,
@@ -87,10 +87,10 @@
 
 // work is a job or a request to start under an identity.
 type work struct {
-	caller Caller
-	id     ticket.JobID
-	sum    uint64
-	batch  dispatch.Submission
+	caller     Caller
+	id         ticket.JobID
+	sum        uint64
+	submission dispatch.Submission
 	// onResult is called with the result of each task.
 	onResult func(e *entry, i int, r dispatch.Result)
 }
@@ -99,13 +99,13 @@
 func (o *Owner) Submit(ctx context.Context, s Submission) (Answer, error) {
 	bodies := compactJSON(s.Spec.Tasks)
 	w := work{
-		caller:   s.Caller,
-		id:       s.ID,
-		sum:      submissionDigest(s.Spec.Kind, "", bodies),
-		batch:    o.batch(s.Caller, s.ID, s.Spec.Kind, s.Spec.Timeout(o.ticketTable.limits.JobTimeout)),
-		onResult: o.taskDone,
+		caller:     s.Caller,
+		id:         s.ID,
+		sum:        submissionDigest(s.Spec.Kind, "", bodies),
+		submission: o.submission(s.Caller, s.ID, s.Spec.Kind, s.Spec.Timeout(o.ticketTable.limits.JobTimeout)),
+		onResult:   o.taskDone,
 	}
-	w.batch.Tasks = bodies
+	w.submission.Tasks = bodies
 	e, err := o.start(w)
 	if err != nil {
 		return Answer{}, err
@@ -120,13 +120,13 @@
 // the same id. It waits for the complete reply until ctx ends.
 func (o *Owner) Request(ctx context.Context, r Request) (Reply, error) {
 	w := work{
-		caller:   r.Caller,
-		id:       *r.ID,
-		sum:      r.Digest(),
-		batch:    o.batch(r.Caller, *r.ID, r.Kind, r.TimeoutOr(o.ticketTable.limits.JobTimeout)),
-		onResult: o.replyDone,
+		caller:     r.Caller,
+		id:         *r.ID,
+		sum:        r.Digest(),
+		submission: o.submission(r.Caller, *r.ID, r.Kind, r.TimeoutOr(o.ticketTable.limits.JobTimeout)),
+		onResult:   o.replyDone,
 	}
-	w.batch.Tasks, w.batch.Type, w.batch.PassThrough = [][]byte{r.Body}, r.Type, true
+	w.submission.Tasks, w.submission.Type, w.submission.PassThrough = [][]byte{r.Body}, r.Type, true
 	e, err := o.start(w)
 	if err != nil {
 		return Reply{}, err
@@ -137,8 +137,8 @@
 	return e.outcome.AsReply()
 }
 
-// PassThrough passes through one request that has no identity: if its caller repeats it, it is
-// another request. Its outcome is not stored.
+// PassThrough passes through one request that has no identity: if its caller repeats it, it
+// is another request. Its outcome is not stored.
 func (o *Owner) PassThrough(ctx context.Context, r Request) (Reply, error) {
 	o.mu.Lock()
 	if o.stopping {
@@ -150,16 +150,16 @@
 	id := ticket.ID{Owner: o.self}.Job(o.lastRequestSeq)
 	o.mu.Unlock()
 	outcomes := make(chan Outcome, 1)
-	b := o.batch(r.Caller, id, r.Kind, r.TimeoutOr(o.ticketTable.limits.JobTimeout))
-	b.Tasks, b.Type, b.PassThrough = [][]byte{r.Body}, r.Type, true
+	s := o.submission(r.Caller, id, r.Kind, r.TimeoutOr(o.ticketTable.limits.JobTimeout))
+	s.Tasks, s.Type, s.PassThrough = [][]byte{r.Body}, r.Type, true
 	var once sync.Once
-	b.Done = func(_ int, res dispatch.Result) {
+	s.Done = func(_ int, res dispatch.Result) {
 		once.Do(func() {
-			outcomes <- requestOutcome(b.Job, res)
+			outcomes <- requestOutcome(s.Job, res)
 			o.requestFinished()
 		})
 	}
-	if err := o.runner.Submit(b); err != nil {
+	if err := o.runner.Submit(s); err != nil {
 		o.requestFinished()
 		return Reply{}, notRunRefusal(err)
 	}
@@ -167,7 +167,7 @@
 	case out := <-outcomes:
 		return out.AsReply()
 	case <-ctx.Done():
-		o.runner.Cancel(b.Job)
+		o.runner.Cancel(s.Job)
 		return Reply{}, refusal.New(refusal.Failed, "the caller has gone")
 	}
 }
@@ -186,7 +186,7 @@
 		o.mu.Unlock()
 		return nil, o.foreignRefusal(w.id.Owner)
 	}
-	e, created, err := o.ticketTable.getOrCreate(o.now(), w.caller.Name, w.id, w.sum, len(w.batch.Tasks))
+	e, created, err := o.ticketTable.getOrCreate(o.now(), w.caller.Name, w.id, w.sum, len(w.submission.Tasks))
 	if err != nil || !created {
 		o.mu.Unlock()
 		return e, err
@@ -199,15 +199,15 @@
 	}
 	o.runningCount++
 	o.mu.Unlock()
-	w.batch.Done = func(i int, r dispatch.Result) { w.onResult(e, i, r) }
-	if err := o.runner.Submit(w.batch); err != nil {
+	w.submission.Done = func(i int, r dispatch.Result) { w.onResult(e, i, r) }
+	if err := o.runner.Submit(w.submission); err != nil {
 		return nil, o.endRefused(e, err)
 	}
-	o.repeatCancel(e, w.batch.Job)
+	o.repeatCancel(e, w.submission.Job)
 	return e, nil
 }
 
-// endRefused burns the identity of an entry whose batch the dispatch package refused.
+// endRefused burns the identity of an entry whose submission the dispatch package refused.
 func (o *Owner) endRefused(e *entry, cause error) error {
 	r := notRunRefusal(cause)
 	o.mu.Lock()
@@ -217,8 +217,8 @@
 	return r
 }
 
-// notRunRefusal converts the error with which the dispatch package refused a batch to a
-// "not run" refusal.
+// notRunRefusal converts the error with which the dispatch package refused a submission to
+// a "not run" refusal.
 func notRunRefusal(cause error) *refusal.Refusal {
 	var dispatchRefusal *refusal.Refusal
 	if errors.As(cause, &dispatchRefusal) && dispatchRefusal.Ran == refusal.RanNo {
@@ -318,9 +318,10 @@
 	}
 }
 
-// Stats describes the memory of an owner and how often it has reached its bounds: Crowded
-// counts answers dropped before their retention period was over, Retired tickets dropped
-// for new ones, Full refused requests for a ticket.
+// Stats describes the memory of an owner and how often it has reached its bounds:
+// EvictedAnswers counts answers dropped before their retention period was over,
+// RetiredTickets counts tickets dropped for new ones, RefusedTickets counts refused
+// requests for a ticket.
 type Stats struct {
 	Tickets, Running, Kept, KeptBytes              int64
 	EvictedAnswers, RetiredTickets, RefusedTickets int64
@@ -351,7 +352,7 @@
 	}
 }
 
-func (o *Owner) batch(c Caller, id ticket.JobID, kind string, timeout time.Duration) dispatch.Submission {
+func (o *Owner) submission(c Caller, id ticket.JobID, kind string, timeout time.Duration) dispatch.Submission {
 	return dispatch.Submission{
 		Job:     id.String(),
 		Kind:    kind,
