--- a/claim/core.go
+++ b/claim/core.go
@@ -66,8 +66,8 @@
 
 const retryAfter = time.Second
 
-// Request requests the identity of a key. It returns the identity, or a pending claim,
-// or a refusal. Only a malformed key is refused as "not run": any other key may be
+// Request looks up or claims the identity of a key. It returns the identity, or a pending
+// claim, or a refusal. Only a malformed key is refused as "not run": any other key may be
 // known to another process that runs its job.
 func (c *Core) Request(now time.Time, caller, key string) (ticket.JobID, *Pending, error) {
 	k, ok := ParseKey(key)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -84,8 +84,8 @@
 	return &Client{logAddr: logAddr, vmsAddr: vmsAddr, httpClient: &http.Client{Transport: transport}, timeout: timeout}
 }
 
-// Append appends data to the stream as one record and returns its offset. After ErrDown
-// the record may or may not be on the stream.
+// Append appends data to the stream as one record and returns its offset. After
+// ErrUnreachable the record may or may not be on the stream.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
