--- a/lease/book.go
+++ b/lease/book.go
@@ -344,7 +344,7 @@
 
 func (wl *WorkerLease) emit(a Action) { wl.actions = append(wl.actions, a) }
 
-func (wl *WorkerLease) tellOwner(o Owner, e End) {
+func (wl *WorkerLease) reportToOwner(o Owner, e End) {
 	wl.emit(Action{Report: &OwnerReport{Owner: o, End: e}})
 }
 
@@ -361,7 +361,7 @@
 	wl.unreported = true
 	wl.speed.learnFromEnd(e, end)
 	if !e.orphan {
-		wl.tellOwner(e.owner, end)
+		wl.reportToOwner(e.owner, end)
 	}
 }
 
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -98,10 +98,10 @@
 	return wl, poll, s[0]
 }
 
-func wantEnd(t *testing.T, reports []OwnerReport, owner Owner, how Outcome, why Reason) {
+func wantEnd(t *testing.T, reports []OwnerReport, owner Owner, outcome Outcome, why Reason) {
 	t.Helper()
-	if len(reports) != 1 || reports[0].Owner != owner || reports[0].End.Outcome != how || reports[0].End.Why != why {
-		t.Errorf("reported %+v, want %v to %v because of %q", reports, how, owner, why)
+	if len(reports) != 1 || reports[0].Owner != owner || reports[0].End.Outcome != outcome || reports[0].End.Why != why {
+		t.Errorf("reported %+v, want %v to %v because of %q", reports, outcome, owner, why)
 	}
 }
 
--- a/lease/claim.go
+++ b/lease/claim.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if outcome, ok := wl.unclaimedEnds[c.Run]; ok {
-		wl.tellOwner(owner, End{Run: c.Run, Outcome: outcome})
+		wl.reportToOwner(owner, End{Run: c.Run, Outcome: outcome})
 		return
 	}
 	// Before the first list nothing is known; the claim is repeated when the worker is
@@ -40,7 +40,7 @@
 	if wl.phase == connecting {
 		return
 	}
-	wl.tellOwner(owner, End{Run: c.Run, Outcome: Lost})
+	wl.reportToOwner(owner, End{Run: c.Run, Outcome: Lost})
 }
 
 func (wl *WorkerLease) hasOrphans() bool {
--- a/lease/start.go
+++ b/lease/start.go
@@ -10,7 +10,7 @@
 	}
 	why := wl.refusalReason(o)
 	if why != "" {
-		wl.tellOwner(owner, End{Run: o.Run, Outcome: NeverStarted, Why: why})
+		wl.reportToOwner(owner, End{Run: o.Run, Outcome: NeverStarted, Why: why})
 		wl.removedRuns = append(wl.removedRuns, o.Run)
 		wl.reportFullState()
 		return
@@ -24,7 +24,7 @@
 // that of another job under the same id, its owner must not be given the end of this run.
 func (wl *WorkerLease) handleRepeatedStart(owner Owner, e *run, o Order) {
 	if e.text != (Text{}) && e.text != o.Text {
-		wl.tellOwner(owner, End{Run: o.Run, Outcome: NeverStarted, Why: TextDiffers})
+		wl.reportToOwner(owner, End{Run: o.Run, Outcome: NeverStarted, Why: TextDiffers})
 		return
 	}
 	e.owner, e.orphan = owner, false
