--- a/dispatch/handover/handover_test.go
+++ b/dispatch/handover/handover_test.go
@@ -57,7 +57,7 @@
 // happens to it.
 type fakeNetwork struct {
 	r        *Receiver
-	fault    func(n int, a Request) fate
+	fault    func(n int, req Request) fate
 	gone     bool
 	requests int
 	sent     []Request
@@ -76,31 +76,31 @@
 
 func (net *fakeNetwork) Gone(ticket.Owner) bool { return net.gone }
 
-func (net *fakeNetwork) Ask(ctx context.Context, _ roster.Known, a Request) (Response, error) {
+func (net *fakeNetwork) Ask(ctx context.Context, _ roster.Known, req Request) (Response, error) {
 	net.requests++
-	a = throughJSON(a)
-	net.sent = append(net.sent, a)
-	switch net.fault(net.requests, a) {
+	req = throughJSON(req)
+	net.sent = append(net.sent, req)
+	switch net.fault(net.requests, req) {
 	case notSent:
 		return Response{}, fmt.Errorf("%w: refused", ErrNotSent)
 	case requestLost:
 		return Response{}, errLost
 	case answerLost:
-		_, _ = net.r.Handle(ctx, a)
+		_, _ = net.r.Handle(ctx, req)
 		return Response{}, errLost
 	case twice:
-		go func() { _, _ = net.r.Handle(ctx, a) }()
+		go func() { _, _ = net.r.Handle(ctx, req) }()
 	case restarted:
 		next := to
 		next.Incarnation++
 		net.r = NewReceiver(next, net.r.dispatcher, time.Now)
 	}
-	return net.r.Handle(ctx, a)
+	return net.r.Handle(ctx, req)
 }
 
 // throughJSON returns the request as the receiver decodes it.
-func throughJSON(a Request) Request {
-	b, err := json.Marshal(a)
+func throughJSON(req Request) Request {
+	b, err := json.Marshal(req)
 	var out Request
 	if err != nil || json.Unmarshal(b, &out) != nil {
 		panic("request does not survive JSON")
@@ -130,7 +130,7 @@
 	}
 	tests := []struct {
 		name   string
-		fault  func(n int, a Request) fate
+		fault  func(n int, req Request) fate
 		gone   bool
 		err    error
 		want   delivery.Kind
--- a/dispatch/handover/receiver.go
+++ b/dispatch/handover/receiver.go
@@ -110,16 +110,16 @@
 }
 
 // Handle answers a request.
-func (r *Receiver) Handle(ctx context.Context, a Request) (Response, error) {
-	if a.To != r.self {
+func (r *Receiver) Handle(ctx context.Context, req Request) (Response, error) {
+	if req.To != r.self {
 		return Response{State: OtherIncarnation}, nil
 	}
-	b := r.batch(a)
+	b := r.batch(req)
 	if b == nil {
 		return Response{State: Forgotten, Free: r.dispatcher.Free()}, nil
 	}
-	results := b.await(ctx, a.Received)
-	b.markDelivered(a.Received+len(results), r.now())
+	results := b.await(ctx, req.Received)
+	b.markDelivered(req.Received+len(results), r.now())
 	return Response{State: Open, Results: results, Free: r.dispatcher.Free()}, nil
 }
 
@@ -128,23 +128,23 @@
 //
 // The lock is held until the batch is in the map, and only the caller that put it there
 // starts it: if two copies of a request arrive together, one starts the tasks.
-func (r *Receiver) batch(a Request) *receivedBatch {
+func (r *Receiver) batch(req Request) *receivedBatch {
 	r.mu.Lock()
-	o := r.owner(a.From)
-	o.forgetBelow(a.LowestOpen)
-	b, ok := o.batches[a.Batch]
-	if ok || a.Batch < o.lowestOpen || len(a.Tasks) == 0 {
+	o := r.owner(req.From)
+	o.forgetBelow(req.LowestOpen)
+	b, ok := o.batches[req.Batch]
+	if ok || req.Batch < o.lowestOpen || len(req.Tasks) == 0 {
 		r.mu.Unlock()
 		return b
 	}
 	b = &receivedBatch{
-		unfinished:      len(a.Tasks),
+		unfinished:      len(req.Tasks),
 		unfinishedByJob: make(map[string]int),
 		answerDue:       make(chan struct{}, 1),
 		anyResult:       make(chan struct{}, 1),
 		lastAsked:       r.now(),
 	}
-	for _, t := range a.Tasks {
+	for _, t := range req.Tasks {
 		b.unfinishedByJob[t.Job]++
 		b.jobOfTask = append(b.jobOfTask, t.Job)
 	}
@@ -152,12 +152,12 @@
 	if refuse && r.full() {
 		// The batch is not kept, but counts as over: a late copy must not start it, since
 		// the owner may already know that it did not run.
-		o.lowestOpen = a.Batch + 1
+		o.lowestOpen = req.Batch + 1
 	} else {
-		o.batches[a.Batch] = b
+		o.batches[req.Batch] = b
 	}
 	r.mu.Unlock()
-	for i, t := range a.Tasks {
+	for i, t := range req.Tasks {
 		r.start(b, i, t, refuse)
 	}
 	return b
--- a/dispatch/handover/sender.go
+++ b/dispatch/handover/sender.go
@@ -20,7 +20,7 @@
 // network sends requests to peers. After any error other than ErrNotSent, the peer may or
 // may not have got the request.
 type network interface {
-	Ask(ctx context.Context, to roster.Known, a Request) (Response, error)
+	Ask(ctx context.Context, to roster.Known, req Request) (Response, error)
 	// Gone reports whether the incarnation is gone for good.
 	Gone(o ticket.Owner) bool
 }
