--- a/registry/registry.go
+++ b/registry/registry.go
@@ -76,22 +76,22 @@
 	Timeout time.Duration
 }
 
-// The pause after a failed call grows from retryLeast to retryMost, each with a
+// The pause after a failed call grows from minRetryDelay to maxRetryDelay, each with a
 // random part, so that the processes of a deployment don't come back to a store
 // that recovers all at once. The upper end keeps the delay of a change small
 // beside the two seconds in which it must be in force.
 const (
-	retryLeast = 50 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
 // Follower follows one topic.
 type Follower struct {
-	cfg    Config
-	log    *slog.Logger
-	source Source
-	emit   func(ctx context.Context, n News)
-	turn   func() string
+	cfg       Config
+	log       *slog.Logger
+	source    Source
+	emit      func(ctx context.Context, n News)
+	recipient func() string
 	// Count is told of each call and whether it succeeded; nil for nobody.
 	Count func(ok bool)
 
@@ -104,15 +104,15 @@
 // New makes a follower that passes news to emit. Where turn is not nil, it reads
 // only while turn does not return "", and starts afresh when what turn returns has
 // changed: what was emitted before has gone to somebody else.
-func New(cfg Config, log *slog.Logger, source Source, turn func() string, emit func(context.Context, News)) *Follower {
-	if turn == nil {
-		turn = func() string { return always }
+func New(cfg Config, log *slog.Logger, source Source, recipient func() string, emit func(context.Context, News)) *Follower {
+	if recipient == nil {
+		recipient = func() string { return fixedRecipient }
 	}
-	return &Follower{cfg: cfg, log: log, source: source, emit: emit, turn: turn}
+	return &Follower{cfg: cfg, log: log, source: source, emit: emit, recipient: recipient}
 }
 
-// always is the turn of a follower that always reads.
-const always = "always"
+// fixedRecipient is the turn of a follower that fixedRecipient reads.
+const fixedRecipient = "always"
 
 // Confirmed returns when the last successful read began; zero before the first.
 func (f *Follower) Confirmed() time.Time {
@@ -130,30 +130,30 @@
 
 // Serve follows until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
-	retry := retryLeast
-	next, whole := Offset(0), true
-	last := ""
+	retryDelay := minRetryDelay
+	next, full := Offset(0), true
+	lastRecipient := ""
 	for ctx.Err() == nil {
-		turn := f.turn()
-		whole = whole || turn != last
-		last = turn
-		if turn == "" {
-			clock.Sleep(ctx, idlePause)
+		recipient := f.recipient()
+		full = full || recipient != lastRecipient
+		lastRecipient = recipient
+		if recipient == "" {
+			clock.Sleep(ctx, idlePollInterval)
 			continue
 		}
-		n, err := f.step(ctx, next, whole)
+		n, err := f.readOnce(ctx, next, full)
 		switch {
 		case ctx.Err() != nil:
 		case errors.Is(err, ErrForgotten):
-			whole = true
+			full = true
 		case err != nil:
-			f.failed(err)
-			clock.Sleep(ctx, retry/2+rand.N(retry))
-			retry = min(2*retry, retryMost)
+			f.recordFailure(err)
+			clock.Sleep(ctx, retryDelay/2+rand.N(retryDelay))
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		default:
-			f.succeeded(n.At)
-			retry = retryLeast
-			next, whole = n.Next, false
+			f.recordSuccess(n.At)
+			retryDelay = minRetryDelay
+			next, full = n.Next, false
 			if n.Whole || len(n.Records) > 0 {
 				f.emit(ctx, n)
 			}
@@ -163,14 +163,14 @@
 	return ctx.Err()
 }
 
-// idlePause is how often a follower that needn't read looks whether it must. It
+// idlePollInterval is how often a follower that needn't read looks whether it must. It
 // delays the first read of a process that begins to plan.
-const idlePause = 50 * time.Millisecond
+const idlePollInterval = 50 * time.Millisecond
 
-func (f *Follower) step(ctx context.Context, from Offset, whole bool) (News, error) {
-	n := News{Whole: whole, At: time.Now()}
+func (f *Follower) readOnce(ctx context.Context, from Offset, full bool) (News, error) {
+	n := News{Whole: full, At: time.Now()}
 	var err error
-	if whole {
+	if full {
 		ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout)
 		defer cancel()
 		n.Records, n.Next, err = f.source.Newest(ctx)
@@ -182,30 +182,30 @@
 	return n, err
 }
 
-func (f *Follower) failed(err error) {
-	f.count(false)
+func (f *Follower) recordFailure(err error) {
+	f.reportCall(false)
 	f.mu.Lock()
-	first := !f.down
+	wasReachable := !f.down
 	f.down = true
 	f.mu.Unlock()
-	if first {
+	if wasReachable {
 		event.StoreLost.Log(f.log, "topic", f.cfg.Name, "error", err)
 	}
 }
 
-func (f *Follower) count(ok bool) {
+func (f *Follower) reportCall(ok bool) {
 	if f.Count != nil {
 		f.Count(ok)
 	}
 }
 
-func (f *Follower) succeeded(at time.Time) {
-	f.count(true)
+func (f *Follower) recordSuccess(at time.Time) {
+	f.reportCall(true)
 	f.mu.Lock()
-	again := f.down || f.confirmed.IsZero()
+	reconnected := f.down || f.confirmed.IsZero()
 	f.confirmed, f.down = at, false
 	f.mu.Unlock()
-	if again {
+	if reconnected {
 		event.StoreReached.Log(f.log, "topic", f.cfg.Name)
 	}
 }
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -36,7 +36,7 @@
 	change()
 }
 
-func (s *topic) called() int {
+func (s *topic) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -57,7 +57,7 @@
 	}
 }
 
-func (s *topic) read(ctx context.Context, from Offset, whole bool) ([]Record, Offset, error) {
+func (s *topic) read(ctx context.Context, from Offset, full bool) ([]Record, Offset, error) {
 	s.mu.Lock()
 	s.calls++
 	silent, fail := s.silent, s.fail
@@ -69,20 +69,20 @@
 		return nil, 0, ctx.Err()
 	case fail != nil:
 		return nil, 0, fail
-	case gap && !whole:
+	case gap && !full:
 		return nil, 0, ErrForgotten
 	}
 	return out, next, nil
 }
 
-// follow runs a follower of the topic and gives the test what it has emitted.
-func follow(t *testing.T, turn func() string, test func(s *topic, f *Follower, got func() string)) {
+// withFollower runs a follower of the topic and gives the test what it has emitted.
+func withFollower(t *testing.T, recipient func() string, test func(s *topic, f *Follower, got func() string)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &topic{}
 		var mu sync.Mutex
 		text := ""
 		cfg := Config{Name: "t", Wait: time.Second, Timeout: 500 * time.Millisecond}
-		f := New(cfg, slog.New(slog.DiscardHandler), s, turn, func(_ context.Context, n News) {
+		f := New(cfg, slog.New(slog.DiscardHandler), s, recipient, func(_ context.Context, n News) {
 			mu.Lock()
 			defer mu.Unlock()
 			if n.Whole {
@@ -116,7 +116,7 @@
 }
 
 func TestFollowsFromTheNewest(t *testing.T) {
-	follow(t, nil, func(s *topic, _ *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.append("a", "b")
 		time.Sleep(100 * time.Millisecond)
@@ -129,7 +129,7 @@
 // The store has dropped records that were not read yet: only the newest of each key
 // tell what is in force.
 func TestGap(t *testing.T) {
-	follow(t, nil, func(s *topic, _ *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.fail = errors.New("down") })
 		time.Sleep(2 * time.Second)
@@ -144,19 +144,19 @@
 // that a store that recovers is not overrun, and soon enough for a change to be in
 // force within two seconds.
 func TestStoreDown(t *testing.T) {
-	follow(t, nil, func(s *topic, f *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, f *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.fail, s.calls = errors.New("down"), 0 })
 		time.Sleep(10 * time.Second)
 		if !f.Down() {
 			t.Error("the follower does not know that the store is down")
 		}
-		if n := s.called(); n < 15 || n > 60 {
+		if n := s.callCount(); n < 15 || n > 60 {
 			t.Errorf("%d calls in 10 s", n)
 		}
 		s.append("a")
 		s.set(func() { s.fail = nil })
-		time.Sleep(retryMost*2 + time.Second)
+		time.Sleep(maxRetryDelay*2 + time.Second)
 		want(t, got(), "|a")
 		if f.Down() {
 			t.Error("the follower does not know that the store is back")
@@ -166,7 +166,7 @@
 
 // The connection went dead without a reset: the call must end by itself.
 func TestSilentStore(t *testing.T) {
-	follow(t, nil, func(s *topic, _ *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.silent = true })
 		time.Sleep(3 * time.Second)
@@ -181,16 +181,16 @@
 // is read again.
 func TestTurnChanges(t *testing.T) {
 	var mu sync.Mutex
-	turn := ""
+	recipient := ""
 	set := func(s string) {
 		mu.Lock()
 		defer mu.Unlock()
-		turn = s
+		recipient = s
 	}
-	follow(t, func() string {
+	withFollower(t, func() string {
 		mu.Lock()
 		defer mu.Unlock()
-		return turn
+		return recipient
 	}, func(s *topic, _ *Follower, got func() string) {
 		s.append("a")
 		time.Sleep(time.Second)
@@ -203,9 +203,9 @@
 		want(t, got(), "|a|a")
 		set("")
 		time.Sleep(2 * time.Second)
-		calls := s.called()
+		calls := s.callCount()
 		time.Sleep(10 * time.Second)
-		if s.called() != calls {
+		if s.callCount() != calls {
 			t.Error("reads although it is not its turn")
 		}
 	})
