--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -73,10 +73,10 @@
 // Find returns the queue of a request by its host and the longest prefix of its
 // path, and the rest of the path.
 func (c *Catalog) Find(host, path string) (q Queue, rest string, ok bool) {
-	host = bare(host)
-	for _, e := range c.Queues {
-		if e.Host == host && strings.HasPrefix(path, e.Prefix) && (!ok || len(e.Prefix) > len(q.Prefix)) {
-			q, ok = e, true
+	host = stripPort(host)
+	for _, candidate := range c.Queues {
+		if candidate.Host == host && strings.HasPrefix(path, candidate.Prefix) && (!ok || len(candidate.Prefix) > len(q.Prefix)) {
+			q, ok = candidate, true
 		}
 	}
 	return q, strings.TrimPrefix(path, q.Prefix), ok
@@ -102,8 +102,8 @@
 	return Pool{}, false
 }
 
-// bare cuts the port off a Host header.
-func bare(host string) string {
+// stripPort cuts the port off a Host header.
+func stripPort(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
 	}
