--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -13,10 +13,10 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// idleAfter is when a connection that nothing was called on is closed. With
+// idleTimeout is when a connection that nothing was called on is closed. With
 // heartbeats to random members, a process would else end up with a connection
 // to each of thousands.
-const idleAfter = time.Minute
+const idleTimeout = time.Minute
 
 // Dialer holds a connection to each peer that was called lately.
 type Dialer struct {
@@ -33,15 +33,15 @@
 
 // link is the connection to one peer.
 type link struct {
-	// dialing is held while the connection is opened, so that there is one.
-	dialing chan struct{}
-	// writing is held while a call is written. Callers wait for it, and not
+	// dialSlot is held while the connection is opened, so that there is one.
+	dialSlot chan struct{}
+	// writeSlot is held while a call is written. Callers wait for it, and not
 	// for the library's mutex, since that can't be given up.
-	writing chan struct{}
+	writeSlot chan struct{}
 	// conn, calls and used are guarded by the dialer's mutex.
-	conn  *jsonrpc2.Conn
-	calls int
-	used  time.Time
+	conn        *jsonrpc2.Conn
+	activeCalls int
+	lastUsed    time.Time
 }
 
 // NewDialer makes a dialer that opens connections by open; a nil config means
@@ -58,11 +58,11 @@
 // a resubmission over another dispatcher would no longer match the first.
 func Call[R any](ctx context.Context, d *Dialer, to netip.AddrPort, method string, params any) (R, error) {
 	var out R
-	sealed, err := seal(params)
+	encoded, err := encodeParams(params)
 	if err != nil {
 		return out, errors.Wrapf(ErrNotSent, "%s: %v", method, err)
 	}
-	answer, err := d.call(ctx, to, method, sealed)
+	answer, err := d.call(ctx, to, method, encoded)
 	if err != nil {
 		return out, err
 	}
@@ -75,14 +75,14 @@
 // call makes the call, once more on a new connection when the one that was open
 // turns out to be broken: the peer may have started again since, and of a call
 // that was not written whole it has seen nothing.
-func (d *Dialer) call(ctx context.Context, to netip.AddrPort, method string, sealed []byte) (json.RawMessage, error) {
+func (d *Dialer) call(ctx context.Context, to netip.AddrPort, method string, encoded []byte) (json.RawMessage, error) {
 	for {
-		l, c, fresh, err := d.acquire(ctx, to)
+		l, c, justDialed, err := d.acquire(ctx, to)
 		if err != nil {
 			return nil, errors.Wrapf(ErrNotSent, "%s: %v", to, err)
 		}
-		r := d.exchange(ctx, l, c, method, sealed)
-		if !r.broken || fresh || ctx.Err() != nil {
+		r := d.exchange(ctx, l, c, method, encoded)
+		if !r.writeFailed || justDialed || ctx.Err() != nil {
 			return r.answer, r.err
 		}
 	}
@@ -91,16 +91,16 @@
 type reply struct {
 	answer json.RawMessage
 	err    error
-	// broken tells that the connection failed while the call was written.
-	broken bool
+	// writeFailed tells that the connection failed while the call was written.
+	writeFailed bool
 }
 
 // exchange writes the call and waits for its answer. The library does not look
 // at ctx while it writes, so this is done in a goroutine, which ends by the
 // write timeout at the latest.
-func (d *Dialer) exchange(ctx context.Context, l *link, c *jsonrpc2.Conn, method string, sealed []byte) reply {
+func (d *Dialer) exchange(ctx context.Context, l *link, c *jsonrpc2.Conn, method string, encoded []byte) reply {
 	select {
-	case l.writing <- struct{}{}:
+	case l.writeSlot <- struct{}{}:
 	case <-ctx.Done():
 		d.release(l)
 		return reply{err: errors.Wrapf(ErrNotSent, "%s: %v", method, ctx.Err())}
@@ -108,9 +108,9 @@
 	replies := make(chan reply, 1)
 	go func() {
 		defer d.release(l)
-		w, err := c.DispatchCall(ctx, method, sealed)
-		<-l.writing
-		replies <- await(ctx, c, w, err)
+		w, err := c.DispatchCall(ctx, method, encoded)
+		<-l.writeSlot
+		replies <- awaitReply(ctx, c, w, err)
 	}()
 	select {
 	case r := <-replies:
@@ -120,24 +120,24 @@
 	}
 }
 
-// await waits for the answer to a call, or tells why it was not written.
-func await(ctx context.Context, c *jsonrpc2.Conn, w jsonrpc2.Waiter, err error) reply {
+// awaitReply waits for the answer to a call, or tells why it was not written.
+func awaitReply(ctx context.Context, c *jsonrpc2.Conn, w jsonrpc2.Waiter, err error) reply {
 	switch {
-	case errors.Is(err, errFrame):
+	case errors.Is(err, errFrameTooLarge):
 		return reply{err: errors.Wrap(ErrNotSent, err.Error())}
 	case err != nil:
 		// The frame was not written to its end, so the peer can't have read
 		// it; nor could it make out the next one.
 		_ = c.Close()
-		return reply{err: errors.Wrap(ErrNotSent, err.Error()), broken: true}
+		return reply{err: errors.Wrap(ErrNotSent, err.Error()), writeFailed: true}
 	}
 	var r reply
-	r.err = turn(w.Wait(ctx, &r.answer))
+	r.err = convertError(w.Wait(ctx, &r.answer))
 	return r
 }
 
-// turn makes an error of the library one of this layer.
-func turn(err error) error {
+// convertError makes an error of the library one of this layer.
+func convertError(err error) error {
 	var e *jsonrpc2.Error
 	switch {
 	case err == nil:
@@ -158,12 +158,12 @@
 func (d *Dialer) acquire(ctx context.Context, to netip.AddrPort) (*link, *jsonrpc2.Conn, bool, error) {
 	l := d.link(to)
 	select {
-	case l.dialing <- struct{}{}:
+	case l.dialSlot <- struct{}{}:
 	case <-ctx.Done():
 		d.release(l)
 		return nil, nil, false, ctx.Err()
 	}
-	defer func() { <-l.dialing }()
+	defer func() { <-l.dialSlot }()
 	d.mu.Lock()
 	c := l.conn
 	d.mu.Unlock()
@@ -189,16 +189,16 @@
 	l, ok := d.links[to]
 	if !ok {
 		d.dropIdle(time.Now())
-		l = &link{dialing: make(chan struct{}, 1), writing: make(chan struct{}, 1)}
+		l = &link{dialSlot: make(chan struct{}, 1), writeSlot: make(chan struct{}, 1)}
 		d.links[to] = l
 	}
-	l.calls++
+	l.activeCalls++
 	return l
 }
 
 func (d *Dialer) dropIdle(now time.Time) {
 	for a, l := range d.links {
-		if l.calls > 0 || now.Sub(l.used) < idleAfter {
+		if l.activeCalls > 0 || now.Sub(l.lastUsed) < idleTimeout {
 			continue
 		}
 		if l.conn != nil {
@@ -211,8 +211,8 @@
 func (d *Dialer) release(l *link) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l.calls--
-	l.used = time.Now()
+	l.activeCalls--
+	l.lastUsed = time.Now()
 }
 
 func closed(c *jsonrpc2.Conn) bool {
@@ -239,10 +239,10 @@
 		}
 		nc = c
 	}
-	none := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
+	rejectCalls := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "no calls this way"}
 	})
-	return jsonrpc2.NewConn(context.WithoutCancel(ctx), newStream(nc, d.timeout), none), nil
+	return jsonrpc2.NewConn(context.WithoutCancel(ctx), newStream(nc, d.timeout), rejectCalls), nil
 }
 
 // Close closes all connections.
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -184,11 +184,11 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := bufio.NewReader(bytes.NewReader(b))
 		var v any
-		if (frames{16}).ReadObject(r, &v) != nil {
+		if (frameCodec{16}).ReadObject(r, &v) != nil {
 			return
 		}
 		var out bytes.Buffer
-		err := (frames{1 << 10}).WriteObject(&out, v)
+		err := (frameCodec{1 << 10}).WriteObject(&out, v)
 		rest, _ := io.ReadAll(r)
 		if err != nil || len(b)-len(rest) > 16+binary.MaxVarintLen64 {
 			t.Fatalf("%d bytes were read as one frame of 16: %v", len(b)-len(rest), err)
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -12,26 +12,26 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// maxFrame bounds a frame: the largest is a job with the bodies of all its
+// maxFrameBytes bounds a frame: the largest is a job with the bodies of all its
 // tasks, or its kept answer.
-const maxFrame = 128 << 20
+const maxFrameBytes = 128 << 20
 
-var errFrame = errors.New("peer: frame too large")
+var errFrameTooLarge = errors.New("peer: frame too large")
 
-// frames writes each JSON-RPC object after its length. Unlike the library's
+// frameCodec writes each JSON-RPC object after its length. Unlike the library's
 // codec it bounds the length, so that a peer that sends nonsense can't make this
 // process run out of memory, and reads the whole frame, so that the next one
 // begins where it should.
-type frames struct{ limit int }
+type frameCodec struct{ limit int }
 
 // WriteObject writes one object; nothing is written of one that is too large.
-func (f frames) WriteObject(w io.Writer, v any) error {
+func (f frameCodec) WriteObject(w io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
 	if len(data) > f.limit {
-		return errFrame
+		return errFrameTooLarge
 	}
 	if _, err := w.Write(binary.AppendUvarint(nil, uint64(len(data)))); err != nil {
 		return err
@@ -41,13 +41,13 @@
 }
 
 // ReadObject reads one object.
-func (f frames) ReadObject(r *bufio.Reader, v any) error {
+func (f frameCodec) ReadObject(r *bufio.Reader, v any) error {
 	n, err := binary.ReadUvarint(r)
 	if err != nil {
 		return err
 	}
 	if n > uint64(f.limit) {
-		return errFrame
+		return errFrameTooLarge
 	}
 	data, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	switch {
@@ -59,16 +59,16 @@
 	return json.Unmarshal(data, v)
 }
 
-// patient bounds each write. A frozen peer reads nothing; once the buffers of
+// boundedWriteConn bounds each write. A frozen peer reads nothing; once the buffers of
 // the connection are full, a write to it would block for as long as it is
 // frozen, and with it every other call on the connection.
-type patient struct {
+type boundedWriteConn struct {
 	net.Conn
 	timeout time.Duration
 }
 
 // Write writes within the timeout.
-func (p patient) Write(b []byte) (int, error) {
+func (p boundedWriteConn) Write(b []byte) (int, error) {
 	if err := p.SetWriteDeadline(time.Now().Add(p.timeout)); err != nil {
 		return 0, err
 	}
@@ -76,8 +76,8 @@
 }
 
 // Patient bounds each write to a connection.
-func Patient(c net.Conn, timeout time.Duration) net.Conn { return patient{c, timeout} }
+func Patient(c net.Conn, timeout time.Duration) net.Conn { return boundedWriteConn{c, timeout} }
 
 func newStream(c net.Conn, timeout time.Duration) jsonrpc2.ObjectStream {
-	return jsonrpc2.NewBufferedStream(patient{c, timeout}, frames{maxFrame})
+	return jsonrpc2.NewBufferedStream(boundedWriteConn{c, timeout}, frameCodec{maxFrameBytes})
 }
--- a/peer/handshake_test.go
+++ b/peer/handshake_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	s := NewServer(slog.New(slog.DiscardHandler), ln)
-	s.handshake = 50 * time.Millisecond
+	s.handshakeTimeout = 50 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan struct{})
 	go func() {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -40,9 +40,9 @@
 // Error makes Failure an error.
 func (f *Failure) Error() string { return "peer: " + f.Message }
 
-// seal encodes parameters. The encoder must not escape "<" and the like inside
+// encodeParams encodes parameters. The encoder must not escape "<" and the like inside
 // a caller's body.
-func seal(params any) ([]byte, error) {
+func encodeParams(params any) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
 	e.SetEscapeHTML(false)
--- a/peer/server.go
+++ b/peer/server.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// maxCalls bounds the calls that are worked on at once.
-	maxCalls = 16384
-	// answerTimeout bounds the writing of answers to a slow peer.
-	answerTimeout = 10 * time.Second
-	// handshakeTimeout bounds the TLS handshake of a connection.
-	handshakeTimeout = 10 * time.Second
+	// maxConcurrentCalls bounds the calls that are worked on at once.
+	maxConcurrentCalls = 16384
+	// answerWriteTimeout bounds the writing of answers to a slow peer.
+	answerWriteTimeout = 10 * time.Second
+	// defaultHandshakeTimeout bounds the TLS handshake of a connection.
+	defaultHandshakeTimeout = 10 * time.Second
 )
 
 type handler func(ctx context.Context, params json.RawMessage) (any, error)
@@ -31,25 +31,25 @@
 	log      *slog.Logger
 	ln       net.Listener
 	handlers map[string]handler
-	calls    calls
-	// handshake is handshakeTimeout, shorter in tests.
-	handshake time.Duration
+	inFlight inFlight
+	// handshakeTimeout is handshakeTimeout, shorter in tests.
+	handshakeTimeout time.Duration
 }
 
 // NewServer makes a server on the listener.
 func NewServer(log *slog.Logger, ln net.Listener) *Server {
-	return &Server{log: log, ln: ln, handlers: make(map[string]handler), calls: calls{limit: maxCalls}, handshake: handshakeTimeout}
+	return &Server{log: log, ln: ln, handlers: make(map[string]handler), inFlight: inFlight{limit: maxConcurrentCalls}, handshakeTimeout: defaultHandshakeTimeout}
 }
 
 // Handle sets the handler of a method.
 func Handle[P, R any](s *Server, method string, fn func(ctx context.Context, p P) (R, error)) {
 	s.handlers[method] = func(ctx context.Context, params json.RawMessage) (any, error) {
-		var sealed []byte
-		if err := json.Unmarshal(params, &sealed); err != nil {
+		var encoded []byte
+		if err := json.Unmarshal(params, &encoded); err != nil {
 			return nil, errors.Wrap(err, "peer: parameters")
 		}
 		var p P
-		if err := json.Unmarshal(sealed, &p); err != nil {
+		if err := json.Unmarshal(encoded, &p); err != nil {
 			return nil, errors.Wrap(err, "peer: parameters")
 		}
 		return fn(ctx, p)
@@ -68,18 +68,18 @@
 		if err != nil {
 			return errors.Wrap(err, "peer: accept")
 		}
-		go s.admit(ctx, c)
+		go s.serveConn(ctx, c)
 	}
 }
 
-// admit answers the calls of a connection once its handshake is done. Without a
+// serveConn answers the calls of a connection once its handshake is done. Without a
 // bound, whoever reaches the port could hold connections and their goroutines
 // without showing a certificate, until the process has no descriptors left. A
 // connection that is admitted may be silent; its dialer closes it when idle.
-func (s *Server) admit(ctx context.Context, c net.Conn) {
+func (s *Server) serveConn(ctx context.Context, c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
-		bounded, cancel := context.WithTimeout(ctx, s.handshake)
-		err := t.HandshakeContext(bounded)
+		handshakeCtx, cancel := context.WithTimeout(ctx, s.handshakeTimeout)
+		err := t.HandshakeContext(handshakeCtx)
 		cancel()
 		if err != nil {
 			event.PeerRefused.Log(s.log, "address", c.RemoteAddr(), "error", err)
@@ -87,25 +87,25 @@
 			return
 		}
 	}
-	jsonrpc2.NewConn(ctx, newStream(c, answerTimeout), counted{s})
+	jsonrpc2.NewConn(ctx, newStream(c, answerWriteTimeout), countingHandler{s})
 }
 
-// counted answers calls and counts those whose answer is not yet written.
+// countingHandler answers calls and counts those whose answer is not yet written.
 // Without the count, a planned stop closes the connection between the end of a
 // forwarded job and the writing of its answer: the caller, who waits at another
-// dispatcher, is then told "unknown" although the job is done. A call is counted
+// dispatcher, is then told "unknown" although the job is done. A call is countingHandler
 // by the goroutine that reads it, so Drain can't overlook one that was read.
-type counted struct{ s *Server }
+type countingHandler struct{ s *Server }
 
 // Handle answers one call in a goroutine of its own.
-func (c counted) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
-	if !c.s.calls.begin() {
+func (c countingHandler) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
+	if !c.s.inFlight.begin() {
 		e := &jsonrpc2.Error{Code: codeRefused, Message: "stopped, or too many calls"}
 		_ = conn.ReplyWithError(ctx, req.ID, e)
 		return
 	}
 	go func() {
-		defer c.s.calls.end()
+		defer c.s.inFlight.end()
 		jsonrpc2.HandlerWithError(c.s.handle).Handle(ctx, conn, req)
 	}()
 }
@@ -114,7 +114,7 @@
 // Calls that are read later are refused.
 func (s *Server) Drain(ctx context.Context) {
 	select {
-	case <-s.calls.drained():
+	case <-s.inFlight.drained():
 	case <-ctx.Done():
 	}
 }
@@ -133,50 +133,50 @@
 	return nil, e
 }
 
-// calls counts calls in flight. A sync.WaitGroup can't do it: a call may begin
+// inFlight counts inFlight in flight. A sync.WaitGroup can't do it: a call may begin
 // while Drain waits, which that type forbids when the count is 0.
-type calls struct {
+type inFlight struct {
 	limit int
 
-	mu    sync.Mutex
-	n     int
-	empty chan struct{}
-	over  bool
+	mu        sync.Mutex
+	n         int
+	drainDone chan struct{}
+	stopped   bool
 }
 
 // begin counts a call, or refuses it.
-func (c *calls) begin() bool {
+func (c *inFlight) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over || c.n >= c.limit {
+	if c.stopped || c.n >= c.limit {
 		return false
 	}
 	c.n++
 	return true
 }
 
-func (c *calls) end() {
+func (c *inFlight) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n--
-	c.finish()
+	c.closeIfDrained()
 }
 
 // drained returns a channel that is closed when no call is left. Until then
 // calls still begin: peers ask about the jobs that are being finished.
-func (c *calls) drained() <-chan struct{} {
+func (c *inFlight) drained() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.empty == nil {
-		c.empty = make(chan struct{})
-		c.finish()
+	if c.drainDone == nil {
+		c.drainDone = make(chan struct{})
+		c.closeIfDrained()
 	}
-	return c.empty
+	return c.drainDone
 }
 
-func (c *calls) finish() {
-	if c.empty != nil && c.n == 0 && !c.over {
-		c.over = true
-		close(c.empty)
+func (c *inFlight) closeIfDrained() {
+	if c.drainDone != nil && c.n == 0 && !c.stopped {
+		c.stopped = true
+		close(c.drainDone)
 	}
 }
