--- a/tables/edit.go
+++ b/tables/edit.go
@@ -21,8 +21,8 @@
 	Put    Rows      `json:"put"`
 	Drop   Keys      `json:"drop"`
 
-	// logged is the log's time of the record.
-	logged time.Time
+	// loggedAt is the log's time of the record.
+	loggedAt time.Time
 }
 
 // Apply returns the state that the edit at offset v makes of s, or the reason
@@ -42,65 +42,65 @@
 	if err := d.checkRoutes(e); err != nil {
 		return nil, err
 	}
-	if err := d.settleHomes(v, e.logged); err != nil {
+	if err := d.checkHalves(v, e.loggedAt); err != nil {
 		return nil, err
 	}
-	return d.done(v, e.logged), nil
+	return d.done(v, e.loggedAt), nil
 }
 
 // draft is a state under construction.
 type draft struct {
-	old    *State
-	routes *writer[string, Route]
-	teams  *writer[string, Team]
-	groups *writer[string, *group]
-	homes  *writer[netip.AddrPort, []string]
-	moves  *writer[netip.AddrPort, Move]
-	// copied are the groups that belong to the draft alone.
-	copied   map[string]*group
-	touched  map[netip.AddrPort]struct{}
-	lastMove Version
+	old         *State
+	routes      *writer[string, Route]
+	teams       *writer[string, Team]
+	poolEntries *writer[string, *poolEntry]
+	serverPools *writer[netip.AddrPort, []string]
+	moves       *writer[netip.AddrPort, Move]
+	// ownEntries are the groups that belong to the draft alone.
+	ownEntries     map[string]*poolEntry
+	changedServers map[netip.AddrPort]struct{}
+	lastMove       Version
 }
 
 func newDraft(s *State) *draft {
 	return &draft{
-		old:      s,
-		routes:   newWriter(s.routes),
-		teams:    newWriter(s.teams),
-		groups:   newWriter(s.groups),
-		homes:    newWriter(s.homes),
-		moves:    newWriter(s.moves),
-		copied:   make(map[string]*group),
-		touched:  make(map[netip.AddrPort]struct{}),
-		lastMove: s.lastMove,
+		old:            s,
+		routes:         newWriter(s.routes),
+		teams:          newWriter(s.teams),
+		poolEntries:    newWriter(s.poolEntries),
+		serverPools:    newWriter(s.serverPools),
+		moves:          newWriter(s.moves),
+		ownEntries:     make(map[string]*poolEntry),
+		changedServers: make(map[netip.AddrPort]struct{}),
+		lastMove:       s.lastMove,
 	}
 }
 
-func (d *draft) done(v Version, logged time.Time) *State {
+func (d *draft) done(v Version, loggedAt time.Time) *State {
 	return &State{
-		Version:  v,
-		logged:   logged,
-		routes:   d.routes.done(),
-		teams:    d.teams.done(),
-		groups:   d.groups.done(),
-		homes:    d.homes.done(),
-		moves:    d.moves.done(),
-		lastMove: d.lastMove,
+		Version:     v,
+		loggedAt:    loggedAt,
+		routes:      d.routes.done(),
+		teams:       d.teams.done(),
+		poolEntries: d.poolEntries.done(),
+		serverPools: d.serverPools.done(),
+		moves:       d.moves.done(),
+		lastMove:    d.lastMove,
 	}
 }
 
-// group returns a pool's group for changing, or nil.
-func (d *draft) group(name string) *group {
-	if g, ok := d.copied[name]; ok {
+// poolEntry returns a pool's poolEntry for changing, or nil.
+func (d *draft) poolEntry(name string) *poolEntry {
+	if g, ok := d.ownEntries[name]; ok {
 		return g
 	}
-	g, ok := d.groups.get(name)
+	g, ok := d.poolEntries.get(name)
 	if !ok {
 		return nil
 	}
 	c := *g
-	d.copied[name] = &c
-	d.groups.set(name, &c)
+	d.ownEntries[name] = &c
+	d.poolEntries.set(name, &c)
 	return &c
 }
 
@@ -109,15 +109,15 @@
 		if err := p.check(); err != nil {
 			return err
 		}
-		g := d.group(p.Name)
+		g := d.poolEntry(p.Name)
 		if g == nil {
-			g = &group{}
-			d.copied[p.Name] = g
-			d.groups.set(p.Name, g)
+			g = &poolEntry{}
+			d.ownEntries[p.Name] = g
+			d.poolEntries.set(p.Name, g)
 		}
 		if g.pool.Half != p.Half {
 			for _, v := range g.servers {
-				d.touched[v.Address] = struct{}{}
+				d.changedServers[v.Address] = struct{}{}
 			}
 		}
 		g.pool = p
@@ -125,47 +125,47 @@
 	return nil
 }
 
-// change is what an edit does to one pool's servers.
-type change struct {
+// serverChange is what an edit does to one pool's servers.
+type serverChange struct {
 	put  []Server
 	drop map[netip.AddrPort]struct{}
 }
 
 func (d *draft) changeServers(e Edit) error {
-	changes := make(map[string]*change)
-	of := func(pool string) *change {
+	changes := make(map[string]*serverChange)
+	changeOf := func(pool string) *serverChange {
 		c, ok := changes[pool]
 		if !ok {
-			c = &change{drop: make(map[netip.AddrPort]struct{})}
+			c = &serverChange{drop: make(map[netip.AddrPort]struct{})}
 			changes[pool] = c
 		}
 		return c
 	}
 	for _, k := range e.Drop.Servers {
-		of(k.Pool).drop[k.Address] = struct{}{}
+		changeOf(k.Pool).drop[k.Address] = struct{}{}
 	}
 	for _, v := range e.Put.Servers {
 		if err := v.check(); err != nil {
 			return err
 		}
-		if d.group(v.Pool) == nil {
+		if d.poolEntry(v.Pool) == nil {
 			return errors.Errorf("servers: %s: no pool %q", v.Address, v.Pool)
 		}
-		c := of(v.Pool)
+		c := changeOf(v.Pool)
 		c.put = append(c.put, v)
 		delete(c.drop, v.Address)
 	}
 	for pool, c := range changes {
-		if g := d.group(pool); g != nil {
-			d.changeGroup(g, c)
+		if g := d.poolEntry(pool); g != nil {
+			d.changeEntry(g, c)
 		}
 	}
 	return nil
 }
 
-func (d *draft) changeGroup(g *group, c *change) {
+func (d *draft) changeEntry(g *poolEntry, c *serverChange) {
 	for a := range c.drop {
-		d.leave(a, g.pool.Name)
+		d.removeFromPool(a, g.pool.Name)
 	}
 	kept := slices.Clone(g.servers)
 	if len(c.drop) > 0 {
@@ -184,7 +184,7 @@
 		added[v.Address] = v
 	}
 	for a, v := range added {
-		d.enter(a, g.pool.Name)
+		d.addToPool(a, g.pool.Name)
 		kept = append(kept, v)
 	}
 	if len(added) > 0 {
@@ -195,24 +195,24 @@
 
 func compareAddress(v Server, a netip.AddrPort) int { return v.Address.Compare(a) }
 
-func (d *draft) enter(a netip.AddrPort, pool string) {
-	d.touched[a] = struct{}{}
-	pools, _ := d.homes.get(a)
-	d.homes.set(a, append(slices.Clip(pools), pool))
+func (d *draft) addToPool(a netip.AddrPort, pool string) {
+	d.changedServers[a] = struct{}{}
+	pools, _ := d.serverPools.get(a)
+	d.serverPools.set(a, append(slices.Clip(pools), pool))
 }
 
-func (d *draft) leave(a netip.AddrPort, pool string) {
-	pools, ok := d.homes.get(a)
+func (d *draft) removeFromPool(a netip.AddrPort, pool string) {
+	pools, ok := d.serverPools.get(a)
 	if !ok || !slices.Contains(pools, pool) {
 		return
 	}
-	d.touched[a] = struct{}{}
+	d.changedServers[a] = struct{}{}
 	rest := slices.DeleteFunc(slices.Clone(pools), func(p string) bool { return p == pool })
 	if len(rest) == 0 {
-		d.homes.remove(a)
+		d.serverPools.remove(a)
 		return
 	}
-	d.homes.set(a, rest)
+	d.serverPools.set(a, rest)
 }
 
 func (d *draft) changeRoutes(e Edit) error {
@@ -220,11 +220,11 @@
 		if err := r.check(); err != nil {
 			return err
 		}
-		g := d.group(r.Pool)
+		g := d.poolEntry(r.Pool)
 		if g == nil {
 			return errors.Errorf("routes: kind %q: no pool %q", r.Kind, r.Pool)
 		}
-		d.unroute(r.Kind)
+		d.detachKind(r.Kind)
 		g.kinds = append(slices.Clip(g.kinds), r.Kind)
 		d.routes.set(r.Kind, r)
 	}
@@ -232,19 +232,19 @@
 		if slices.ContainsFunc(e.Put.Routes, func(r Route) bool { return r.Kind == kind }) {
 			continue
 		}
-		d.unroute(kind)
+		d.detachKind(kind)
 		d.routes.remove(kind)
 	}
 	return nil
 }
 
-// unroute takes a kind from the pool that it goes to.
-func (d *draft) unroute(kind string) {
+// detachKind takes a kind from the pool that it goes to.
+func (d *draft) detachKind(kind string) {
 	r, ok := d.routes.get(kind)
 	if !ok {
 		return
 	}
-	g := d.group(r.Pool)
+	g := d.poolEntry(r.Pool)
 	g.kinds = slices.DeleteFunc(slices.Clone(g.kinds), func(k string) bool { return k == kind })
 }
 
@@ -253,7 +253,7 @@
 		if slices.ContainsFunc(e.Put.Pools, func(p Pool) bool { return p.Name == name }) {
 			continue
 		}
-		g := d.group(name)
+		g := d.poolEntry(name)
 		switch {
 		case g == nil:
 			continue
@@ -262,8 +262,8 @@
 		case len(g.kinds) > 0:
 			return errors.Errorf("routes: kind %q: no pool %q", g.kinds[0], name)
 		}
-		d.groups.remove(name)
-		delete(d.copied, name)
+		d.poolEntries.remove(name)
+		delete(d.ownEntries, name)
 	}
 	return nil
 }
@@ -289,7 +289,7 @@
 		}
 	}
 	for _, p := range e.Put.Pools {
-		g, _ := d.groups.get(p.Name)
+		g, _ := d.poolEntries.get(p.Name)
 		for _, kind := range g.kinds {
 			if err := d.checkRoute(kind); err != nil {
 				return err
@@ -301,34 +301,34 @@
 
 func (d *draft) checkRoute(kind string) error {
 	r, _ := d.routes.get(kind)
-	g, _ := d.groups.get(r.Pool)
+	g, _ := d.poolEntries.get(r.Pool)
 	if r.Half != g.pool.Half {
 		return errors.Errorf("routes: kind %q: half %q, but pool %q is of half %q", kind, r.Half, r.Pool, g.pool.Half)
 	}
 	return nil
 }
 
-// settleHomes holds that a backend server is in pools of one half only, and
+// checkHalves holds that a backend server is in pools of one half only, and
 // records which servers changed theirs.
-func (d *draft) settleHomes(v Version, logged time.Time) error {
-	for a := range d.touched {
+func (d *draft) checkHalves(v Version, loggedAt time.Time) error {
+	for a := range d.changedServers {
 		half, err := d.half(a)
 		if err != nil {
 			return err
 		}
-		d.move(a, half, v, logged)
+		d.recordMove(a, half, v, loggedAt)
 	}
 	if d.moves.x.len() > maxMoves {
-		d.forgetMoves()
+		d.dropOldMoves()
 	}
 	return nil
 }
 
 func (d *draft) half(a netip.AddrPort) (string, error) {
-	pools, _ := d.homes.get(a)
+	pools, _ := d.serverPools.get(a)
 	half := ""
 	for _, name := range pools {
-		g, _ := d.groups.get(name)
+		g, _ := d.poolEntries.get(name)
 		if half != "" && half != g.pool.Half {
 			return "", errors.Errorf("servers: %s: in pools of two halves", a)
 		}
@@ -337,26 +337,26 @@
 	return half, nil
 }
 
-// move records a change of half. A server that is taken out of all pools and
+// recordMove records a change of half. A server that is taken out of all pools and
 // put into the other half by a later edit has moved as well, so its last half
 // is remembered. One that comes back to the same half is recorded too: it may
 // have come from the other half a moment before it was taken out.
-func (d *draft) move(a netip.AddrPort, half string, v Version, logged time.Time) {
-	was := d.old.Half(a)
+func (d *draft) recordMove(a netip.AddrPort, half string, v Version, loggedAt time.Time) {
+	oldHalf := d.old.Half(a)
 	m, known := d.moves.get(a)
 	switch {
-	case was == half:
+	case oldHalf == half:
 		return
-	case was == "" && !known:
+	case oldHalf == "" && !known:
 		return
-	case was == "":
-		was = m.From
+	case oldHalf == "":
+		oldHalf = m.From
 	}
-	d.moves.set(a, Move{Address: a, From: was, To: half, Version: v, At: logged})
+	d.moves.set(a, Move{Address: a, From: oldHalf, To: half, Version: v, At: loggedAt})
 	d.lastMove = v
 }
 
-func (d *draft) forgetMoves() {
+func (d *draft) dropOldMoves() {
 	all := make([]Move, 0, d.moves.x.len())
 	for _, m := range d.moves.x.all {
 		all = append(all, m)
--- a/tables/edit_test.go
+++ b/tables/edit_test.go
@@ -19,7 +19,7 @@
 		s, rows := Empty(), Rows{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "edits") {
 			e := drawEdit(t, s.Version)
-			want, bad := plain(rows, e)
+			want, bad := referenceApply(rows, e)
 			next, err := s.Apply(Version(i), e)
 			if (bad == nil) != (err == nil) {
 				t.Fatalf("edit %d: %v, the plain rule says %v", i, err, bad)
--- a/tables/follow.go
+++ b/tables/follow.go
@@ -14,8 +14,8 @@
 	"snipehub.example/ledger"
 )
 
-// store is what the tables need of the platform's log.
-type store interface {
+// logClient is what the tables need of the platform's log.
+type logClient interface {
 	Read(ctx context.Context, stream string, from ledger.Offset, wait time.Duration) (ledger.Page, error)
 	Append(ctx context.Context, stream string, data []byte) (ledger.Offset, error)
 }
@@ -36,7 +36,7 @@
 // suture service; its methods may be called from any goroutine.
 type Follower struct {
 	log *slog.Logger
-	st  store
+	st  logClient
 	cfg Config
 
 	state     atomic.Pointer[State]
@@ -45,24 +45,24 @@
 	holdsMu sync.RWMutex
 	holds   *Holds
 
-	packMu sync.Mutex
-	pack   pack
+	packedMu       sync.Mutex
+	packedSnapshot packedSnapshot
 
 	mu       sync.Mutex
 	replay   *Replay
-	schedule *Schedule
+	schedule *SnapshotSchedule
 	complete bool
 	// interrupt ends the read that waits at the log; hurry makes the next one
 	// not wait.
 	interrupt context.CancelFunc
-	hurry     bool
+	skipWait  bool
 	notBefore time.Time
 	downSince time.Time
-	readAt    time.Time
+	lastRead  time.Time
 }
 
 // New makes a follower.
-func New(log *slog.Logger, st store, cfg Config, rnd *rand.Rand) *Follower {
+func New(log *slog.Logger, st logClient, cfg Config, rnd *rand.Rand) *Follower {
 	f := &Follower{
 		log:       log,
 		st:        st,
@@ -70,9 +70,9 @@
 		replay:    NewReplay(),
 		complete:  true,
 		holds:     NewHolds(cfg.Settle),
-		schedule:  NewSchedule(time.Now(), cfg.Snapshot, rnd),
+		schedule:  NewSnapshotSchedule(time.Now(), cfg.Snapshot, rnd),
 		interrupt: func() {},
-		hurry:     true,
+		skipWait:  true,
 	}
 	f.state.Store(f.replay.State())
 	f.confirmed.Store(new(time.Time))
@@ -87,47 +87,47 @@
 // first one.
 func (f *Follower) Confirmed() time.Time { return *f.confirmed.Load() }
 
-// retryAfter is the pause after a read that failed.
-const retryAfter = time.Second
+// retryDelay is the pause after a read that failed.
+const retryDelay = time.Second
 
 // Serve follows the log until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !f.step(ctx) {
-			clock.Sleep(ctx, retryAfter)
+		if !f.readOnce(ctx) {
+			clock.Sleep(ctx, retryDelay)
 		}
 	}
 	return ctx.Err()
 }
 
-// step reads once and tells whether the log answered.
-func (f *Follower) step(ctx context.Context) bool {
-	read, cancel := context.WithCancel(ctx)
+// readOnce reads once and tells whether the log answered.
+func (f *Follower) readOnce(ctx context.Context) bool {
+	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.mu.Lock()
 	f.interrupt = cancel
 	from := f.replay.Next()
 	wait := f.cfg.Poll
-	if f.hurry {
+	if f.skipWait {
 		wait = 0
 	}
-	f.hurry = false
+	f.skipWait = false
 	f.mu.Unlock()
-	asked := time.Now()
-	p, err := f.st.Read(read, Stream, from, wait)
+	readStart := time.Now()
+	p, err := f.st.Read(readCtx, Stream, from, wait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		return f.failed(ctx, read, err)
+		return f.readFailed(ctx, readCtx, err)
 	}
-	f.reached()
-	f.take(asked, p)
+	f.readSucceeded()
+	f.applyPage(readStart, p)
 	return true
 }
 
-// failed notes a read that failed; one that was interrupted is no failure.
-func (f *Follower) failed(ctx, read context.Context, err error) bool {
-	if read.Err() != nil {
+// readFailed notes a read that readFailed; one that was interrupted is no failure.
+func (f *Follower) readFailed(ctx, readCtx context.Context, err error) bool {
+	if readCtx.Err() != nil {
 		return true
 	}
 	if f.downSince.IsZero() && ctx.Err() == nil {
@@ -137,8 +137,8 @@
 	return false
 }
 
-func (f *Follower) reached() {
-	f.readAt = time.Now()
+func (f *Follower) readSucceeded() {
+	f.lastRead = time.Now()
 	if f.downSince.IsZero() {
 		return
 	}
@@ -146,27 +146,27 @@
 	f.downSince = time.Time{}
 }
 
-// take learns from a page of the log. A page that reaches the log's end
+// applyPage learns from a page of the log. A page that reaches the log's end
 // confirms the state as of the time at which it was asked for.
-func (f *Follower) take(asked time.Time, p ledger.Page) {
+func (f *Follower) applyPage(readStart time.Time, p ledger.Page) {
 	if p.End != 0 && p.End < f.replay.Next() {
 		event.LogWentBack.Log(f.log, "end", p.End, "read", f.replay.Next())
 		return
 	}
 	for _, n := range f.replay.Page(p) {
-		f.report(n)
+		f.logNote(n)
 	}
 	f.publish()
 	if f.replay.Complete() && p.Next >= p.End {
-		f.confirm(f.replay.State().Version, asked, 0)
+		f.confirm(f.replay.State().Version, readStart, 0)
 	}
 }
 
-func (f *Follower) report(n Note) {
+func (f *Follower) logNote(n Note) {
 	switch {
 	case n.Snapshot:
-		f.schedule.Seen(time.Now())
-	case n.GivenUp:
+		f.schedule.Restart(time.Now())
+	case n.Discarded:
 		event.HeldEditsDropped.Log(f.log, "offset", n.Offset)
 	case n.Err == nil:
 	case n.Edit == "":
@@ -192,7 +192,7 @@
 	}
 	// The holds come first: placing must not see a moved server before it
 	// sees that the server is held back.
-	if n := f.hold(before, now); n > 0 {
+	if n := f.holdMoved(before, now); n > 0 {
 		event.ServersHeld.Log(f.log, "version", now.Version, "servers", n)
 	}
 	f.state.Store(now)
@@ -203,10 +203,10 @@
 	f.cfg.Changed()
 }
 
-func (f *Follower) hold(before, now *State) int {
+func (f *Follower) holdMoved(before, now *State) int {
 	f.holdsMu.Lock()
 	defer f.holdsMu.Unlock()
-	return f.holds.Learn(time.Now(), before, now)
+	return f.holds.Update(time.Now(), before, now)
 }
 
 // Held tells whether a backend server is held back after a move between
@@ -242,7 +242,7 @@
 	defer f.mu.Unlock()
 	f.notBefore = until
 	f.confirmed.Store(new(time.Time))
-	f.hurry = true
+	f.skipWait = true
 	f.interrupt()
 }
 
@@ -255,7 +255,7 @@
 	if !f.replay.Complete() {
 		return v >= f.State().Version
 	}
-	return v > f.State().Version && now.Sub(f.readAt) > 2*f.cfg.Poll
+	return v > f.State().Version && now.Sub(f.lastRead) > 2*f.cfg.Poll
 }
 
 // Ask returns what to ask a peer.
@@ -268,8 +268,8 @@
 // Body answers a peer.
 func (f *Follower) Body(a Ask) (Body, error) {
 	f.mu.Lock()
-	p, ok := f.replay.Edits(a)
-	st, through, whole := f.replay.Basis()
+	p, ok := f.replay.EditsSince(a)
+	st, through, whole := f.replay.SnapshotBasis()
 	f.mu.Unlock()
 	switch {
 	case ok:
@@ -281,8 +281,8 @@
 	return Body{Snapshot: b}, err
 }
 
-// pack is a packed snapshot with what it was made of.
-type pack struct {
+// packedSnapshot is a packed snapshot with what it was made of.
+type packedSnapshot struct {
 	state   *State
 	through ledger.Offset
 	bytes   []byte
@@ -292,16 +292,16 @@
 // because hundreds of fresh processes may ask for the same one at once; one
 // that ends before the asker's offset could leave a hole there.
 func (f *Follower) snapshot(st *State, through, from ledger.Offset) ([]byte, error) {
-	f.packMu.Lock()
-	defer f.packMu.Unlock()
-	if f.pack.state == st && f.pack.through >= from-1 {
-		return f.pack.bytes, nil
+	f.packedMu.Lock()
+	defer f.packedMu.Unlock()
+	if f.packedSnapshot.state == st && f.packedSnapshot.through >= from-1 {
+		return f.packedSnapshot.bytes, nil
 	}
 	b, err := NewSnapshot(st, through).Encode()
 	if err != nil {
 		return nil, err
 	}
-	f.pack = pack{st, through, b}
+	f.packedSnapshot = packedSnapshot{st, through, b}
 	return b, nil
 }
 
@@ -314,7 +314,7 @@
 		return err
 	}
 	for _, n := range notes {
-		f.report(n)
+		f.logNote(n)
 	}
 	f.publish()
 	return nil
@@ -329,8 +329,8 @@
 		f.mu.Unlock()
 		return nil
 	}
-	f.schedule.Seen(now)
-	st, through, ok := f.replay.Basis()
+	f.schedule.Restart(now)
+	st, through, ok := f.replay.SnapshotBasis()
 	f.mu.Unlock()
 	if !ok {
 		return nil
--- a/tables/follow_test.go
+++ b/tables/follow_test.go
@@ -70,12 +70,12 @@
 		}
 		f := l.follower(1)
 		for want := range 2 {
-			f.step(t.Context())
+			f.readOnce(t.Context())
 			if f.State().Version != Version(want) || !f.Confirmed().IsZero() {
 				t.Fatalf("version %d is confirmed as of %v", f.State().Version, f.Confirmed())
 			}
 		}
-		f.step(t.Context())
+		f.readOnce(t.Context())
 		if f.Confirmed().IsZero() {
 			t.Fatal("not confirmed at the end of the log")
 		}
@@ -100,7 +100,7 @@
 			_, _ = l.Append(t.Context(), Stream, b)
 		}
 		put(move(ledger.None, "north"))
-		late.step(t.Context())
+		late.readOnce(t.Context())
 		if late.Held(time.Now(), a) {
 			t.Fatal("held without a move")
 		}
@@ -108,8 +108,8 @@
 		time.Sleep(time.Hour)
 		fresh, joined := l.follower(2), l.follower(3)
 		for range 2 {
-			late.step(t.Context())
-			fresh.step(t.Context())
+			late.readOnce(t.Context())
+			fresh.readOnce(t.Context())
 		}
 		b, err := fresh.Body(Ask{Whole: true})
 		if err != nil || joined.Take(b) != nil {
@@ -143,7 +143,7 @@
 			time.Sleep(time.Second)
 			for _, f := range fs {
 				for f.replay.Next() < ledger.Offset(len(l.records)) {
-					f.step(ctx)
+					f.readOnce(ctx)
 				}
 				_ = f.PutSnapshot(ctx, time.Now())
 			}
--- a/tables/hold.go
+++ b/tables/hold.go
@@ -20,20 +20,20 @@
 	until  map[netip.AddrPort]time.Time
 }
 
-// rememberMoves is how long a move is held back by processes that start
+// moveRetention is how long a move is held back by processes that start
 // later, by the log's time. A data centre that is cut off for longer than this
 // may use a moved server for both halves for up to the settle time, if a
 // process starts there in the moment in which it is joined again.
-const rememberMoves = 24 * time.Hour
+const moveRetention = 24 * time.Hour
 
 // NewHolds makes holds of the given settle time.
 func NewHolds(settle time.Duration) *Holds {
 	return &Holds{settle: settle, until: make(map[netip.AddrPort]time.Time)}
 }
 
-// Learn takes a change of the tables and returns how many servers it holds
+// Update takes a change of the tables and returns how many servers it holds
 // back. It also forgets the holds that are over.
-func (h *Holds) Learn(now time.Time, before, after *State) int {
+func (h *Holds) Update(now time.Time, before, after *State) int {
 	for a, t := range h.until {
 		if !now.Before(t) {
 			delete(h.until, a)
@@ -41,7 +41,7 @@
 	}
 	n := 0
 	for _, m := range after.movesSince(before.Version) {
-		if m.To == "" || m.At.Before(after.logged.Add(-rememberMoves)) {
+		if m.To == "" || m.At.Before(after.loggedAt.Add(-moveRetention)) {
 			continue
 		}
 		h.until[m.Address] = now.Add(h.settle)
--- a/tables/index.go
+++ b/tables/index.go
@@ -5,34 +5,34 @@
 	"maps"
 )
 
-// shards is how many parts an index has. A change copies the parts that it
+// shardCount is how many parts an index has. A change copies the parts that it
 // touches: with 13,000 servers about a hundred entries, where a copy of the
 // whole map would cost every process a millisecond for each edit.
-const shards = 128
+const shardCount = 128
 
 var hashSeed = maphash.MakeSeed()
 
 // index is a map that is never changed once made; a writer makes the next one
 // out of it. The zero value is empty.
 type index[K comparable, V any] struct {
-	parts [shards]map[K]V
-	n     int
+	shards [shardCount]map[K]V
+	size   int
 }
 
 func shardOf[K comparable](k K) int {
-	return int(maphash.Comparable(hashSeed, k) % shards)
+	return int(maphash.Comparable(hashSeed, k) % shardCount)
 }
 
 func (x *index[K, V]) get(k K) (V, bool) {
-	v, ok := x.parts[shardOf(k)][k]
+	v, ok := x.shards[shardOf(k)][k]
 	return v, ok
 }
 
-func (x *index[K, V]) len() int { return x.n }
+func (x *index[K, V]) len() int { return x.size }
 
 // all calls yield for each entry, in no particular order.
 func (x *index[K, V]) all(yield func(K, V) bool) {
-	for _, p := range x.parts {
+	for _, p := range x.shards {
 		for k, v := range p {
 			if !yield(k, v) {
 				return
@@ -44,7 +44,7 @@
 // writer builds an index out of another one, which stays as it is.
 type writer[K comparable, V any] struct {
 	x     *index[K, V]
-	owned [shards]bool
+	owned [shardCount]bool
 	any   bool
 }
 
@@ -55,9 +55,9 @@
 func (w *writer[K, V]) get(k K) (V, bool) { return w.x.get(k) }
 
 func (w *writer[K, V]) set(k K, v V) {
-	p := w.part(k)
+	p := w.shard(k)
 	if _, ok := p[k]; !ok {
-		w.x.n++
+		w.x.size++
 	}
 	p[k] = v
 }
@@ -66,12 +66,12 @@
 	if _, ok := w.x.get(k); !ok {
 		return
 	}
-	delete(w.part(k), k)
-	w.x.n--
+	delete(w.shard(k), k)
+	w.x.size--
 }
 
-// part returns the part that holds k, copied once for this writer.
-func (w *writer[K, V]) part(k K) map[K]V {
+// shard returns the shard that holds k, copied once for this writer.
+func (w *writer[K, V]) shard(k K) map[K]V {
 	if !w.any {
 		c := *w.x
 		w.x, w.any = &c, true
@@ -79,13 +79,13 @@
 	i := shardOf(k)
 	if !w.owned[i] {
 		w.owned[i] = true
-		if w.x.parts[i] == nil {
-			w.x.parts[i] = make(map[K]V)
+		if w.x.shards[i] == nil {
+			w.x.shards[i] = make(map[K]V)
 		} else {
-			w.x.parts[i] = maps.Clone(w.x.parts[i])
+			w.x.shards[i] = maps.Clone(w.x.shards[i])
 		}
 	}
-	return w.x.parts[i]
+	return w.x.shards[i]
 }
 
 // done returns the new index; the writer must not be used afterwards.
--- a/tables/oracle_test.go
+++ b/tables/oracle_test.go
@@ -23,14 +23,14 @@
 	os.Exit(m.Run())
 }
 
-// plain is the rule of edits written down as simply as possible: merge all
+// referenceApply is the rule of edits written down as simply as possible: merge all
 // rows, then check all of them.
-func plain(old Rows, e Edit) (Rows, error) {
+func referenceApply(old Rows, e Edit) (Rows, error) {
 	rows := Rows{
-		Routes:  plainMerge(old.Routes, e.Put.Routes, e.Drop.Routes, func(r Route) string { return r.Kind }),
-		Teams:   plainMerge(old.Teams, e.Put.Teams, e.Drop.Teams, func(t Team) string { return t.Name }),
-		Pools:   plainMerge(old.Pools, e.Put.Pools, e.Drop.Pools, func(p Pool) string { return p.Name }),
-		Servers: plainMerge(old.Servers, e.Put.Servers, e.Drop.Servers, Server.Key),
+		Routes:  referenceMerge(old.Routes, e.Put.Routes, e.Drop.Routes, func(r Route) string { return r.Kind }),
+		Teams:   referenceMerge(old.Teams, e.Put.Teams, e.Drop.Teams, func(t Team) string { return t.Name }),
+		Pools:   referenceMerge(old.Pools, e.Put.Pools, e.Drop.Pools, func(p Pool) string { return p.Name }),
+		Servers: referenceMerge(old.Servers, e.Put.Servers, e.Drop.Servers, Server.Key),
 	}
 	half := make(map[string]string)
 	for _, p := range rows.Pools {
@@ -51,7 +51,7 @@
 	return rows, nil
 }
 
-func plainMerge[K comparable, R any](old, put []R, drop []K, key func(R) K) []R {
+func referenceMerge[K comparable, R any](old, put []R, drop []K, key func(R) K) []R {
 	out := slices.DeleteFunc(slices.Clone(old), func(r R) bool {
 		same := func(p R) bool { return key(p) == key(r) }
 		return slices.Contains(drop, key(r)) || slices.ContainsFunc(put, same)
--- a/tables/replay.go
+++ b/tables/replay.go
@@ -23,49 +23,49 @@
 	complete bool
 	next     ledger.Offset
 
-	// start is the first offset from which an incomplete replay has read
+	// readFrom is the first offset from which an incomplete replay has read
 	// everything, and held the edits read since.
-	start ledger.Offset
-	held  list
+	readFrom ledger.Offset
+	held     recordBuffer
 
-	// ring is the newest edits that took effect, for peers; every one from
+	// recent is the newest edits that took effect, for peers; every one from
 	// the offset floor on is there.
-	ring  list
-	floor ledger.Offset
+	recent     recordBuffer
+	recentFrom ledger.Offset
 }
 
-// keep bounds a list of records.
-type keep struct {
+// limits bounds a list of records.
+type limits struct {
 	records, bytes int
 }
 
 // The bounds of what a replay keeps besides the state. An edit of one row takes
 // about 200 bytes.
 var (
-	keepHeld = keep{4096, 4 << 20}
-	keepRing = keep{1024, 1 << 20}
+	heldLimits   = limits{4096, 4 << 20}
+	recentLimits = limits{1024, 1 << 20}
 )
 
 // NewReplay makes a replay that has read nothing.
-func NewReplay() *Replay { return newReplay(keepHeld, keepRing) }
+func NewReplay() *Replay { return newReplay(heldLimits, recentLimits) }
 
-func newReplay(held, ring keep) *Replay {
-	return &Replay{state: Empty(), complete: true, held: list{keep: held}, ring: list{keep: ring}}
+func newReplay(held, recent limits) *Replay {
+	return &Replay{state: Empty(), complete: true, held: recordBuffer{limits: held}, recent: recordBuffer{limits: recent}}
 }
 
-// list is the newest records of a kind, bounded.
-type list struct {
-	keep    keep
+// recordBuffer is the newest records of a kind, bounded.
+type recordBuffer struct {
+	limits  limits
 	records []ledger.Record
 	bytes   int
 }
 
 // add appends a record. When the list is full it drops the oldest and returns
 // the last offset dropped.
-func (l *list) add(rec ledger.Record) (dropped ledger.Offset, full bool) {
+func (l *recordBuffer) add(rec ledger.Record) (dropped ledger.Offset, full bool) {
 	l.records = append(l.records, rec)
 	l.bytes += len(rec.Data)
-	for len(l.records) > l.keep.records || l.bytes > l.keep.bytes {
+	for len(l.records) > l.limits.records || l.bytes > l.limits.bytes {
 		dropped, full = l.records[0].Offset, true
 		l.bytes -= len(l.records[0].Data)
 		l.records = l.records[1:]
@@ -73,7 +73,7 @@
 	return dropped, full
 }
 
-func (l *list) clear() { l.records, l.bytes = nil, 0 }
+func (l *recordBuffer) clear() { l.records, l.bytes = nil, 0 }
 
 // State returns the state in force.
 func (r *Replay) State() *State { return r.state }
@@ -92,8 +92,8 @@
 	Applied bool
 	// Snapshot tells that the record is a snapshot.
 	Snapshot bool
-	// GivenUp tells that an older edit that waited for a snapshot was dropped.
-	GivenUp bool
+	// Discarded tells that an older edit that waited for a snapshot was dropped.
+	Discarded bool
 	// Err is why a record changed nothing.
 	Err error
 }
@@ -101,35 +101,35 @@
 // Page takes what was read from Next on, from the log or from a peer.
 func (r *Replay) Page(p ledger.Page) []Note {
 	if p.First > r.next {
-		r.lose(p.First)
+		r.skipTo(p.First)
 	}
 	var notes []Note
 	for _, rec := range p.Records {
 		if rec.Offset < r.next {
 			continue
 		}
-		notes = append(notes, r.take(rec))
+		notes = append(notes, r.process(rec))
 	}
 	r.next = max(r.next, p.Next)
 	return notes
 }
 
-// lose notes that the records between next and first are gone.
-func (r *Replay) lose(first ledger.Offset) {
+// skipTo notes that the records between next and first are gone.
+func (r *Replay) skipTo(first ledger.Offset) {
 	r.complete = false
 	r.next = first
-	r.start = first
+	r.readFrom = first
 	r.held.clear()
-	r.ring.clear()
+	r.recent.clear()
 }
 
-func (r *Replay) take(rec ledger.Record) Note {
+func (r *Replay) process(rec ledger.Record) Note {
 	r.next = rec.Offset + 1
 	if isSnapshot(rec.Data) {
-		return r.takeSnapshot(rec)
+		return r.processSnapshot(rec)
 	}
 	if !r.complete {
-		return r.hold(rec)
+		return r.holdEdit(rec)
 	}
 	return r.apply(rec)
 }
@@ -148,31 +148,31 @@
 		return n
 	}
 	r.state = s
-	r.remember(rec)
+	r.addRecent(rec)
 	n.Applied = true
 	return n
 }
 
-// hold keeps an edit that can't be judged yet. When there are too many, the
+// holdEdit keeps an edit that can't be judged yet. When there are too many, the
 // oldest is given up: the replay then needs a snapshot that was taken later.
-func (r *Replay) hold(rec ledger.Record) Note {
+func (r *Replay) holdEdit(rec ledger.Record) Note {
 	dropped, full := r.held.add(rec)
 	if full {
-		r.start = dropped + 1
+		r.readFrom = dropped + 1
 	}
-	return Note{Offset: rec.Offset, GivenUp: full}
+	return Note{Offset: rec.Offset, Discarded: full}
 }
 
-// remember keeps an edit that took effect for peers that lag.
-func (r *Replay) remember(rec ledger.Record) {
-	if dropped, full := r.ring.add(rec); full {
-		r.floor = dropped + 1
+// addRecent keeps an edit that took effect for peers that lag.
+func (r *Replay) addRecent(rec ledger.Record) {
+	if dropped, full := r.recent.add(rec); full {
+		r.recentFrom = dropped + 1
 	}
 }
 
-// takeSnapshot adopts a snapshot from the log only when something is missing:
+// processSnapshot adopts a snapshot from the log only when something is missing:
 // a complete replay has read all that the snapshot stands for, and more.
-func (r *Replay) takeSnapshot(rec ledger.Record) Note {
+func (r *Replay) processSnapshot(rec ledger.Record) Note {
 	n := Note{Offset: rec.Offset, Snapshot: true}
 	if r.complete {
 		return n
@@ -182,14 +182,14 @@
 		n.Err = err
 		return n
 	}
-	n.Err = r.Adopt(snap)
+	n.Err = r.AdoptSnapshot(snap)
 	return n
 }
 
-// ErrHole means that records after a snapshot's last one are missing here.
-var ErrHole = errors.New("tables: records after the snapshot are missing")
+// ErrGap means that records after a snapshot's last one are missing here.
+var ErrGap = errors.New("tables: records after the snapshot are missing")
 
-// Adopt takes over the state of a snapshot, from the log or from a peer, and
+// AdoptSnapshot takes over the state of a snapshot, from the log or from a peer, and
 // replays on top of it what was read after its last offset.
 //
 // A snapshot may be adopted only if every record after its Through has been
@@ -198,13 +198,13 @@
 // snapshot lands at 9; the log forgets all below 9. A fresh reader that took
 // version 5 from it would miss the edit at 8, reject the next one, whose base
 // is 8, and never agree with the others again.
-func (r *Replay) Adopt(n Snapshot) error {
+func (r *Replay) AdoptSnapshot(n Snapshot) error {
 	after := n.Through + 1
 	switch {
 	case r.complete && after <= r.next:
 		return nil
-	case after < r.next && after < r.start:
-		return errors.Wrapf(ErrHole, "through %d, read from %d", n.Through, r.start)
+	case after < r.next && after < r.readFrom:
+		return errors.Wrapf(ErrGap, "through %d, read from %d", n.Through, r.readFrom)
 	case n.Version < r.state.Version:
 		return errors.Wrapf(ErrSnapshot, "version %d is older than %d", n.Version, r.state.Version)
 	}
@@ -215,8 +215,8 @@
 	held := r.held.records
 	r.state, r.complete = s, true
 	r.held.clear()
-	r.ring.clear()
-	r.floor = after
+	r.recent.clear()
+	r.recentFrom = after
 	for _, rec := range held {
 		if rec.Offset >= after {
 			r.apply(rec)
@@ -226,9 +226,9 @@
 	return nil
 }
 
-// Basis returns what a snapshot is made of: the state and the last offset read.
+// SnapshotBasis returns what a snapshot is made of: the state and the last offset read.
 // It is false for a replay that is not complete or has no tables yet.
-func (r *Replay) Basis() (s *State, through ledger.Offset, ok bool) {
+func (r *Replay) SnapshotBasis() (s *State, through ledger.Offset, ok bool) {
 	if !r.complete || r.state.Version == ledger.None {
 		return nil, ledger.None, false
 	}
@@ -253,17 +253,17 @@
 // Ask returns what to ask a peer.
 func (r *Replay) Ask() Ask { return Ask{From: r.next, Whole: !r.complete} }
 
-// Edits answers a peer that lags with the edits from an offset on, or false when
+// EditsSince answers a peer that lags with the edits from an offset on, or false when
 // it needs a snapshot. Only edits that took effect are passed on: the others
 // change no state, wherever they are read.
-func (r *Replay) Edits(a Ask) (ledger.Page, bool) {
-	if !r.complete || a.Whole || a.From < r.floor {
+func (r *Replay) EditsSince(a Ask) (ledger.Page, bool) {
+	if !r.complete || a.Whole || a.From < r.recentFrom {
 		return ledger.Page{}, false
 	}
-	i, _ := slices.BinarySearchFunc(r.ring.records, a.From, func(rec ledger.Record, o ledger.Offset) int {
+	i, _ := slices.BinarySearchFunc(r.recent.records, a.From, func(rec ledger.Record, o ledger.Offset) int {
 		return cmp.Compare(rec.Offset, o)
 	})
-	return ledger.Page{First: a.From, Next: r.next, Records: slices.Clone(r.ring.records[i:])}, true
+	return ledger.Page{First: a.From, Next: r.next, Records: slices.Clone(r.recent.records[i:])}, true
 }
 
 // Take learns from a peer's answer.
@@ -278,5 +278,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return nil, r.Adopt(n)
+	return nil, r.AdoptSnapshot(n)
 }
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -11,9 +11,9 @@
 	"snipehub.example/ledger"
 )
 
-// world is a log with its readers, and what the plain rule says of each prefix
+// replaySim is a log with its readers, and what the plain rule says of each prefix
 // of the log.
-type world struct {
+type replaySim struct {
 	records  []ledger.Record
 	first    ledger.Offset
 	versions []Version
@@ -22,43 +22,43 @@
 
 	readers []*Replay
 	seen    []Version
-	// late are snapshots that were taken and not yet appended, letters bodies
+	// unappendedSnapshots are snapshots that were taken and not yet appended, letters bodies
 	// that are on their way to a reader.
-	late    [][]byte
-	letters []letter
+	unappendedSnapshots [][]byte
+	pendingReplies      []peerReply
 }
 
-type letter struct {
+type peerReply struct {
 	to   int
 	body Body
 }
 
-func newWorld(readers int) *world {
-	w := &world{rows: map[Version]Rows{ledger.None: {}}, sorted: map[Version]Rows{ledger.None: {}}}
+func newReplaySim(readers int) *replaySim {
+	w := &replaySim{rows: map[Version]Rows{ledger.None: {}}, sorted: map[Version]Rows{ledger.None: {}}}
 	for range readers {
-		w.readers = append(w.readers, w.fresh())
+		w.readers = append(w.readers, w.newReader())
 		w.seen = append(w.seen, ledger.None)
 	}
 	return w
 }
 
-func (w *world) fresh() *Replay { return newReplay(keep{3, 1 << 20}, keep{3, 1 << 20}) }
+func (w *replaySim) newReader() *Replay { return newReplay(limits{3, 1 << 20}, limits{3, 1 << 20}) }
 
 // version returns the version that the first n records make.
-func (w *world) version(n ledger.Offset) Version {
+func (w *replaySim) version(n ledger.Offset) Version {
 	if n == 0 {
 		return ledger.None
 	}
 	return w.versions[n-1]
 }
 
-func (w *world) append(t *rapid.T, data []byte) {
+func (w *replaySim) append(t *rapid.T, data []byte) {
 	off := ledger.Offset(len(w.records))
 	w.records = append(w.records, ledger.Record{Offset: off, Data: data})
 	v := w.version(off)
 	var e Edit
 	if json.Unmarshal(data, &e) == nil && e.ID != "" && e.Base == v {
-		if rows, err := plain(w.rows[v], e); err == nil {
+		if rows, err := referenceApply(w.rows[v], e); err == nil {
 			v = off
 			w.rows[v], w.sorted[v] = rows, sortRows(t, rows)
 		}
@@ -66,19 +66,19 @@
 	w.versions = append(w.versions, v)
 }
 
-func (w *world) page(from ledger.Offset, n int) ledger.Page {
+func (w *replaySim) page(from ledger.Offset, n int) ledger.Page {
 	end := ledger.Offset(len(w.records))
 	from = min(max(from, w.first), end)
 	next := min(end, from+ledger.Offset(n))
 	return ledger.Page{First: w.first, Next: next, End: end, Records: w.records[from:next]}
 }
 
-func (w *world) answer(from int, a Ask) Body {
+func (w *replaySim) answer(from int, a Ask) Body {
 	r := w.readers[from]
-	if p, ok := r.Edits(a); ok {
+	if p, ok := r.EditsSince(a); ok {
 		return Body{Page: &p}
 	}
-	if s, through, ok := r.Basis(); ok {
+	if s, through, ok := r.SnapshotBasis(); ok {
 		b, _ := NewSnapshot(s, through).Encode()
 		return Body{Snapshot: b}
 	}
@@ -88,7 +88,7 @@
 // check holds every reader against the plain rule: a complete one has what the
 // records below its next offset make; another one has what it had. No version
 // ever goes down.
-func (w *world) check(t *rapid.T) {
+func (w *replaySim) check(t *rapid.T) {
 	for i, r := range w.readers {
 		v := r.State().Version
 		if v < w.seen[i] {
@@ -114,7 +114,7 @@
 }
 
 func readersAgree(t *rapid.T) {
-	w := newWorld(3)
+	w := newReplaySim(3)
 	reader := rapid.IntRange(0, len(w.readers)-1)
 	actions := map[string]func(*rapid.T){
 		"": w.check,
@@ -145,48 +145,48 @@
 			w.first = ledger.Offset(rapid.IntRange(int(w.first), len(w.records)).Draw(t, "first"))
 		},
 		"take snapshot": func(t *rapid.T) {
-			if s, through, ok := w.readers[reader.Draw(t, "author")].Basis(); ok {
+			if s, through, ok := w.readers[reader.Draw(t, "author")].SnapshotBasis(); ok {
 				b, _ := NewSnapshot(s, through).Encode()
-				w.late = append(w.late, b)
+				w.unappendedSnapshots = append(w.unappendedSnapshots, b)
 			}
 		},
 		"append snapshot": func(t *rapid.T) {
-			if len(w.late) > 0 {
-				w.append(t, rapid.SampledFrom(w.late).Draw(t, "snapshot"))
+			if len(w.unappendedSnapshots) > 0 {
+				w.append(t, rapid.SampledFrom(w.unappendedSnapshots).Draw(t, "snapshot"))
 			}
 		},
 		"ask peer": func(t *rapid.T) {
 			i, j := reader.Draw(t, "asker"), reader.Draw(t, "peer")
-			l := letter{i, w.answer(j, w.readers[i].Ask())}
-			w.letters = append(w.letters, l)
+			l := peerReply{i, w.answer(j, w.readers[i].Ask())}
+			w.pendingReplies = append(w.pendingReplies, l)
 			if rapid.Bool().Draw(t, "at once") {
 				_, _ = w.readers[i].Take(l.body)
 			}
 		},
 		"deliver": func(t *rapid.T) {
-			if len(w.letters) > 0 {
-				l := rapid.SampledFrom(w.letters).Draw(t, "letter")
+			if len(w.pendingReplies) > 0 {
+				l := rapid.SampledFrom(w.pendingReplies).Draw(t, "letter")
 				_, _ = w.readers[l.to].Take(l.body)
 			}
 		},
 		"restart": func(t *rapid.T) {
 			i := reader.Draw(t, "reader")
-			w.readers[i], w.seen[i] = w.fresh(), ledger.None
+			w.readers[i], w.seen[i] = w.newReader(), ledger.None
 		},
 	}
 	t.Repeat(actions)
-	w.heal(t)
+	w.endFaults(t)
 }
 
-// heal ends the faults. One complete reader is enough for all of them to come
+// endFaults ends the faults. One complete reader is enough for all of them to come
 // to the newest version.
-func (w *world) heal(t *rapid.T) {
+func (w *replaySim) endFaults(t *rapid.T) {
 	for _, r := range w.readers {
 		r.Page(w.page(r.Next(), len(w.records)))
 	}
 	healed := false
 	for _, r := range w.readers {
-		if s, through, ok := r.Basis(); ok && !healed {
+		if s, through, ok := r.SnapshotBasis(); ok && !healed {
 			b, _ := NewSnapshot(s, through).Encode()
 			w.append(t, b)
 			healed = true
@@ -211,7 +211,7 @@
 	}
 	author := NewReplay()
 	author.Page(ledger.Page{Next: 1, Records: []ledger.Record{{Offset: 0, Data: edit(ledger.None, "a")}}})
-	s, through, _ := author.Basis()
+	s, through, _ := author.SnapshotBasis()
 	snap, err := NewSnapshot(s, through).Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -221,9 +221,9 @@
 	if fresh.Complete() {
 		t.Fatal("the reader believes to be complete without the edit at offset 1")
 	}
-	knowing := NewReplay()
-	knowing.Page(ledger.Page{First: 1, Next: 3, Records: []ledger.Record{{Offset: 1, Data: edit(0, "b")}, {Offset: 2, Data: snap}}})
-	if !knowing.Complete() || knowing.State().Version != 1 {
-		t.Fatalf("a reader that has the edit is at version %d", knowing.State().Version)
+	informed := NewReplay()
+	informed.Page(ledger.Page{First: 1, Next: 3, Records: []ledger.Record{{Offset: 1, Data: edit(0, "b")}, {Offset: 2, Data: snap}}})
+	if !informed.Complete() || informed.State().Version != 1 {
+		t.Fatalf("a reader that has the edit is at version %d", informed.State().Version)
 	}
 }
--- a/tables/snapshot.go
+++ b/tables/snapshot.go
@@ -37,7 +37,7 @@
 // NewSnapshot makes the snapshot of a state that all records through the offset
 // make.
 func NewSnapshot(s *State, through ledger.Offset) Snapshot {
-	snap := Snapshot{Version: s.Version, Through: through, At: s.logged, Tables: s.Rows()}
+	snap := Snapshot{Version: s.Version, Through: through, At: s.loggedAt, Tables: s.Rows()}
 	for _, m := range s.moves.all {
 		snap.Moves = append(snap.Moves, m)
 	}
@@ -57,7 +57,7 @@
 	if len(n.Moves) > maxMoves {
 		return nil, errors.Wrapf(ErrSnapshot, "%d moves", len(n.Moves))
 	}
-	s.logged = n.At
+	s.loggedAt = n.At
 	w := newWriter(s.moves)
 	for _, m := range n.Moves {
 		w.set(m.Address, m)
@@ -68,10 +68,10 @@
 }
 
 const (
-	// maxRecord bounds a record as it stands on the log.
-	maxRecord = 8 << 20
-	// maxSnapshot bounds an unpacked snapshot: some 13,000 servers take 2 MB.
-	maxSnapshot = 64 << 20
+	// maxRecordBytes bounds a record as it stands on the log.
+	maxRecordBytes = 8 << 20
+	// maxSnapshotBytes bounds an unpacked snapshot: some 13,000 servers take 2 MB.
+	maxSnapshotBytes = 64 << 20
 )
 
 // gzipMagic begins a packed snapshot; an edit is JSON and begins with a brace.
@@ -98,11 +98,11 @@
 	if err != nil {
 		return n, errors.Wrap(ErrRecord, err.Error())
 	}
-	text, err := io.ReadAll(io.LimitReader(r, maxSnapshot+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
 	switch {
 	case err != nil:
 		return n, errors.Wrap(ErrRecord, err.Error())
-	case len(text) > maxSnapshot:
+	case len(text) > maxSnapshotBytes:
 		return n, errors.Wrap(ErrRecord, "the snapshot is too large")
 	}
 	if err := json.Unmarshal(text, &n); err != nil {
@@ -116,7 +116,7 @@
 // DecodeEdit reads the edit of a record.
 func DecodeEdit(rec ledger.Record) (Edit, error) {
 	var e Edit
-	if len(rec.Data) > maxRecord {
+	if len(rec.Data) > maxRecordBytes {
 		return e, errors.Wrap(ErrRecord, "the edit is too large")
 	}
 	if err := json.Unmarshal(rec.Data, &e); err != nil {
@@ -125,35 +125,35 @@
 	if e.ID == "" {
 		return e, errors.Wrap(ErrRecord, "the edit has no id")
 	}
-	e.logged = rec.At
+	e.loggedAt = rec.At
 	return e, nil
 }
 
-// Schedule decides when this process puts a snapshot on the log. Every
+// SnapshotSchedule decides when this process puts a snapshot on the log. Every
 // dispatcher has one; the jitter lets one of them be first, and the others see
 // its record and wait for another interval. Two at once do no harm, because a
 // snapshot changes nothing.
-type Schedule struct {
-	every time.Duration
-	rnd   *rand.Rand
-	due   time.Time
+type SnapshotSchedule struct {
+	interval time.Duration
+	rnd      *rand.Rand
+	dueAt    time.Time
 }
 
-// NewSchedule makes a schedule with the given shortest interval between
+// NewSnapshotSchedule makes a schedule with the given shortest interval between
 // snapshots of anybody, which must be well below the log's retention.
-func NewSchedule(now time.Time, every time.Duration, rnd *rand.Rand) *Schedule {
-	s := &Schedule{every: every, rnd: rnd}
-	s.Seen(now)
+func NewSnapshotSchedule(now time.Time, interval time.Duration, rnd *rand.Rand) *SnapshotSchedule {
+	s := &SnapshotSchedule{interval: interval, rnd: rnd}
+	s.Restart(now)
 	return s
 }
 
-// Seen tells that a snapshot was read from the log, or that one was tried.
-func (s *Schedule) Seen(now time.Time) {
-	jitter := time.Duration(s.rnd.Int64N(int64(max(s.every/2, 1))))
-	s.due = now.Add(s.every + jitter)
+// Restart tells that a snapshot was read from the log, or that one was tried.
+func (s *SnapshotSchedule) Restart(now time.Time) {
+	jitter := time.Duration(s.rnd.Int64N(int64(max(s.interval/2, 1))))
+	s.dueAt = now.Add(s.interval + jitter)
 }
 
 // Due tells whether to append a snapshot now.
-func (s *Schedule) Due(now time.Time) bool {
-	return !now.Before(s.due)
+func (s *SnapshotSchedule) Due(now time.Time) bool {
+	return !now.Before(s.dueAt)
 }
--- a/tables/state.go
+++ b/tables/state.go
@@ -18,20 +18,20 @@
 type State struct {
 	Version Version
 
-	// logged is the log's time of the edit that made the state.
-	logged time.Time
-	routes *index[string, Route]
-	teams  *index[string, Team]
-	groups *index[string, *group]
-	// homes gives the pools that a backend server is in.
-	homes *index[netip.AddrPort, []string]
-	moves *index[netip.AddrPort, Move]
+	// loggedAt is the log's time of the edit that made the state.
+	loggedAt    time.Time
+	routes      *index[string, Route]
+	teams       *index[string, Team]
+	poolEntries *index[string, *poolEntry]
+	// serverPools gives the pools that a backend server is in.
+	serverPools *index[netip.AddrPort, []string]
+	moves       *index[netip.AddrPort, Move]
 	// lastMove is the version of the newest move.
 	lastMove Version
 }
 
-// group is a pool with what refers to it.
-type group struct {
+// poolEntry is a pool with what refers to it.
+type poolEntry struct {
 	pool Pool
 	// servers are sorted by address.
 	servers []Server
@@ -42,43 +42,43 @@
 // Empty is the state before the first edit.
 func Empty() *State {
 	return &State{
-		Version:  ledger.None,
-		routes:   new(index[string, Route]),
-		teams:    new(index[string, Team]),
-		groups:   new(index[string, *group]),
-		homes:    new(index[netip.AddrPort, []string]),
-		moves:    new(index[netip.AddrPort, Move]),
-		lastMove: ledger.None,
+		Version:     ledger.None,
+		routes:      new(index[string, Route]),
+		teams:       new(index[string, Team]),
+		poolEntries: new(index[string, *poolEntry]),
+		serverPools: new(index[netip.AddrPort, []string]),
+		moves:       new(index[netip.AddrPort, Move]),
+		lastMove:    ledger.None,
 	}
 }
 
 // Build checks the rows and makes the state of them.
 func Build(v Version, rows Rows) (*State, error) {
-	if err := checkDoubles(rows); err != nil {
+	if err := checkDuplicates(rows); err != nil {
 		return nil, err
 	}
 	return Empty().Apply(v, Edit{Base: ledger.None, Put: rows})
 }
 
-// checkDoubles refuses rows of the same key, of which an edit would silently
+// checkDuplicates refuses rows of the same key, of which an edit would silently
 // take the last.
-func checkDoubles(rows Rows) error {
-	if k, ok := double(rows.Pools, func(p Pool) string { return p.Name }); ok {
+func checkDuplicates(rows Rows) error {
+	if k, ok := findDuplicate(rows.Pools, func(p Pool) string { return p.Name }); ok {
 		return errors.Errorf("pools: pool %q stands twice", k)
 	}
-	if k, ok := double(rows.Servers, Server.Key); ok {
+	if k, ok := findDuplicate(rows.Servers, Server.Key); ok {
 		return errors.Errorf("servers: %s stands twice in pool %q", k.Address, k.Pool)
 	}
-	if k, ok := double(rows.Routes, func(r Route) string { return r.Kind }); ok {
+	if k, ok := findDuplicate(rows.Routes, func(r Route) string { return r.Kind }); ok {
 		return errors.Errorf("routes: kind %q stands twice", k)
 	}
-	if k, ok := double(rows.Teams, func(t Team) string { return t.Name }); ok {
+	if k, ok := findDuplicate(rows.Teams, func(t Team) string { return t.Name }); ok {
 		return errors.Errorf("teams: team %q stands twice", k)
 	}
 	return nil
 }
 
-func double[K comparable, R any](rows []R, key func(R) K) (K, bool) {
+func findDuplicate[K comparable, R any](rows []R, key func(R) K) (K, bool) {
 	seen := make(map[K]struct{}, len(rows))
 	for _, r := range rows {
 		k := key(r)
@@ -96,7 +96,7 @@
 
 // Pool finds a pool's row.
 func (s *State) Pool(name string) (Pool, bool) {
-	g, ok := s.groups.get(name)
+	g, ok := s.poolEntries.get(name)
 	if !ok {
 		return Pool{}, false
 	}
@@ -106,7 +106,7 @@
 // Servers returns the members of a pool, sorted by address; do not change the
 // result.
 func (s *State) Servers(pool string) []Server {
-	g, ok := s.groups.get(pool)
+	g, ok := s.poolEntries.get(pool)
 	if !ok {
 		return nil
 	}
@@ -118,7 +118,7 @@
 
 // Half returns the half that a backend server belongs to, or "".
 func (s *State) Half(server netip.AddrPort) string {
-	pools, ok := s.homes.get(server)
+	pools, ok := s.serverPools.get(server)
 	if !ok {
 		return ""
 	}
@@ -129,7 +129,7 @@
 // Halves lists the halves that the pools name, sorted.
 func (s *State) Halves() []string {
 	var out []string
-	for _, g := range s.groups.all {
+	for _, g := range s.poolEntries.all {
 		out = append(out, g.pool.Half)
 	}
 	slices.Sort(out)
@@ -146,7 +146,7 @@
 	for _, t := range s.teams.all {
 		out.Teams = append(out.Teams, t)
 	}
-	for _, g := range s.groups.all {
+	for _, g := range s.poolEntries.all {
 		out.Pools = append(out.Pools, g.pool)
 		out.Servers = append(out.Servers, g.servers...)
 	}
