--- a/roster/bench_test.go
+++ b/roster/bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkRosterSteady(b *testing.B) {
 	for _, n := range []int{16, 64, 256, 1024, 2048} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
-			s := joined(b, n)
+			s := newJoinedSim(b, n)
 			heap := heapBytes()
 			s.bytes, s.calls = 0, 0
 			seconds := 0
@@ -40,7 +40,7 @@
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
 			seconds := 0
 			for b.Loop() {
-				s := joined(b, n)
+				s := newJoinedSim(b, n)
 				for i := range n / 4 {
 					delete(s.nodes, simAddress(n-1-i))
 				}
@@ -55,7 +55,7 @@
 	}
 }
 
-func joined(b *testing.B, n int) *sim {
+func newJoinedSim(b *testing.B, n int) *sim {
 	s := newSim(n, 1)
 	s.encode = true
 	for i := range n {
--- a/roster/book.go
+++ b/roster/book.go
@@ -26,105 +26,105 @@
 	News int
 }
 
-// Book is what one process knows of the others. It is pure: it gets the time
+// MemberTable is what one process knows of the others. It is pure: it gets the time
 // and its random numbers, and neither sends nor waits.
-type Book struct {
+type MemberTable struct {
 	cfg  Config
 	rnd  *rand.Rand
 	self Member
 
-	m  map[ticket.Owner]*entry
-	at map[netip.AddrPort][]*entry
-	// order is the members that are not gone, for random choice, gone the
+	byOwner   map[ticket.Owner]*entry
+	byAddress map[netip.AddrPort][]*entry
+	// active is the members that are not gone, for random choice, gone the
 	// others, oldest first.
-	order []*entry
-	gone  []*entry
-	// queue is the members with news to spread, doubted those that failed to
+	active []*entry
+	gone   []*entry
+	// newsQueue is the members with news to spread, doubted those that failed to
 	// answer, contested the addresses at which two incarnations are known.
-	queue     []*entry
-	doubted   []*entry
-	contested []netip.AddrPort
+	newsQueue  []*entry
+	unanswered []*entry
+	contested  []netip.AddrPort
 
-	vms   map[vm]time.Time
-	beats uint64
-	joins int
+	missingSince   map[vm]time.Time
+	heartbeatCount uint64
+	joinAnswers    int
 	// joining tells that heartbeats still ask for many members.
 	joining bool
 	// behind tells that a peer knows more members, catchUp from when on it may
 	// be asked again.
-	behind  bool
-	catchUp time.Time
-	changes []Change
-	// full and disowned tell that the state was reported.
-	full, disowned bool
+	behind      bool
+	nextCatchUp time.Time
+	changes     []Change
+	// fullReported and disownedReported tell that the state was reported.
+	fullReported, disownedReported bool
 }
 
 type entry struct {
 	Known
-	// since is when the member was first known here.
-	since time.Time
-	// doubt is the first failure to answer since it was heard.
-	doubt time.Time
-	// answered is when the latest call was sent that it answered, told what it
+	// knownSince is when the member was first known here.
+	knownSince time.Time
+	// unansweredSince is the first failure to answer since it was heard.
+	unansweredSince time.Time
+	// lastAnswered is when the latest call was sent that it lastAnswered, told what it
 	// last said of itself.
-	answered time.Time
-	told     Member
-	// left is how many more heartbeats carry news of it.
-	left   int
-	queued bool
-	pos    int
+	lastAnswered time.Time
+	advertised   Member
+	// newsLeft is how many more heartbeats carry news of it.
+	newsLeft    int
+	inNewsQueue bool
+	activeIndex int
 }
 
-// NewBook makes a book that knows only this process.
-func NewBook(self Member, cfg Config, rnd *rand.Rand) *Book {
-	return &Book{
-		cfg:     cfg,
-		rnd:     rnd,
-		self:    self,
-		joining: true,
-		m:       make(map[ticket.Owner]*entry),
-		at:      make(map[netip.AddrPort][]*entry),
-		vms:     make(map[vm]time.Time),
+// NewMemberTable makes a book that knows only this process.
+func NewMemberTable(self Member, cfg Config, rnd *rand.Rand) *MemberTable {
+	return &MemberTable{
+		cfg:          cfg,
+		rnd:          rnd,
+		self:         self,
+		joining:      true,
+		byOwner:      make(map[ticket.Owner]*entry),
+		byAddress:    make(map[netip.AddrPort][]*entry),
+		missingSince: make(map[vm]time.Time),
 	}
 }
 
-// Heard learns from a heartbeat that reached this process. It may have been on
+// Received learns from a heartbeat that reached this process. It may have been on
 // the way for long, so it shows only that its sender lived once.
-func (b *Book) Heard(now time.Time, beat Beat) {
-	b.learn(now, beat.From, Live, true)
-	for _, n := range beat.News {
-		b.learn(now, n.Member, n.State, false)
+func (b *MemberTable) Received(now time.Time, heartbeat Beat) {
+	b.merge(now, heartbeat.From, Live, true)
+	for _, n := range heartbeat.News {
+		b.merge(now, n.Member, n.State, false)
 	}
-	b.expire(now)
+	b.forgetExpired(now)
 }
 
 // Answered learns from the answer to a heartbeat that was sent to the address
 // at the given time.
-func (b *Book) Answered(sent, now time.Time, to netip.AddrPort, beat Beat) {
-	known := len(b.m)
-	b.Heard(now, beat)
-	b.joins++
-	few := len(b.m)-known < joinFew
-	if beat.Size > len(b.order)+1 && !now.Before(b.catchUp) {
-		b.behind, b.catchUp = true, now.Add(catchUpEvery)
+func (b *MemberTable) Answered(sent, now time.Time, to netip.AddrPort, answer Beat) {
+	known := len(b.byOwner)
+	b.Received(now, answer)
+	b.joinAnswers++
+	fewNew := len(b.byOwner)-known < joinMinNew
+	if answer.Size > len(b.active)+1 && !now.Before(b.nextCatchUp) {
+		b.behind, b.nextCatchUp = true, now.Add(catchUpInterval)
 	}
-	b.joining = b.joining && b.joins < joinMost && (b.joins < joinLeast || !few)
-	if e, ok := b.m[beat.From.Owner]; ok && e.State != Gone && beat.From.Address == to {
-		e.hear(sent, beat.From)
-		b.replaced(sent, now, e)
+	b.joining = b.joining && b.joinAnswers < maxJoinRequests && (b.joinAnswers < minJoinRequests || !fewNew)
+	if e, ok := b.byOwner[answer.From.Owner]; ok && e.State != Gone && answer.From.Address == to {
+		e.recordAnswer(sent, answer.From)
+		b.endPredecessors(sent, now, e)
 	}
 }
 
-// hear takes the member's answer to a call that was sent at the given time. Answers can
+// recordAnswer takes the member's answer to a call that was sent at the given time. Answers can
 // pass each other on the way; the member's own count tells which it gave last.
-func (e *entry) hear(sent time.Time, m Member) {
-	e.answered = later(e.answered, sent)
-	if m.Count > e.told.Count {
-		e.told = m
+func (e *entry) recordAnswer(sent time.Time, m Member) {
+	e.lastAnswered = later(e.lastAnswered, sent)
+	if m.Count > e.advertised.Count {
+		e.advertised = m
 	}
 }
 
-// replaced notes that whoever else was known at the address before the call was
+// endPredecessors notes that whoever else was known at the address before the call was
 // sent is gone for good.
 //
 // An address is bound by one process at a time. Two incarnations that were both
@@ -133,21 +133,21 @@
 // Numbers of incarnations don't decide this: after a restart with a clock that
 // went back the new process has the lower number, its peers would take it for
 // the dead one, and its jobs would be answered as failed while they run.
-func (b *Book) replaced(sent, now time.Time, e *entry) {
-	for _, o := range slices.Clone(b.at[e.Address]) {
-		if o != e && o.State != Gone && !o.since.After(sent) && !e.since.After(sent) {
-			b.end(now, o)
+func (b *MemberTable) endPredecessors(sent, now time.Time, e *entry) {
+	for _, o := range slices.Clone(b.byAddress[e.Address]) {
+		if o != e && o.State != Gone && !o.knownSince.After(sent) && !e.knownSince.After(sent) {
+			b.markGone(now, o)
 		}
 	}
-	if len(b.at[e.Address]) == 1 || b.lone(e.Address) {
+	if len(b.byAddress[e.Address]) == 1 || b.atMostOneActive(e.Address) {
 		b.contested = slices.DeleteFunc(b.contested, func(a netip.AddrPort) bool { return a == e.Address })
 	}
 }
 
-// lone tells whether at most one member at the address is not gone.
-func (b *Book) lone(a netip.AddrPort) bool {
+// atMostOneActive tells whether at most one member at the address is not gone.
+func (b *MemberTable) atMostOneActive(a netip.AddrPort) bool {
 	n := 0
-	for _, e := range b.at[a] {
+	for _, e := range b.byAddress[a] {
 		if e.State != Gone {
 			n++
 		}
@@ -156,35 +156,35 @@
 }
 
 // Failed notes that a heartbeat to the address was not answered.
-func (b *Book) Failed(now time.Time, to netip.AddrPort) {
-	for _, e := range b.at[to] {
-		if e.State == Live && e.doubt.IsZero() {
-			e.doubt = now
-			b.doubted = append(b.doubted, e)
+func (b *MemberTable) Failed(now time.Time, to netip.AddrPort) {
+	for _, e := range b.byAddress[to] {
+		if e.State == Live && e.unansweredSince.IsZero() {
+			e.unansweredSince = now
+			b.unanswered = append(b.unanswered, e)
 		}
 	}
 }
 
 // Tick turns doubt into suspicion and forgets gone members whose time is over.
-func (b *Book) Tick(now time.Time) {
-	b.doubted = slices.DeleteFunc(b.doubted, func(e *entry) bool {
-		if e.doubt.IsZero() || e.State != Live {
+func (b *MemberTable) Tick(now time.Time) {
+	b.unanswered = slices.DeleteFunc(b.unanswered, func(e *entry) bool {
+		if e.unansweredSince.IsZero() || e.State != Live {
 			return true
 		}
-		if now.Sub(e.doubt) < b.cfg.SuspectAfter {
+		if now.Sub(e.unansweredSince) < b.cfg.SuspectAfter {
 			return false
 		}
-		b.suspect(e)
+		b.markSuspect(e)
 		return true
 	})
-	b.expire(now)
+	b.forgetExpired(now)
 }
 
-// learn takes what is told of a member, by itself or by others.
-func (b *Book) learn(now time.Time, m Member, s State, direct bool) {
+// merge takes what is told of a member, by itself or by others.
+func (b *MemberTable) merge(now time.Time, m Member, s State, direct bool) {
 	if m.Owner == b.self.Owner {
-		if s == Gone && !b.disowned {
-			b.disowned = true
+		if s == Gone && !b.disownedReported {
+			b.disownedReported = true
 			b.changes = append(b.changes, Change{Known: Known{Member: m, State: Gone}, Self: true})
 		}
 		return
@@ -192,7 +192,7 @@
 	if !direct {
 		m.Confirmed, m.Age = false, 0
 	}
-	e, ok := b.m[m.Owner]
+	e, ok := b.byOwner[m.Owner]
 	switch {
 	case !ok && s == Suspect:
 		return
@@ -200,96 +200,96 @@
 		b.add(now, m, s)
 	case e.State == Gone:
 	case s == Gone:
-		b.end(now, e)
+		b.markGone(now, e)
 	case s == Suspect && m.Count >= e.Count && e.State == Live:
 		e.Member.Count = m.Count
-		b.suspect(e)
+		b.markSuspect(e)
 	case s == Live && m.Count > e.Count:
 		b.update(now, e, m)
 	}
 }
 
-func (b *Book) add(now time.Time, m Member, s State) {
-	if len(b.m) >= b.cfg.Members && !b.makeRoom() {
-		if !b.full {
+func (b *MemberTable) add(now time.Time, m Member, s State) {
+	if len(b.byOwner) >= b.cfg.Members && !b.evictOne() {
+		if !b.fullReported {
 			b.changes = append(b.changes, Change{Known: Known{Member: m, State: s}, Full: true})
 		}
-		b.full = true
+		b.fullReported = true
 		return
 	}
-	b.full = false
-	e := &entry{Known: Known{Member: m, State: Live, Heard: now}, since: now, pos: len(b.order)}
-	b.m[m.Owner] = e
-	b.at[m.Address] = append(b.at[m.Address], e)
-	b.order = append(b.order, e)
+	b.fullReported = false
+	e := &entry{Known: Known{Member: m, State: Live, Heard: now}, knownSince: now, activeIndex: len(b.active)}
+	b.byOwner[m.Owner] = e
+	b.byAddress[m.Address] = append(b.byAddress[m.Address], e)
+	b.active = append(b.active, e)
 	// This process has the address itself, so whoever else is known there has
 	// ended. No call to the own address would ever tell.
 	if s == Gone || m.Address == b.self.Address {
-		b.end(now, e)
+		b.markGone(now, e)
 		return
 	}
-	if !b.lone(m.Address) && !slices.Contains(b.contested, m.Address) {
+	if !b.atMostOneActive(m.Address) && !slices.Contains(b.contested, m.Address) {
 		b.contested = append(b.contested, m.Address)
 	}
 	b.announce(e)
 }
 
-func (b *Book) update(now time.Time, e *entry, m Member) {
+func (b *MemberTable) update(now time.Time, e *entry, m Member) {
 	news := e.State != Live || e.Leaving != m.Leaving
 	if m.Address != e.Address {
 		m.Address = e.Address
 	}
-	e.Member, e.State, e.Heard, e.doubt = m, Live, now, time.Time{}
+	e.Member, e.State, e.Heard, e.unansweredSince = m, Live, now, time.Time{}
 	if news {
 		b.announce(e)
 	}
 }
 
-func (b *Book) suspect(e *entry) {
+func (b *MemberTable) markSuspect(e *entry) {
 	e.State = Suspect
-	e.doubt = time.Time{}
+	e.unansweredSince = time.Time{}
 	b.announce(e)
 }
 
-// end makes an incarnation gone for good.
-func (b *Book) end(now time.Time, e *entry) {
+// markGone makes an incarnation gone for good.
+func (b *MemberTable) markGone(now time.Time, e *entry) {
 	e.State, e.Heard = Gone, now
-	last := b.order[len(b.order)-1]
-	b.order[e.pos], last.pos = last, e.pos
-	b.order = b.order[:len(b.order)-1]
+	last := b.active[len(b.active)-1]
+	b.active[e.activeIndex], last.activeIndex = last, e.activeIndex
+	b.active = b.active[:len(b.active)-1]
 	b.gone = append(b.gone, e)
 	b.announce(e)
 }
 
 // announce lets the next heartbeats carry news of a member. Each process passes
 // it on a few times more than there are doublings from one to all.
-func (b *Book) announce(e *entry) {
+func (b *MemberTable) announce(e *entry) {
 	b.changes = append(b.changes, Change{Known: e.view()})
-	e.left = 3 + bits.Len(uint(len(b.order)))
-	if !e.queued {
-		e.queued = true
-		b.queue = append(b.queue, e)
+	e.newsLeft = 3 + bits.Len(uint(len(b.active)))
+	if !e.inNewsQueue {
+		e.inNewsQueue = true
+		b.newsQueue = append(b.newsQueue, e)
 	}
 }
 
-// expire forgets gone members after their time. Whoever asks for one of them
+// forgetExpired forgets gone members after their time. Whoever asks for one of them
 // later is told that it is unknown, which is true and lets the caller come back
 // with the same id, where "gone" would be final.
-func (b *Book) expire(now time.Time) {
+func (b *MemberTable) forgetExpired(now time.Time) {
 	for len(b.gone) > 0 && now.Sub(b.gone[0].Heard) >= b.cfg.KeepGone {
 		b.forget(b.gone[0])
 	}
 }
 
-// makeRoom forgets the oldest gone member, or the suspect one that was silent
+// evictOne forgets the oldest gone member, or the suspect one that was silent
 // for longest.
-func (b *Book) makeRoom() bool {
+func (b *MemberTable) evictOne() bool {
 	if len(b.gone) > 0 {
 		b.forget(b.gone[0])
 		return true
 	}
 	var oldest *entry
-	for _, e := range b.order {
+	for _, e := range b.active {
 		if e.State == Suspect && (oldest == nil || e.Heard.Before(oldest.Heard)) {
 			oldest = e
 		}
@@ -301,22 +301,22 @@
 	return true
 }
 
-func (b *Book) forget(e *entry) {
-	delete(b.m, e.Owner)
-	e.left = 0
+func (b *MemberTable) forget(e *entry) {
+	delete(b.byOwner, e.Owner)
+	e.newsLeft = 0
 	same := func(o *entry) bool { return o == e }
-	if rest := slices.DeleteFunc(b.at[e.Address], same); len(rest) > 0 {
-		b.at[e.Address] = rest
+	if others := slices.DeleteFunc(b.byAddress[e.Address], same); len(others) > 0 {
+		b.byAddress[e.Address] = others
 	} else {
-		delete(b.at, e.Address)
+		delete(b.byAddress, e.Address)
 	}
 	if e.State == Gone {
 		b.gone = slices.DeleteFunc(b.gone, same)
 		return
 	}
-	last := b.order[len(b.order)-1]
-	b.order[e.pos], last.pos = last, e.pos
-	b.order = b.order[:len(b.order)-1]
+	last := b.active[len(b.active)-1]
+	b.active[e.activeIndex], last.activeIndex = last, e.activeIndex
+	b.active = b.active[:len(b.active)-1]
 }
 
 func (e *entry) view() Known {
@@ -328,15 +328,15 @@
 }
 
 // Changes returns what happened since it was last called.
-func (b *Book) Changes() []Change {
+func (b *MemberTable) Changes() []Change {
 	c := b.changes
 	b.changes = nil
 	return c
 }
 
 // Find returns what is known of an incarnation.
-func (b *Book) Find(o ticket.Owner) (Known, bool) {
-	e, ok := b.m[o]
+func (b *MemberTable) Find(o ticket.Owner) (Known, bool) {
+	e, ok := b.byOwner[o]
 	if !ok {
 		return Known{}, false
 	}
@@ -344,9 +344,9 @@
 }
 
 // All returns the other members, sorted by address.
-func (b *Book) All() []Known {
-	out := make([]Known, 0, len(b.m))
-	for _, e := range b.m {
+func (b *MemberTable) All() []Known {
+	out := make([]Known, 0, len(b.byOwner))
+	for _, e := range b.byOwner {
 		out = append(out, e.view())
 	}
 	slices.SortFunc(out, func(a, b Known) int { return a.Address.Compare(b.Address) })
@@ -354,4 +354,4 @@
 }
 
 // Len returns how many other members are remembered.
-func (b *Book) Len() int { return len(b.m) }
+func (b *MemberTable) Len() int { return len(b.byOwner) }
--- a/roster/book_test.go
+++ b/roster/book_test.go
@@ -18,10 +18,10 @@
 	*sim
 	count uint64
 	links map[[2]*node]bool
-	// late are answers that are still on their way; lists the VM lists of the
+	// lateAnswers are answers that are still on their way; lists the VM lists of the
 	// past.
-	late  []func(time.Time)
-	lists [][]ledger.VM
+	lateAnswers []func(time.Time)
+	pastVMLists [][]ledger.VM
 }
 
 const (
@@ -35,21 +35,21 @@
 	f.cfg.GoneAfter = 20 * time.Second
 	f.cut = func(a, b *node) bool { return f.links[[2]*node{a, b}] }
 	for i := range faultNodes {
-		f.boot(i, 500)
+		f.startProcess(i, 500)
 	}
 	return f
 }
 
-// boot starts a process; its clock gives an incarnation around the number.
-func (f *faults) boot(i int, around uint64) {
+// startProcess starts a process; its clock gives an incarnation around the number.
+func (f *faults) startProcess(i int, around uint64) {
 	f.count++
 	f.start(i, around*1000+f.count)
 }
 
-func (f *faults) pass(t *rapid.T, seconds int) {
+func (f *faults) runSeconds(t *rapid.T, seconds int) {
 	for range seconds {
 		f.second()
-		f.lists = append(f.lists, f.list())
+		f.pastVMLists = append(f.pastVMLists, f.vmList())
 		f.check(t)
 	}
 }
@@ -57,10 +57,10 @@
 // check holds that no incarnation that runs is held to be gone by anybody.
 func (f *faults) check(t *rapid.T) {
 	for _, n := range f.nodes {
-		for _, k := range n.book.All() {
+		for _, k := range n.table.All() {
 			o := f.nodes[k.Address]
-			if k.State == Gone && o != nil && o.book.self.Owner == k.Owner {
-				t.Fatalf("%v holds %v to be gone, and it runs", n.book.self.Owner, k.Owner)
+			if k.State == Gone && o != nil && o.table.self.Owner == k.Owner {
+				t.Fatalf("%v holds %v to be gone, and it runs", n.table.self.Owner, k.Owner)
 			}
 		}
 	}
@@ -78,11 +78,11 @@
 		at := func(t *rapid.T) *node { return f.nodes[simAddress(any.Draw(t, "node"))] }
 		t.Repeat(map[string]func(*rapid.T){
 			"":       f.check,
-			"second": func(t *rapid.T) { f.pass(t, 1) },
-			"while":  func(t *rapid.T) { f.pass(t, 20) },
+			"second": func(t *rapid.T) { f.runSeconds(t, 1) },
+			"while":  func(t *rapid.T) { f.runSeconds(t, 20) },
 			"end":    func(t *rapid.T) { delete(f.nodes, simAddress(any.Draw(t, "node"))) },
 			"restart": func(t *rapid.T) {
-				f.boot(any.Draw(t, "node"), rapid.Uint64Range(1, 999).Draw(t, "clock"))
+				f.startProcess(any.Draw(t, "node"), rapid.Uint64Range(1, 999).Draw(t, "clock"))
 			},
 			"freeze or thaw": func(t *rapid.T) {
 				if n := at(t); n != nil {
@@ -98,38 +98,38 @@
 				if n == nil || n.frozen {
 					return
 				}
-				if done := f.call(n, simAddress(to), n.book.Beat(Member{})); done != nil {
-					f.late = append(f.late, done)
+				if done := f.call(n, simAddress(to), n.table.Beat(Member{})); done != nil {
+					f.lateAnswers = append(f.lateAnswers, done)
 				}
 			},
 			"late answer": func(t *rapid.T) {
-				if len(f.late) > 0 {
-					rapid.SampledFrom(f.late).Draw(t, "answer")(f.now)
+				if len(f.lateAnswers) > 0 {
+					rapid.SampledFrom(f.lateAnswers).Draw(t, "answer")(f.now)
 				}
 			},
 			"VM list": func(t *rapid.T) {
 				lag := rapid.IntRange(1, listLag).Draw(t, "lag")
-				if n := at(t); n != nil && len(f.lists) >= lag {
-					n.book.List(f.now, f.lists[len(f.lists)-lag])
+				if n := at(t); n != nil && len(f.pastVMLists) >= lag {
+					n.table.List(f.now, f.pastVMLists[len(f.pastVMLists)-lag])
 				}
 			},
 		})
-		f.heal(t)
+		f.endFaults(t)
 	})
 }
 
-// heal ends the faults; soon all agree on who runs.
-func (f *faults) heal(t *rapid.T) {
+// endFaults ends the faults; soon all agree on who runs.
+func (f *faults) endFaults(t *rapid.T) {
 	clear(f.links)
 	for i := range faultNodes {
 		if n := f.nodes[simAddress(i)]; n == nil {
-			f.boot(i, 1)
+			f.startProcess(i, 1)
 		} else {
 			n.frozen = false
 		}
 	}
 	for range 60 {
-		f.pass(t, 1)
+		f.runSeconds(t, 1)
 		if f.agree() {
 			return
 		}
@@ -148,11 +148,11 @@
 	for range 10 {
 		s.second()
 	}
-	whole := s.list()
-	victim := s.nodes[simAddress(7)].book.self.Owner
+	whole := s.vmList()
+	victim := s.nodes[simAddress(7)].table.self.Owner
 	delete(s.nodes, simAddress(6))
 	delete(s.nodes, simAddress(7))
-	b := s.nodes[simAddress(0)].book
+	b := s.nodes[simAddress(0)].table
 	b.List(s.now, whole)
 	state := func() State {
 		k, _ := b.Find(victim)
@@ -169,15 +169,15 @@
 	if state() != Suspect {
 		t.Fatalf("%s without a word of the list, want suspect", state())
 	}
-	run(59, s.list())
+	run(59, s.vmList())
 	if state() != Suspect {
 		t.Fatalf("%s within the lag of the list, want suspect", state())
 	}
-	run(3, s.list())
+	run(3, s.vmList())
 	if state() != Gone {
 		t.Fatalf("%s after the lag of the list, want gone", state())
 	}
-	run(600, s.list())
+	run(600, s.vmList())
 	if _, ok := b.Find(victim); ok {
 		t.Fatal("gone members are kept for ever")
 	}
@@ -192,8 +192,8 @@
 		s.start(i, 1)
 	}
 	s.second()
-	whole := s.list()
-	b := s.nodes[simAddress(0)].book
+	whole := s.vmList()
+	b := s.nodes[simAddress(0)].table
 	run := func(seconds int, list []ledger.VM) {
 		for range seconds {
 			s.second()
@@ -203,9 +203,9 @@
 	run(10, whole)
 	delete(s.nodes, simAddress(6))
 	delete(s.nodes, simAddress(7))
-	without := s.list()
+	without := s.vmList()
 	run(30, without)
-	again := s.start(7, 2).book.self.Owner
+	again := s.start(7, 2).table.self.Owner
 	run(15, without)
 	s.cut = func(from, to *node) bool { return to == s.nodes[simAddress(7)] || from == s.nodes[simAddress(7)] }
 	run(40, without)
@@ -217,24 +217,24 @@
 // Far more members are heard of than the settings allow, as after a mistake in
 // the seeds of two systems. The book stays bounded and forgets the dead first;
 // whoever was forgotten is unknown, not gone.
-func TestBookIsBounded(t *testing.T) {
+func TestMemberTableIsBounded(t *testing.T) {
 	cfg := simConfig
 	cfg.Members = 10
 	s := newSim(3, 1)
 	s.cfg = cfg
-	b := s.start(0, 1).book
+	b := s.start(0, 1).table
 	member := func(i int) Member {
 		return Member{Owner: ticket.Owner{DataCenter: "d", VM: "v", Process: "p", Incarnation: uint64(i)}, Address: simAddress(i), Count: 1}
 	}
 	for i := 1; i <= 20; i++ {
-		b.Heard(s.now, Beat{From: member(i)})
+		b.Received(s.now, Beat{From: member(i)})
 	}
-	if b.Len() != 10 || !b.full {
+	if b.Len() != 10 || !b.fullReported {
 		t.Fatalf("%d members, want 10", b.Len())
 	}
 	b.Failed(s.now, simAddress(3))
 	b.Tick(s.now.Add(time.Minute))
-	b.Heard(s.now.Add(time.Minute), Beat{From: member(30)})
+	b.Received(s.now.Add(time.Minute), Beat{From: member(30)})
 	if _, ok := b.Find(member(3).Owner); ok {
 		t.Error("a suspect member was kept rather than a live one")
 	}
@@ -250,24 +250,24 @@
 // newer, a backend server that has moved gets work of both halves.
 func TestLateAnswerDoesNotReplaceANewerOne(t *testing.T) {
 	s := newSim(2, 1)
-	b := s.start(0, 1).book
+	b := s.start(0, 1).table
 	near := Member{Owner: ticket.Owner{DataCenter: b.self.Owner.DataCenter, VM: "vm9", Process: "hub", Incarnation: 1}, Address: simAddress(9)}
-	said := func(count uint64, v tables.Version) Beat {
+	heartbeat := func(count uint64, v tables.Version) Beat {
 		m := near
 		m.Count, m.Tables = count, v
 		return Beat{From: m}
 	}
 	first, second := s.now, s.now.Add(time.Second)
-	b.Answered(second, second.Add(time.Millisecond), near.Address, said(2, 7))
-	b.Answered(first, second.Add(2*time.Millisecond), near.Address, said(1, 5))
+	b.Answered(second, second.Add(time.Millisecond), near.Address, heartbeat(2, 7))
+	b.Answered(first, second.Add(2*time.Millisecond), near.Address, heartbeat(1, 5))
 	n := b.Neighbours()
 	if len(n) != 1 || n[0].Told.Tables != 7 || !n[0].Answered.Equal(second) {
 		t.Errorf("%+v", n)
 	}
 	// Its answers can pass each other the other way round too: then the later one is of
 	// the earlier call, and the neighbour had still got the later call by then.
-	b.Answered(second.Add(time.Second), second.Add(time.Second), near.Address, said(3, 7))
-	b.Answered(second, second.Add(2*time.Second), near.Address, said(4, 8))
+	b.Answered(second.Add(time.Second), second.Add(time.Second), near.Address, heartbeat(3, 7))
+	b.Answered(second, second.Add(2*time.Second), near.Address, heartbeat(4, 8))
 	n = b.Neighbours()
 	if n[0].Told.Tables != 8 || !n[0].Answered.Equal(second.Add(time.Second)) {
 		t.Errorf("%+v", n)
@@ -280,7 +280,7 @@
 		s.start(i, 1)
 	}
 	s.second()
-	text, _ := json.Marshal(s.nodes[simAddress(0)].book.Beat(Member{Confirmed: true, Age: time.Second}))
+	text, _ := json.Marshal(s.nodes[simAddress(0)].table.Beat(Member{Confirmed: true, Age: time.Second}))
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var b Beat
@@ -289,10 +289,10 @@
 		}
 		s := newSim(1, 1)
 		n := s.start(0, 1)
-		n.book.Heard(s.now, b)
-		n.book.Answered(s.now, s.now, simAddress(1), b)
-		n.book.Tick(s.now.Add(time.Minute))
-		again, err := json.Marshal(n.book.Answer(Member{}, b))
+		n.table.Received(s.now, b)
+		n.table.Answered(s.now, s.now, simAddress(1), b)
+		n.table.Tick(s.now.Add(time.Minute))
+		again, err := json.Marshal(n.table.Answer(Member{}, b))
 		if err != nil || json.Unmarshal(again, &b) != nil {
 			t.Fatalf("%s became an answer that can't be read: %s", text, again)
 		}
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -8,94 +8,94 @@
 )
 
 const (
-	// joinNews is how many members the answer to a new process names.
-	joinNews = 1024
+	// joinAnswerMembers is how many members the answer to a new process names.
+	joinAnswerMembers = 1024
 	// A new process asks for such answers until one of them names fewer than
-	// joinFew members that it did not know: of hundreds that start at once, the
+	// joinMinNew members that it did not know: of hundreds that start at once, the
 	// first to be asked know little themselves. It asks at least joinLeast and
 	// at most joinMost times.
-	joinFew   = 4
-	joinLeast = 3
-	joinMost  = 32
-	// catchUpEvery is how often a process that knows fewer members than a peer
+	joinMinNew      = 4
+	minJoinRequests = 3
+	maxJoinRequests = 32
+	// catchUpInterval is how often a process that knows fewer members than a peer
 	// may ask for many at once. With few news in each heartbeat alone, the last
 	// members of a large burst are learned by chance.
-	catchUpEvery = 10 * time.Second
-	// exploreEvery is how many heartbeats pass until one goes to an address
+	catchUpInterval = 10 * time.Second
+	// exploreInterval is how many heartbeats pass until one goes to an address
 	// that no known member has, so that two groups that forgot each other
 	// during a long partition find together again.
-	exploreEvery = 16
-	// searchWidth is how many addresses a process tries at once while it knows
+	exploreInterval = 16
+	// searchTargets is how many addresses a process tries at once while it knows
 	// nobody.
-	searchWidth = 4
-	// pickTries bounds the search for a random member that fits.
-	pickTries = 16
+	searchTargets = 4
+	// maxPickTries bounds the search for a random member that fits.
+	maxPickTries = 16
 )
 
 // Beat returns the next heartbeat of this process; self is filled in by the
 // caller except for its count.
-func (b *Book) Beat(self Member) Beat {
+func (b *MemberTable) Beat(self Member) Beat {
 	join := b.joining || b.behind
 	b.behind = false
-	return Beat{From: b.speak(self), Join: join, Size: len(b.order), News: b.news(b.cfg.News)}
+	return Beat{From: b.nextSelf(self), Join: join, Size: len(b.active), News: b.news(b.cfg.News)}
 }
 
 // Answer returns the answer to a heartbeat, which has been learned before.
-func (b *Book) Answer(self Member, to Beat) Beat {
-	out := Beat{From: b.speak(self), Size: len(b.order), News: b.news(b.cfg.News)}
+func (b *MemberTable) Answer(self Member, to Beat) Beat {
+	out := Beat{From: b.nextSelf(self), Size: len(b.active), News: b.news(b.cfg.News)}
 	if to.Join {
-		out.News = b.fill(out.News, joinNews)
+		out.News = b.addRandom(out.News, joinAnswerMembers)
 	}
 	// Whoever is held to be gone and speaks must know it: its jobs are answered
 	// as failed by others.
-	if e, ok := b.m[to.From.Owner]; ok && e.State == Gone {
+	if e, ok := b.byOwner[to.From.Owner]; ok && e.State == Gone {
 		out.News = append(out.News, News{e.Member, Gone})
 	}
 	return out
 }
 
-func (b *Book) speak(self Member) Member {
+func (b *MemberTable) nextSelf(self Member) Member {
 	self.Owner, self.Address, self.Count = b.self.Owner, b.self.Address, b.self.Count+1
 	b.self = self
 	return self
 }
 
 // Self returns this process as it last spoke.
-func (b *Book) Self() Member { return b.self }
+func (b *MemberTable) Self() Member { return b.self }
 
 // news returns up to n members: first those of which there is something new,
 // then random ones, so that free slots and versions stay fresh everywhere.
-func (b *Book) news(n int) []News {
+func (b *MemberTable) news(n int) []News {
 	out := make([]News, 0, n+1)
-	turns := len(b.queue)
-	for len(out) < n-n/4 && turns > 0 {
-		turns--
-		e := b.queue[0]
-		b.queue = b.queue[1:]
-		if e.left == 0 {
-			e.queued = false
+	remaining := len(b.newsQueue)
+	for len(out) < n-n/4 && remaining > 0 {
+		remaining--
+		e := b.newsQueue[0]
+		b.newsQueue = b.newsQueue[1:]
+		if e.newsLeft == 0 {
+			e.inNewsQueue = false
 			continue
 		}
-		e.left--
-		b.queue = append(b.queue, e)
+		e.newsLeft--
+		b.newsQueue = append(b.newsQueue, e)
 		out = append(out, News{e.Member, e.State})
 	}
-	return b.fill(out, n)
+	return b.addRandom(out, n)
 }
 
-// fill adds random members until there are n.
-func (b *Book) fill(out []News, n int) []News {
-	told := make(map[ticket.Owner]struct{}, n)
+// addRandom adds random members until there are n.
+func (b *MemberTable) addRandom(out []News, n int) []News {
+	included := make(map[ticket.Owner]struct{}, n)
 	for _, o := range out {
-		told[o.Owner] = struct{}{}
+		included[o.Owner] = struct{}{}
 	}
 	start := 0
-	if len(b.order) > 0 {
-		start = b.rnd.IntN(len(b.order))
+	if len(b.active) > 0 {
+		start = b.rnd.IntN(len(b.active))
 	}
-	for i := 0; i < len(b.order) && len(out) < n; i++ {
-		e := b.order[(start+i)%len(b.order)]
-		if _, ok := told[e.Owner]; !ok {
+	for i := 0; i < len(b.active) && len(out) < n; i++ {
+		e := b.active[(start+i)%len(b.active)]
+		if _, ok := included[e.Owner]; !ok {
 			out = append(out, News{e.Member, e.State})
 		}
 	}
@@ -104,22 +104,22 @@
 
 // Targets picks up to n addresses for the next heartbeat. Others are addresses
 // at which there may be members: seeds, and those that the VM list gives.
-func (b *Book) Targets(n int, others []netip.AddrPort) []netip.AddrPort {
-	b.beats++
-	if len(b.order) == 0 {
+func (b *MemberTable) Targets(n int, others []netip.AddrPort) []netip.AddrPort {
+	b.heartbeatCount++
+	if len(b.active) == 0 {
 		return b.search(others)
 	}
 	var out []netip.AddrPort
-	if a, ok := b.urgent(); ok {
+	if a, ok := b.urgentTarget(); ok {
 		out = append(out, a)
 	}
-	if b.joining || b.beats%exploreEvery == 0 {
+	if b.joining || b.heartbeatCount%exploreInterval == 0 {
 		if a, ok := b.explore(others); ok {
 			out = append(out, a)
 		}
 	}
-	for tries := 0; len(out) < n && tries < pickTries; tries++ {
-		if a, ok := b.pick(len(out) == 0); ok && !contains(out, a) {
+	for tries := 0; len(out) < n && tries < maxPickTries; tries++ {
+		if a, ok := b.randomTarget(len(out) == 0); ok && !contains(out, a) {
 			out = append(out, a)
 		}
 	}
@@ -127,10 +127,10 @@
 }
 
 // search picks addresses for a process that knows nobody.
-func (b *Book) search(others []netip.AddrPort) []netip.AddrPort {
+func (b *MemberTable) search(others []netip.AddrPort) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, i := range b.rnd.Perm(len(others)) {
-		if len(out) == searchWidth {
+		if len(out) == searchTargets {
 			break
 		}
 		if others[i] != b.self.Address {
@@ -140,43 +140,43 @@
 	return out
 }
 
-// urgent returns an address whose member must be known better: two incarnations
+// urgentTarget returns an address whose member must be known better: two incarnations
 // are known there, or the one did not answer. It is one a heartbeat at most, so
 // that a rack that fails does not take the heartbeats from the others.
-func (b *Book) urgent() (netip.AddrPort, bool) {
+func (b *MemberTable) urgentTarget() (netip.AddrPort, bool) {
 	if len(b.contested) > 0 {
 		a := b.contested[0]
 		b.contested = append(b.contested[1:], a)
 		return a, true
 	}
-	if len(b.doubted) > 0 {
-		e := b.doubted[0]
-		b.doubted = append(b.doubted[1:], e)
+	if len(b.unanswered) > 0 {
+		e := b.unanswered[0]
+		b.unanswered = append(b.unanswered[1:], e)
 		return e.Address, true
 	}
 	return netip.AddrPort{}, false
 }
 
-func (b *Book) explore(others []netip.AddrPort) (netip.AddrPort, bool) {
-	for range min(pickTries, len(others)) {
+func (b *MemberTable) explore(others []netip.AddrPort) (netip.AddrPort, bool) {
+	for range min(maxPickTries, len(others)) {
 		a := others[b.rnd.IntN(len(others))]
-		if a != b.self.Address && len(b.at[a]) == 0 {
+		if a != b.self.Address && len(b.byAddress[a]) == 0 {
 			return a, true
 		}
 	}
 	return netip.AddrPort{}, false
 }
 
-// pick returns a random member's address, where it can of the own data centre.
+// randomTarget returns a random member's address, where it can of the own data centre.
 // One heartbeat a period stays inside it, because a data centre that is cut off
 // lives by what its members tell each other.
-func (b *Book) pick(near bool) (netip.AddrPort, bool) {
-	if len(b.order) == 0 {
+func (b *MemberTable) randomTarget(preferLocal bool) (netip.AddrPort, bool) {
+	if len(b.active) == 0 {
 		return netip.AddrPort{}, false
 	}
-	e := b.order[b.rnd.IntN(len(b.order))]
-	for tries := 0; near && tries < pickTries && e.Owner.DataCenter != b.self.Owner.DataCenter; tries++ {
-		e = b.order[b.rnd.IntN(len(b.order))]
+	e := b.active[b.rnd.IntN(len(b.active))]
+	for tries := 0; preferLocal && tries < maxPickTries && e.Owner.DataCenter != b.self.Owner.DataCenter; tries++ {
+		e = b.active[b.rnd.IntN(len(b.active))]
 	}
 	return e.Address, true
 }
@@ -201,11 +201,11 @@
 }
 
 // Neighbours returns the other members of the data centre that are not gone.
-func (b *Book) Neighbours() []Neighbour {
+func (b *MemberTable) Neighbours() []Neighbour {
 	var out []Neighbour
-	for _, e := range b.order {
+	for _, e := range b.active {
 		if e.Owner.DataCenter == b.self.Owner.DataCenter {
-			out = append(out, Neighbour{e.view().State, e.answered, e.told})
+			out = append(out, Neighbour{e.view().State, e.lastAnswered, e.advertised})
 		}
 	}
 	return out
--- a/roster/list.go
+++ b/roster/list.go
@@ -23,7 +23,7 @@
 // that lags although its new process lives; that one is heard. A list that is
 // down or empty says nothing. If a live owner were taken for gone, callers would
 // be told that their jobs failed while they run.
-func (b *Book) List(now time.Time, list []ledger.VM) {
+func (b *MemberTable) List(now time.Time, list []ledger.VM) {
 	if len(list) == 0 {
 		return
 	}
@@ -31,45 +31,45 @@
 	for _, v := range list {
 		listed[vm{v.Name, v.Address}] = struct{}{}
 	}
-	for _, e := range append([]*entry(nil), b.order...) {
-		b.compare(now, e, listed)
+	for _, e := range append([]*entry(nil), b.active...) {
+		b.checkVM(now, e, listed)
 	}
-	b.trimVMs()
+	b.forgetUnusedVMs()
 }
 
-// trimVMs forgets VMs that no member has, so that there are never more of them
+// forgetUnusedVMs forgets VMs that no member has, so that there are never more of them
 // than members.
-func (b *Book) trimVMs() {
-	used := make(map[vm]struct{}, len(b.order))
-	for _, e := range b.order {
+func (b *MemberTable) forgetUnusedVMs() {
+	used := make(map[vm]struct{}, len(b.active))
+	for _, e := range b.active {
 		used[e.vm()] = struct{}{}
 	}
-	for v := range b.vms {
+	for v := range b.missingSince {
 		if _, ok := used[v]; !ok {
-			delete(b.vms, v)
+			delete(b.missingSince, v)
 		}
 	}
 }
 
 func (e *entry) vm() vm { return vm{e.Owner.VM, e.Address.Addr()} }
 
-func (b *Book) compare(now time.Time, e *entry, listed map[vm]struct{}) {
+func (b *MemberTable) checkVM(now time.Time, e *entry, listed map[vm]struct{}) {
 	v := e.vm()
 	if _, ok := listed[v]; ok {
-		b.vms[v] = time.Time{}
+		b.missingSince[v] = time.Time{}
 		return
 	}
-	absent, known := b.vms[v]
+	absentSince, known := b.missingSince[v]
 	if !known {
 		return
 	}
-	if absent.IsZero() {
-		b.vms[v] = now
+	if absentSince.IsZero() {
+		b.missingSince[v] = now
 		return
 	}
-	quiet := later(later(absent, e.since), e.Heard)
-	if e.State == Suspect && now.Sub(quiet) >= b.cfg.GoneAfter {
-		b.end(now, e)
+	silentSince := later(later(absentSince, e.knownSince), e.Heard)
+	if e.State == Suspect && now.Sub(silentSince) >= b.cfg.GoneAfter {
+		b.markGone(now, e)
 	}
 }
 
--- a/roster/sim_test.go
+++ b/roster/sim_test.go
@@ -43,7 +43,7 @@
 
 type node struct {
 	addr   netip.AddrPort
-	book   *Book
+	table  *MemberTable
 	frozen bool
 }
 
@@ -77,7 +77,7 @@
 func (s *sim) start(i int, incarnation uint64) *node {
 	o := ticket.Owner{DataCenter: fmt.Sprint("dc", i/2%3), VM: fmt.Sprint("vm", i/2), Process: fmt.Sprint("hub", i%2), Incarnation: incarnation}
 	n := &node{addr: simAddress(i)}
-	n.book = NewBook(Member{Owner: o, Address: n.addr}, s.cfg, rand.New(rand.NewPCG(s.rnd.Uint64(), 1)))
+	n.table = NewMemberTable(Member{Owner: o, Address: n.addr}, s.cfg, rand.New(rand.NewPCG(s.rnd.Uint64(), 1)))
 	s.nodes[n.addr] = n
 	return n
 }
@@ -90,9 +90,9 @@
 		if n == nil || n.frozen {
 			continue
 		}
-		n.book.Tick(s.now)
-		to := n.book.Targets(2, s.seeds)
-		b := n.book.Beat(Member{})
+		n.table.Tick(s.now)
+		to := n.table.Targets(2, s.seeds)
+		b := n.table.Beat(Member{})
 		for _, a := range to {
 			if done := s.call(n, a, b); done != nil {
 				done(s.now)
@@ -108,13 +108,13 @@
 	}
 	t, sent := s.nodes[a], s.now
 	if t == nil || t.frozen || s.cut(n, t) {
-		n.book.Failed(s.now, a)
+		n.table.Failed(s.now, a)
 		return nil
 	}
 	in := s.wire(b)
-	t.book.Heard(s.now, in)
-	out := s.wire(t.book.Answer(Member{}, in))
-	return func(now time.Time) { n.book.Answered(sent, now, a, out) }
+	t.table.Received(s.now, in)
+	out := s.wire(t.table.Answer(Member{}, in))
+	return func(now time.Time) { n.table.Answered(sent, now, a, out) }
 }
 
 func (s *sim) wire(b Beat) Beat {
@@ -134,10 +134,10 @@
 	return out
 }
 
-func (s *sim) list() []ledger.VM {
+func (s *sim) vmList() []ledger.VM {
 	var out []ledger.VM
 	for _, n := range s.nodes {
-		out = append(out, ledger.VM{Name: n.book.self.Owner.VM, Address: n.addr.Addr()})
+		out = append(out, ledger.VM{Name: n.table.self.Owner.VM, Address: n.addr.Addr()})
 	}
 	return out
 }
@@ -150,9 +150,9 @@
 			continue
 		}
 		live := 0
-		for _, k := range n.book.All() {
+		for _, k := range n.table.All() {
 			t := s.nodes[k.Address]
-			runs := t != nil && t.book.self.Owner == k.Owner
+			runs := t != nil && t.table.self.Owner == k.Owner
 			if (k.State == Live) != runs {
 				return false
 			}
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -11,11 +11,11 @@
 	"snipehub.example/ticket"
 )
 
-// ErrBeat is returned for text that is not a heartbeat.
-var ErrBeat = errors.New("roster: malformed heartbeat")
+// ErrHeartbeat is returned for text that is not a heartbeat.
+var ErrHeartbeat = errors.New("roster: malformed heartbeat")
 
-// maxBeatNews bounds the news of a heartbeat that is read.
-const maxBeatNews = 2048
+// maxHeartbeatNews bounds the news of a heartbeat that is read.
+const maxHeartbeatNews = 2048
 
 // wireMember is a member as it stands in a heartbeat. The owner is written as
 // a ticket's name: as an object it would take a third of the heartbeat.
@@ -31,7 +31,7 @@
 	State   State          `json:"state,omitempty"`
 }
 
-type wireBeat struct {
+type wireHeartbeat struct {
 	From wireMember   `json:"from"`
 	Join bool         `json:"join,omitempty"`
 	Size int          `json:"size,omitempty"`
@@ -40,7 +40,7 @@
 
 // MarshalJSON writes the heartbeat in its short form.
 func (b Beat) MarshalJSON() ([]byte, error) {
-	w := wireBeat{From: toWire(b.From, Live), Join: b.Join, Size: b.Size, News: make([]wireMember, 0, len(b.News))}
+	w := wireHeartbeat{From: toWire(b.From, Live), Join: b.Join, Size: b.Size, News: make([]wireMember, 0, len(b.News))}
 	if b.From.Confirmed {
 		ms := b.From.Age.Milliseconds()
 		w.From.Age = &ms
@@ -53,12 +53,12 @@
 
 // UnmarshalJSON reads what MarshalJSON writes.
 func (b *Beat) UnmarshalJSON(text []byte) error {
-	var w wireBeat
+	var w wireHeartbeat
 	if err := json.Unmarshal(text, &w); err != nil {
-		return errors.Wrap(ErrBeat, err.Error())
+		return errors.Wrap(ErrHeartbeat, err.Error())
 	}
-	if len(w.News) > maxBeatNews {
-		return errors.Wrapf(ErrBeat, "%d news", len(w.News))
+	if len(w.News) > maxHeartbeatNews {
+		return errors.Wrapf(ErrHeartbeat, "%d news", len(w.News))
 	}
 	from, _, err := fromWire(w.From)
 	if err != nil {
@@ -96,13 +96,13 @@
 	id, err := ticket.ParseID(w.Owner)
 	switch {
 	case err != nil:
-		return Member{}, "", errors.Wrap(ErrBeat, err.Error())
+		return Member{}, "", errors.Wrap(ErrHeartbeat, err.Error())
 	case !w.Address.IsValid():
-		return Member{}, "", errors.Wrap(ErrBeat, "no address")
+		return Member{}, "", errors.Wrap(ErrHeartbeat, "no address")
 	case w.State != "" && w.State != Suspect && w.State != Gone:
-		return Member{}, "", errors.Wrapf(ErrBeat, "state %q", w.State)
+		return Member{}, "", errors.Wrapf(ErrHeartbeat, "state %q", w.State)
 	case w.Age != nil && (*w.Age < 0 || *w.Age > maxAge.Milliseconds()):
-		return Member{}, "", errors.Wrapf(ErrBeat, "age %d", *w.Age)
+		return Member{}, "", errors.Wrapf(ErrHeartbeat, "age %d", *w.Age)
 	}
 	m := Member{
 		Owner:       id.Owner,
