--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,15 +1,15 @@
-// Package registry follows what the platform's store says: the operator's
-// configuration, the workers' own records, and the members of this system.
+// Package registry follows the topics of the platform's store: the operator's
+// configuration, the workers' records, and the members of this system.
 //
-// A topic is a log of records with keys, of which the store keeps at least the
-// newest for each key. A follower takes the newest of each key once and then
-// follows the log from there. After a gap (the store has dropped what comes
-// next) it takes the newest again.
+// A topic is a log of keyed records of which the store keeps at least the latest
+// for each key. A follower reads the latest record of each key once and then
+// follows the log from there. After a gap (the store has dropped the records that
+// come next) it reads the latest records again.
 //
-// Limits: the store can be down, slow, or silent on a connection that stays
-// open, so each call has a timeout of its own and failures are repeated with a
-// growing pause. A reader can be behind for as long as the store is away; who
-// needs to know asks for the age.
+// Limits: the store can be down, slow, or silent on a connection that stays open,
+// so each call has its own timeout and failed calls are retried with an increasing
+// delay. A follower lags for as long as the store is unreachable; Confirmed gives
+// the age of its data.
 package registry
 
 import (
@@ -25,7 +25,7 @@
 	"snipehub.example/event"
 )
 
-// Offset is the place of a record in its topic.
+// Offset is the position of a record in its topic.
 type Offset uint64
 
 // Record is one record of a topic.
@@ -33,53 +33,53 @@
 	Key    string
 	Value  []byte
 	Offset Offset
-	// Dropped tells that the key has no value any more.
+	// Dropped is set if the key was deleted.
 	Dropped bool
 }
 
-// ErrForgotten means that the store has dropped the records asked for.
+// ErrForgotten is returned if the store no longer keeps the requested records.
 var ErrForgotten = errors.New("registry: records are no longer kept")
 
 // Source is one topic of the store.
 type Source interface {
-	// Newest returns the newest record of each key and the offset at which to
-	// go on reading.
+	// Newest returns the latest record of each key and the offset from which to
+	// continue reading.
 	Newest(ctx context.Context) ([]Record, Offset, error)
 	// Read returns the records from an offset on and the offset after them. It
-	// waits up to wait for the first one. ErrForgotten tells of a gap.
+	// waits up to wait for the first one. It returns ErrForgotten if there is a gap.
 	Read(ctx context.Context, from Offset, wait time.Duration) ([]Record, Offset, error)
 }
 
-// News is what a follower passes on.
+// News is an update that a follower emits.
 type News struct {
-	// Whole tells that Records are all keys there are; else they are what was
-	// added since.
+	// Whole is set if Records holds the latest record of every key; otherwise it
+	// holds the records added since the previous update.
 	Whole   bool
 	Records []Record
 	// Next is the offset after the last record.
 	Next Offset
-	// At is when the read that brought them began: what the store said is no
-	// older than that.
+	// At is when the read that returned the records began: they reflect the store
+	// at that time or later.
 	At time.Time
 }
 
-// Config sets a follower.
+// Config configures a follower.
 type Config struct {
-	// Name names the topic in the logs.
+	// Name is the topic's name in log events.
 	Name string
-	// Wait is how long one read waits for a record; 0 asks for what is there.
+	// Wait is how long one read waits for a record; with 0 it returns at once.
 	Wait time.Duration
-	// Pause is the time between two reads.
+	// Pause is the delay between two reads.
 	Pause time.Duration
-	// Timeout bounds a call besides its wait. An open connection can go dead
-	// without a reset, and only a timeout shows it.
+	// Timeout bounds a call, in addition to Wait. A connection can go dead without
+	// a reset, which only a timeout detects.
 	Timeout time.Duration
 }
 
-// The pause after a failed call grows from minRetryDelay to maxRetryDelay, each with a
-// random part, so that the processes of a deployment don't come back to a store
-// that recovers all at once. The upper end keeps the delay of a change small
-// beside the two seconds in which it must be in force.
+// The delay after a failed call doubles from minRetryDelay to maxRetryDelay. Jitter
+// keeps the processes of a deployment from retrying all at once when the store
+// recovers. The maximum is small compared to the two seconds within which a change
+// must be in force.
 const (
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
@@ -87,23 +87,25 @@
 
 // Follower follows one topic.
 type Follower struct {
-	cfg       Config
-	log       *slog.Logger
-	source    Source
-	emit      func(ctx context.Context, n News)
+	cfg    Config
+	log    *slog.Logger
+	source Source
+	emit   func(ctx context.Context, n News)
+	// recipient names who gets the updates; "" suspends reading.
 	recipient func() string
-	// Count is told of each call and whether it succeeded; nil for nobody.
+	// Count, if not nil, is called after each call to the source with whether it
+	// succeeded.
 	Count func(ok bool)
 
 	mu sync.Mutex
-	// confirmed is when the last successful read began.
+	// confirmed is the start of the last successful read.
 	confirmed time.Time
 	down      bool
 }
 
-// New makes a follower that passes news to emit. Where turn is not nil, it reads
-// only while turn does not return "", and starts afresh when what turn returns has
-// changed: what was emitted before has gone to somebody else.
+// New returns a follower that passes updates to emit. If recipient is not nil, the
+// follower reads only while recipient returns a name other than "", and reads
+// everything again when the name changes, since earlier updates went to somebody else.
 func New(cfg Config, log *slog.Logger, source Source, recipient func() string, emit func(context.Context, News)) *Follower {
 	if recipient == nil {
 		recipient = func() string { return fixedRecipient }
@@ -111,24 +113,25 @@
 	return &Follower{cfg: cfg, log: log, source: source, emit: emit, recipient: recipient}
 }
 
-// fixedRecipient is the turn of a follower that fixedRecipient reads.
+// fixedRecipient is the recipient of a follower that is created without a recipient
+// function and always reads.
 const fixedRecipient = "always"
 
-// Confirmed returns when the last successful read began; zero before the first.
+// Confirmed returns the start of the last successful read, or zero before the first.
 func (f *Follower) Confirmed() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmed
 }
 
-// Down tells that the last call failed.
+// Down reports whether the last call failed.
 func (f *Follower) Down() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.down
 }
 
-// Serve follows until ctx ends.
+// Serve follows the topic until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	retryDelay := minRetryDelay
 	next, full := Offset(0), true
@@ -163,8 +166,8 @@
 	return ctx.Err()
 }
 
-// idlePollInterval is how often a follower that needn't read looks whether it must. It
-// delays the first read of a process that begins to plan.
+// idlePollInterval is how often a follower without a recipient checks for one. It delays
+// the first read of a process that becomes the planner.
 const idlePollInterval = 50 * time.Millisecond
 
 func (f *Follower) readOnce(ctx context.Context, from Offset, full bool) (News, error) {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 )
 
-// topic is a topic in memory whose answers can be delayed, refused or lost.
+// topic is an in-memory topic whose reads can fail or hang.
 type topic struct {
 	mu      sync.Mutex
 	records []Record
@@ -75,7 +75,8 @@
 	return out, next, nil
 }
 
-// withFollower runs a follower of the topic and gives the test what it has emitted.
+// withFollower runs test with a follower of an in-memory topic. got returns the emitted
+// keys, with "|" before each full update.
 func withFollower(t *testing.T, recipient func() string, test func(s *topic, f *Follower, got func() string)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &topic{}
@@ -126,8 +127,8 @@
 	})
 }
 
-// The store has dropped records that were not read yet: only the newest of each key
-// tell what is in force.
+// The store drops records that were not read yet. The follower must read the latest
+// record of each key again, or it would miss changes.
 func TestGap(t *testing.T) {
 	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
@@ -140,31 +141,31 @@
 	})
 }
 
-// The store is down, then back. A read that failed is repeated with a growing pause, so
-// that a store that recovers is not overrun, and soon enough for a change to be in
-// force within two seconds.
+// The store is down and then recovers. Failed reads must be retried with an increasing
+// delay, so that the recovering store is not overloaded, and soon enough for a change to
+// be in force within two seconds.
 func TestStoreDown(t *testing.T) {
 	withFollower(t, nil, func(s *topic, f *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.fail, s.calls = errors.New("down"), 0 })
 		time.Sleep(10 * time.Second)
 		if !f.Down() {
-			t.Error("the follower does not know that the store is down")
+			t.Error("Down() = false while the store is down")
 		}
 		if n := s.callCount(); n < 15 || n > 60 {
-			t.Errorf("%d calls in 10 s", n)
+			t.Errorf("%d calls in 10 s, want 15 to 60", n)
 		}
 		s.append("a")
 		s.set(func() { s.fail = nil })
 		time.Sleep(maxRetryDelay*2 + time.Second)
 		want(t, got(), "|a")
 		if f.Down() {
-			t.Error("the follower does not know that the store is back")
+			t.Error("Down() = true after the store has recovered")
 		}
 	})
 }
 
-// The connection went dead without a reset: the call must end by itself.
+// The connection goes dead without a reset. The call must end by its timeout.
 func TestSilentStore(t *testing.T) {
 	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
@@ -177,8 +178,8 @@
 	})
 }
 
-// Another process is to be told from now on: it knows nothing of before, so everything
-// is read again.
+// The recipient changes. The new one has none of the earlier updates, so everything
+// must be read again; without a recipient nothing is read.
 func TestTurnChanges(t *testing.T) {
 	var mu sync.Mutex
 	recipient := ""
@@ -206,7 +207,7 @@
 		calls := s.callCount()
 		time.Sleep(10 * time.Second)
 		if s.callCount() != calls {
-			t.Error("reads although it is not its turn")
+			t.Error("the follower reads without a recipient")
 		}
 	})
 }
