--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -2,11 +2,10 @@
 // publishes them: which queue a caller's request belongs to, and which pool of
 // workers runs its tasks.
 //
-// A catalog is a value that never changes. A Shelf holds the one in force and
-// takes only higher versions: records arrive late, twice and from several
-// sources (the platform's store and other processes), and a process that answers
-// by an older version than it answered by before would show callers a change
-// that comes and goes.
+// A catalog is immutable. A Shelf holds the catalog in force and accepts only
+// higher versions: records arrive late, twice and from several sources (the
+// platform's store and other processes), and a process that went back to an older
+// version would show callers a change that takes effect and is undone again.
 package catalog
 
 import (
@@ -16,11 +15,11 @@
 	"time"
 )
 
-// Version numbers the operator's configurations. It rises in uneven steps; 0 is
-// before the first.
+// Version numbers the operator's configurations. It increases in steps of any size;
+// 0 is before the first.
 type Version uint64
 
-// Queue is one route: where requests come in and which pool runs their tasks.
+// Queue is one route: which requests it takes and which pool runs their tasks.
 type Queue struct {
 	// Name is the operator's name for the route.
 	Name string `json:"name"`
@@ -28,19 +27,19 @@
 	// beginning of the path.
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
-	// Pool names the workers.
+	// Pool is the name of the pool whose workers run the tasks.
 	Pool string `json:"pool"`
-	// Rank orders queues; 0 goes first.
+	// Rank is the priority of the queue; 0 is the highest.
 	Rank int `json:"rank"`
-	// Attempts is how often a task may end as failed before its job fails.
+	// Attempts is how many runs of a task may fail before its job fails.
 	Attempts int `json:"attempts"`
-	// Stretch and Aim make the latency objective of a job: its longest chain
-	// of work times Stretch, and Aim more.
+	// Stretch and Aim define the latency objective of a job: the duration of its
+	// longest chain of work times Stretch, plus Aim.
 	Stretch float64       `json:"stretch"`
 	Aim     time.Duration `json:"aim"`
-	// Timeout bounds a request; 0 means that the route names none.
+	// Timeout bounds a request; 0 means that the route sets none.
 	Timeout time.Duration `json:"timeout"`
-	// Ticketed tells that a worker takes a task only with a ticket of the
+	// Ticketed is set if a worker accepts a task only with a ticket of the
 	// platform's adviser.
 	Ticketed bool `json:"ticketed,omitempty"`
 }
@@ -48,13 +47,14 @@
 // Pool is a group of workers.
 type Pool struct {
 	Name string `json:"name"`
-	// Guarded tells that its workers reject what exceeds their capacity.
+	// Guarded is set if the workers reject tasks that exceed their capacity.
 	Guarded bool `json:"guarded"`
-	// Connections bounds the connections to one of its workers; 0 is no bound.
+	// Connections is the maximum number of connections to one worker; 0 means no
+	// limit.
 	Connections int `json:"connections"`
 }
 
-// Limits bounds what callers may send.
+// Limits bounds the requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int           `json:"header_bytes"`
 	BodyBytes     int64         `json:"body_bytes"`
@@ -70,8 +70,8 @@
 	Limits  Limits  `json:"limits"`
 }
 
-// Find returns the queue of a request by its host and the longest prefix of its
-// path, and the rest of the path.
+// Find returns the queue of a request, by its host and the longest matching path
+// prefix, and the path without that prefix.
 func (c *Catalog) Find(host, path string) (q Queue, rest string, ok bool) {
 	host = stripPort(host)
 	for _, candidate := range c.Queues {
@@ -102,7 +102,7 @@
 	return Pool{}, false
 }
 
-// stripPort cuts the port off a Host header.
+// stripPort returns a Host header without its port.
 func stripPort(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
@@ -110,13 +110,13 @@
 	return host
 }
 
-// Shelf holds the catalog in force. It may be used from any goroutine.
+// Shelf holds the catalog in force. It is safe for concurrent use.
 type Shelf struct {
 	current atomic.Pointer[Catalog]
 }
 
-// Current returns the catalog in force; one of version 0 without queues before
-// the first.
+// Current returns the catalog in force, or an empty one of version 0 before the
+// first Put.
 func (s *Shelf) Current() *Catalog {
 	if c := s.current.Load(); c != nil {
 		return c
@@ -124,8 +124,8 @@
 	return &Catalog{}
 }
 
-// Put brings a catalog into force if its version is higher, and tells whether it
-// did.
+// Put brings a catalog into force if its version is higher than the current one,
+// and reports whether it did.
 func (s *Shelf) Put(c *Catalog) bool {
 	for {
 		old := s.current.Load()
