--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -13,12 +13,12 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// idleTimeout is when a connection that nothing was called on is closed. With
-// heartbeats to random members, a process would else end up with a connection
-// to each of thousands.
+// idleTimeout is how long a connection stays open without a call. Heartbeats go to
+// random members, so a process would otherwise end up with a connection to each of
+// thousands.
 const idleTimeout = time.Minute
 
-// Dialer holds a connection to each peer that was called lately.
+// Dialer holds a connection to each peer that was called recently.
 type Dialer struct {
 	tls     *tls.Config
 	timeout time.Duration
@@ -33,29 +33,29 @@
 
 // link is the connection to one peer.
 type link struct {
-	// dialSlot is held while the connection is opened, so that there is one.
+	// dialSlot is held while the connection is opened, so that only one is opened.
 	dialSlot chan struct{}
-	// writeSlot is held while a call is written. Callers wait for it, and not
-	// for the library's mutex, since that can't be given up.
+	// writeSlot is held while a call is written. Callers wait for it rather than for
+	// the library's mutex, since waiting for a mutex can't be cancelled.
 	writeSlot chan struct{}
-	// conn, calls and used are guarded by the dialer's mutex.
+	// conn, activeCalls and lastUsed are guarded by the dialer's mutex.
 	conn        *jsonrpc2.Conn
 	activeCalls int
 	lastUsed    time.Time
 }
 
-// NewDialer makes a dialer that opens connections by open; a nil config means
+// NewDialer returns a dialer that opens connections with open; a nil config means
 // plain TCP. The timeout bounds the opening of a connection, and each write.
 func NewDialer(cfg *tls.Config, timeout time.Duration, open Dial) *Dialer {
 	return &Dialer{tls: cfg, timeout: timeout, open: open, links: make(map[netip.AddrPort]*link)}
 }
 
-// Call calls a method of the peer at the address, until ctx ends.
+// Call calls a method of the peer at the address. It returns when ctx ends at the latest.
 //
-// The parameters travel as bytes (base64 in JSON): the library decodes a
-// request into maps and encodes it again, which sorts the keys and escapes the
-// text of a caller's bodies. A body would reach the backend server changed, and
-// a resubmission over another dispatcher would no longer match the first.
+// The parameters are sent as bytes (base64 in JSON): the library decodes a request
+// into maps and encodes it again, which sorts the keys and escapes the text of a
+// caller's body. The body would reach the backend server changed, and a resubmission
+// through another dispatcher would no longer match the first.
 func Call[R any](ctx context.Context, d *Dialer, to netip.AddrPort, method string, params any) (R, error) {
 	var out R
 	encoded, err := encodeParams(params)
@@ -72,9 +72,9 @@
 	return out, nil
 }
 
-// call makes the call, once more on a new connection when the one that was open
-// turns out to be broken: the peer may have started again since, and of a call
-// that was not written whole it has seen nothing.
+// call makes the call. If the write fails on a connection that was already open, it
+// retries on a new one: the peer may have restarted in the meantime, and it can't have
+// read a call that was not written completely.
 func (d *Dialer) call(ctx context.Context, to netip.AddrPort, method string, encoded []byte) (json.RawMessage, error) {
 	for {
 		l, c, justDialed, err := d.acquire(ctx, to)
@@ -91,13 +91,12 @@
 type reply struct {
 	answer json.RawMessage
 	err    error
-	// writeFailed tells that the connection failed while the call was written.
+	// writeFailed is set if the connection failed while the call was written.
 	writeFailed bool
 }
 
-// exchange writes the call and waits for its answer. The library does not look
-// at ctx while it writes, so this is done in a goroutine, which ends by the
-// write timeout at the latest.
+// exchange writes the call and waits for its answer. The library ignores ctx while it
+// writes, so this is done in a goroutine, whose write ends within the write timeout.
 func (d *Dialer) exchange(ctx context.Context, l *link, c *jsonrpc2.Conn, method string, encoded []byte) reply {
 	select {
 	case l.writeSlot <- struct{}{}:
@@ -120,14 +119,14 @@
 	}
 }
 
-// awaitReply waits for the answer to a call, or tells why it was not written.
+// awaitReply waits for the answer to a call that was dispatched with the result w, err.
 func awaitReply(ctx context.Context, c *jsonrpc2.Conn, w jsonrpc2.Waiter, err error) reply {
 	switch {
 	case errors.Is(err, errFrameTooLarge):
 		return reply{err: errors.Wrap(ErrNotSent, err.Error())}
 	case err != nil:
-		// The frame was not written to its end, so the peer can't have read
-		// it; nor could it make out the next one.
+		// The frame was not written completely, so the peer can't have read it, and
+		// could not find the start of a following one.
 		_ = c.Close()
 		return reply{err: errors.Wrap(ErrNotSent, err.Error()), writeFailed: true}
 	}
@@ -136,7 +135,7 @@
 	return r
 }
 
-// convertError makes an error of the library one of this layer.
+// convertError converts an error of the library to one of this layer.
 func convertError(err error) error {
 	var e *jsonrpc2.Error
 	switch {
@@ -154,7 +153,7 @@
 	return f
 }
 
-// acquire returns the peer's connection, and whether it was opened just now.
+// acquire returns the connection to the peer and whether this call opened it.
 func (d *Dialer) acquire(ctx context.Context, to netip.AddrPort) (*link, *jsonrpc2.Conn, bool, error) {
 	l := d.link(to)
 	select {
@@ -181,8 +180,8 @@
 	return l, c, true, nil
 }
 
-// link returns the peer's link and counts a call on it. It also drops the links
-// that were idle for long.
+// link returns the link to the peer and counts a call on it. Before it adds a link it
+// drops the idle ones.
 func (d *Dialer) link(to netip.AddrPort) *link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -21,8 +21,8 @@
 
 var anyAddress = netip.MustParseAddrPort("10.0.0.1:7500")
 
-// pipes is a network in memory: each connection goes to the listener's server,
-// or to nobody when there is none.
+// pipes is an in-memory network and its listener. Connections go to the server that
+// accepts from the listener; with a nil channel nobody reads from them.
 type pipes struct {
 	accepted chan net.Conn
 	opened   int
@@ -48,7 +48,8 @@
 func (p *pipes) Close() error   { close(p.accepted); return nil }
 func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serve runs a server with the method "wait", which answers when it is told to.
+// serve runs a server with the method "wait", which answers once the returned channel
+// is closed.
 func serve(t *testing.T) (*Server, *pipes, *Dialer, chan struct{}) {
 	p := &pipes{accepted: make(chan net.Conn, 4)}
 	s := NewServer(slog.New(slog.DiscardHandler), p)
@@ -72,9 +73,8 @@
 	return s, p, d, answer
 }
 
-// A peer is frozen and takes nothing from its connections. A caller's request
-// that is forwarded to it must not hang for as long as the peer is frozen, and
-// neither must the heartbeats that share the connection.
+// A peer is suspended and reads nothing from its connections. Neither a request that is
+// forwarded to it nor the heartbeats on the same connection may block until it resumes.
 func TestFrozenPeerHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := NewDialer(nil, time.Minute, (&pipes{}).open)
@@ -88,19 +88,19 @@
 			}
 		}
 		if took := time.Since(began); took != 2*time.Second {
-			t.Errorf("two callers with a second each were held for %v", took)
+			t.Errorf("two calls with a timeout of 1 s each took %v", took)
 		}
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 		if !closed(d.links[anyAddress].conn) {
-			t.Error("the connection to the frozen peer is still used")
+			t.Error("the connection to the suspended peer is still open")
 		}
 		d.Close()
 	})
 }
 
-// A dispatcher stops. Calls that it has read are answered whole; one that comes
-// afterwards is turned away, and its caller knows that nothing was done.
+// A dispatcher stops. Calls that it has read are answered; a call that arrives later is
+// refused with ErrNotSent, so its caller knows that it was not acted on.
 func TestStopCutsNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _, d, answer := serve(t)
@@ -121,7 +121,7 @@
 		synctest.Wait()
 		select {
 		case <-drained:
-			t.Error("stopped with a call that is not answered")
+			t.Error("Drain returned before the call was answered")
 		default:
 		}
 		close(answer)
@@ -130,14 +130,14 @@
 		}
 		<-drained
 		if _, err := Call[int](t.Context(), d, anyAddress, "wait", 8); !errors.Is(err, ErrNotSent) {
-			t.Errorf("%v, want a call that was not looked at", err)
+			t.Errorf("call after Drain: %v, want ErrNotSent", err)
 		}
 	})
 }
 
-// A peer was started again. The connection to its predecessor is broken, and a
-// call over it has reached nobody: it goes out once more on a new one. A call
-// that was read before the peer died is not repeated, as it may have run.
+// A peer restarts. A call on the broken connection to its predecessor has reached nobody
+// and is retried on a new one. A call that was read before the peer died is not retried,
+// since it may have run.
 func TestBrokenConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, p, d, answer := serve(t)
@@ -149,7 +149,7 @@
 		synctest.Wait()
 		_ = d.links[anyAddress].conn.Close()
 		if err := <-lost; !errors.Is(err, ErrLost) {
-			t.Errorf("%v, want no answer", err)
+			t.Errorf("%v, want ErrLost", err)
 		}
 		close(answer)
 		if n, err := Call[int](t.Context(), d, anyAddress, "wait", 2); n != 2 || err != nil || p.opened != 2 {
@@ -158,8 +158,8 @@
 	})
 }
 
-// A process beats to random ones of thousands of members. It must not end up
-// with a connection to each.
+// A process sends heartbeats to random members out of thousands. It must not end up with
+// a connection to each.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, _, d, answer := serve(t)
@@ -172,7 +172,7 @@
 			time.Sleep(time.Second)
 		}
 		if n := len(d.links); n > 61 {
-			t.Errorf("%d connections, want those of the last minute", n)
+			t.Errorf("%d connections, want at most those used in the last minute", n)
 		}
 	})
 }
@@ -191,7 +191,7 @@
 		err := (frameCodec{1 << 10}).WriteObject(&out, v)
 		rest, _ := io.ReadAll(r)
 		if err != nil || len(b)-len(rest) > 16+binary.MaxVarintLen64 {
-			t.Fatalf("%d bytes were read as one frame of 16: %v", len(b)-len(rest), err)
+			t.Fatalf("read %d bytes as one frame with a limit of 16: %v", len(b)-len(rest), err)
 		}
 	})
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -12,19 +12,19 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// maxFrameBytes bounds a frame: the largest is a job with the bodies of all its
-// tasks, or its kept answer.
+// maxFrameBytes bounds a frame. The largest frames are a job with the bodies of all its
+// tasks, and a job's stored answer.
 const maxFrameBytes = 128 << 20
 
 var errFrameTooLarge = errors.New("peer: frame too large")
 
-// frameCodec writes each JSON-RPC object after its length. Unlike the library's
-// codec it bounds the length, so that a peer that sends nonsense can't make this
-// process run out of memory, and reads the whole frame, so that the next one
-// begins where it should.
+// frameCodec prefixes each JSON-RPC object with its length. Unlike the library's codec
+// it bounds the length, so that a faulty peer can't make this process run out of
+// memory, and it always consumes the whole frame, so that the next one is read from
+// its beginning.
 type frameCodec struct{ limit int }
 
-// WriteObject writes one object; nothing is written of one that is too large.
+// WriteObject writes one object. It writes nothing if the object is too large.
 func (f frameCodec) WriteObject(w io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -59,15 +59,15 @@
 	return json.Unmarshal(data, v)
 }
 
-// boundedWriteConn bounds each write. A frozen peer reads nothing; once the buffers of
-// the connection are full, a write to it would block for as long as it is
-// frozen, and with it every other call on the connection.
+// boundedWriteConn sets a deadline for each write. A suspended peer reads nothing; once
+// the buffers of the connection are full, a write would block until the peer resumes,
+// and with it every other call on the connection.
 type boundedWriteConn struct {
 	net.Conn
 	timeout time.Duration
 }
 
-// Write writes within the timeout.
+// Write writes b within the timeout.
 func (p boundedWriteConn) Write(b []byte) (int, error) {
 	if err := p.SetWriteDeadline(time.Now().Add(p.timeout)); err != nil {
 		return 0, err
@@ -75,7 +75,7 @@
 	return p.Conn.Write(b)
 }
 
-// Patient bounds each write to a connection.
+// Patient returns a connection whose writes fail after the timeout.
 func Patient(c net.Conn, timeout time.Duration) net.Conn { return boundedWriteConn{c, timeout} }
 
 func newStream(c net.Conn, timeout time.Duration) jsonrpc2.ObjectStream {
--- a/peer/handshake_test.go
+++ b/peer/handshake_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Somebody connects to the port of dispatchers and says nothing. The connection
-// must not be held for ever: the process would run out of descriptors, and
-// callers who come over other dispatchers would be told "unknown".
+// A client connects to the peer port and sends nothing. The server must close the
+// connection, or the process runs out of descriptors and callers whose jobs are
+// forwarded here get "unknown".
 func TestSilentConnectionIsClosed(t *testing.T) {
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return nil, io.EOF },
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The bound of the test, reached only if the server holds the connection.
+	// The test's own timeout, reached only if the server keeps the connection open.
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := io.ReadAll(c); err != nil {
 		t.Errorf("the silent connection is still open: %v", err)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,12 +1,12 @@
-// Package peer carries calls between dispatchers: JSON-RPC 2.0 over TCP, by IP
-// number, with TLS where the settings say so.
+// Package peer carries calls between dispatchers: JSON-RPC 2.0 over TCP, by IP address,
+// with TLS if the settings enable it.
 //
-// A call either returns its answer or an error of this layer. ErrNotSent means
-// that the peer certainly did not act on the call; after ErrLost it may have.
+// A call returns either its answer or an error of this layer. ErrNotSent means that the
+// peer has certainly not acted on the call; after ErrLost it may have.
 //
-// Limits: a frame has at most maxFrame bytes; a peer that does not take what is
-// written for the write timeout loses its connection; a dialer has one connection
-// to each peer and closes those that were not used for a while.
+// Limits: a frame has at most maxFrameBytes bytes; a connection is closed if the peer
+// does not accept a write within the write timeout; a dialer keeps one connection to each
+// peer and closes connections that are idle for idleTimeout.
 package peer
 
 import (
@@ -16,17 +16,21 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of this layer.
 var (
+	// ErrNotSent is returned if the peer has certainly not acted on the call: it was
+	// not written completely, or the peer refused it.
 	ErrNotSent = errors.New("peer: not connected")
-	ErrLost    = errors.New("peer: no answer")
+	// ErrLost is returned if no valid answer arrived; the peer may have acted on the
+	// call.
+	ErrLost = errors.New("peer: no answer")
 )
 
-// The JSON-RPC codes of this layer.
+// The JSON-RPC error codes of this layer.
 const (
-	// codeFailed is a handler's own error; its data is the error as JSON.
+	// codeFailed marks an error that the handler returned; its data is the error as
+	// JSON.
 	codeFailed = 1
-	// codeRefused tells that the call was not looked at.
+	// codeRefused means that the call was not passed to a handler.
 	codeRefused = 2
 )
 
@@ -37,11 +41,11 @@
 	Data json.RawMessage
 }
 
-// Error makes Failure an error.
+// Error returns the message of the peer's handler.
 func (f *Failure) Error() string { return "peer: " + f.Message }
 
-// encodeParams encodes parameters. The encoder must not escape "<" and the like inside
-// a caller's body.
+// encodeParams encodes parameters as JSON. HTML escaping is off, since it would change
+// characters such as "<" in a caller's body.
 func encodeParams(params any) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -11,9 +11,9 @@
 	"snipehub.example/peer"
 )
 
-// A caller's body is forwarded to another dispatcher. It must arrive as it was
-// sent: a body with its keys sorted or its text escaped no longer matches the
-// one that came directly, and the resubmission of an order is turned away.
+// A caller's body is forwarded to another dispatcher. It must arrive byte for byte: with
+// its keys sorted or its text escaped it no longer matches the body that was submitted
+// directly, and the resubmission of an order is refused.
 func TestBodyArrivesUnchanged(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/peer/server.go
+++ b/peer/server.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// maxConcurrentCalls bounds the calls that are worked on at once.
+	// maxConcurrentCalls bounds the calls that are handled at once.
 	maxConcurrentCalls = 16384
-	// answerWriteTimeout bounds the writing of answers to a slow peer.
+	// answerWriteTimeout bounds each write of an answer to a slow peer.
 	answerWriteTimeout = 10 * time.Second
 	// defaultHandshakeTimeout bounds the TLS handshake of a connection.
 	defaultHandshakeTimeout = 10 * time.Second
@@ -26,22 +26,23 @@
 
 type handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Server answers the calls of peers. Its handlers are set before Serve.
+// Server answers the calls of peers. All handlers must be set before Serve.
 type Server struct {
 	log      *slog.Logger
 	ln       net.Listener
 	handlers map[string]handler
 	inFlight inFlight
-	// handshakeTimeout is handshakeTimeout, shorter in tests.
+	// handshakeTimeout is defaultHandshakeTimeout, or less in tests.
 	handshakeTimeout time.Duration
 }
 
-// NewServer makes a server on the listener.
+// NewServer returns a server on the listener.
 func NewServer(log *slog.Logger, ln net.Listener) *Server {
 	return &Server{log: log, ln: ln, handlers: make(map[string]handler), inFlight: inFlight{limit: maxConcurrentCalls}, handshakeTimeout: defaultHandshakeTimeout}
 }
 
-// Handle sets the handler of a method.
+// Handle sets the handler of a method. Call encodes the parameters to bytes, so they
+// are decoded twice.
 func Handle[P, R any](s *Server, method string, fn func(ctx context.Context, p P) (R, error)) {
 	s.handlers[method] = func(ctx context.Context, params json.RawMessage) (any, error) {
 		var encoded []byte
@@ -72,10 +73,10 @@
 	}
 }
 
-// serveConn answers the calls of a connection once its handshake is done. Without a
-// bound, whoever reaches the port could hold connections and their goroutines
-// without showing a certificate, until the process has no descriptors left. A
-// connection that is admitted may be silent; its dialer closes it when idle.
+// serveConn answers the calls of a connection after its TLS handshake. The handshake has
+// a timeout; otherwise anyone who reaches the port could hold connections and goroutines
+// without a certificate until the process runs out of descriptors. After the handshake
+// a connection may be silent; its dialer closes it when idle.
 func (s *Server) serveConn(ctx context.Context, c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
 		handshakeCtx, cancel := context.WithTimeout(ctx, s.handshakeTimeout)
@@ -90,14 +91,14 @@
 	jsonrpc2.NewConn(ctx, newStream(c, answerWriteTimeout), countingHandler{s})
 }
 
-// countingHandler answers calls and counts those whose answer is not yet written.
-// Without the count, a planned stop closes the connection between the end of a
-// forwarded job and the writing of its answer: the caller, who waits at another
-// dispatcher, is then told "unknown" although the job is done. A call is countingHandler
-// by the goroutine that reads it, so Drain can't overlook one that was read.
+// countingHandler answers calls and counts those whose answer is not yet written. Without
+// the count, a planned stop could close the connection after a forwarded job ended and
+// before its answer is written: the caller, who waits at another dispatcher, would get
+// "unknown" although the job is done. The goroutine that reads a call counts it, so Drain
+// can't miss a call that was read.
 type countingHandler struct{ s *Server }
 
-// Handle answers one call in a goroutine of its own.
+// Handle answers one call in its own goroutine.
 func (c countingHandler) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if !c.s.inFlight.begin() {
 		e := &jsonrpc2.Error{Code: codeRefused, Message: "stopped, or too many calls"}
@@ -133,18 +134,20 @@
 	return nil, e
 }
 
-// inFlight counts inFlight in flight. A sync.WaitGroup can't do it: a call may begin
-// while Drain waits, which that type forbids when the count is 0.
+// inFlight counts the calls being handled. A sync.WaitGroup does not fit: a call may
+// begin while Drain waits, and WaitGroup forbids that while its count is 0.
 type inFlight struct {
 	limit int
 
-	mu        sync.Mutex
-	n         int
+	mu sync.Mutex
+	n  int
+	// drainDone is set when draining begins and closed when no call is left; stopped is
+	// set from then on and refuses new calls.
 	drainDone chan struct{}
 	stopped   bool
 }
 
-// begin counts a call, or refuses it.
+// begin counts a call. It returns false if the call must be refused.
 func (c *inFlight) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +165,8 @@
 	c.closeIfDrained()
 }
 
-// drained returns a channel that is closed when no call is left. Until then
-// calls still begin: peers ask about the jobs that are being finished.
+// drained returns a channel that is closed when no call is in flight. Until then new
+// calls are accepted, since peers ask about the jobs that are still running.
 func (c *inFlight) drained() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
