--- a/tables/bench_test.go
+++ b/tables/bench_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkSnapshot packs the whole tables; one of its metrics is the size.
+// BenchmarkSnapshot encodes the whole tables and reports the size of the snapshot.
 func BenchmarkSnapshot(b *testing.B) {
 	s, err := Build(0, benchRows(13000, 130))
 	if err != nil {
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkEdit replays the edit of one server's row out of a record; one of
-// its metrics is the size of the record.
+// BenchmarkEdit decodes and applies an edit of one server's row and reports the size of
+// the record.
 func BenchmarkEdit(b *testing.B) {
 	rows := benchRows(13000, 130)
 	s, err := Build(0, rows)
--- a/tables/diff.go
+++ b/tables/diff.go
@@ -1,6 +1,6 @@
 package tables
 
-// Diff returns the rows to put and drop that turn old into want.
+// Diff returns the rows to put and to drop that turn old into want.
 func Diff(old, want Rows) (Rows, Keys) {
 	var put Rows
 	var drop Keys
--- a/tables/edit.go
+++ b/tables/edit.go
@@ -9,10 +9,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Edit is a change of rows, as it stands on the log. An edit carries only the
-// rows that change: at 14,000 edits a day of tables with 13,000 servers, whole
-// tables would cost every process megabytes for each edit. A row that is both
-// put and dropped is put.
+// Edit is a change of rows as it is stored on the log. It carries only the rows that
+// change: at 14,000 edits a day of tables with 13,000 servers, whole tables would cost
+// every process megabytes for each edit. A row that is both put and dropped is put.
 type Edit struct {
 	ID     string    `json:"id"`
 	Base   Version   `json:"base"`
@@ -25,9 +24,9 @@
 	loggedAt time.Time
 }
 
-// Apply returns the state that the edit at offset v makes of s, or the reason
-// why every reader rejects it. It costs about as much as the pools that the
-// edit touches are large.
+// Apply returns the state that results from the edit at offset v, or the reason why every
+// reader rejects the edit. Its cost grows with the size of the pools that the edit
+// changes.
 func (s *State) Apply(v Version, e Edit) (*State, error) {
 	if e.Base != s.Version {
 		return nil, errors.Errorf("base is version %d, current is %d", e.Base, s.Version)
@@ -56,7 +55,8 @@
 	poolEntries *writer[string, *poolEntry]
 	serverPools *writer[netip.AddrPort, []string]
 	moves       *writer[netip.AddrPort, Move]
-	// ownEntries are the groups that belong to the draft alone.
+	// ownEntries are the entries that were copied or created for this draft and may be
+	// changed.
 	ownEntries     map[string]*poolEntry
 	changedServers map[netip.AddrPort]struct{}
 	lastMove       Version
@@ -89,7 +89,8 @@
 	}
 }
 
-// poolEntry returns a pool's poolEntry for changing, or nil.
+// poolEntry returns the entry of a pool for modification, or nil if there is no such
+// pool.
 func (d *draft) poolEntry(name string) *poolEntry {
 	if g, ok := d.ownEntries[name]; ok {
 		return g
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// serverChange is what an edit does to one pool's servers.
+// serverChange is what an edit changes in the servers of one pool.
 type serverChange struct {
 	put  []Server
 	drop map[netip.AddrPort]struct{}
@@ -238,7 +239,7 @@
 	return nil
 }
 
-// detachKind takes a kind from the pool that it goes to.
+// detachKind removes a kind from the entry of the pool that it is routed to.
 func (d *draft) detachKind(kind string) {
 	r, ok := d.routes.get(kind)
 	if !ok {
@@ -281,7 +282,8 @@
 	return nil
 }
 
-// checkRoutes holds the join of the two tables: a route's half is its pool's.
+// checkRoutes checks the consistency of the two tables: a route has the same half as its
+// pool.
 func (d *draft) checkRoutes(e Edit) error {
 	for _, r := range e.Put.Routes {
 		if err := d.checkRoute(r.Kind); err != nil {
@@ -308,8 +310,8 @@
 	return nil
 }
 
-// checkHalves holds that a backend server is in pools of one half only, and
-// records which servers changed theirs.
+// checkHalves checks that each changed backend server is in pools of one half only, and
+// records the servers whose half changed.
 func (d *draft) checkHalves(v Version, loggedAt time.Time) error {
 	for a := range d.changedServers {
 		half, err := d.half(a)
@@ -337,10 +339,10 @@
 	return half, nil
 }
 
-// recordMove records a change of half. A server that is taken out of all pools and
-// put into the other half by a later edit has moved as well, so its last half
-// is remembered. One that comes back to the same half is recorded too: it may
-// have come from the other half a moment before it was taken out.
+// recordMove records a change of half. A server that is removed from all pools and added
+// to the other half by a later edit has moved as well, so its last half is remembered. A
+// server that returns to the same half is recorded too: it may have come from the other
+// half shortly before it was removed.
 func (d *draft) recordMove(a netip.AddrPort, half string, v Version, loggedAt time.Time) {
 	oldHalf := d.old.Half(a)
 	m, known := d.moves.get(a)
@@ -356,6 +358,7 @@
 	d.lastMove = v
 }
 
+// dropOldMoves removes the older half of the moves.
 func (d *draft) dropOldMoves() {
 	all := make([]Move, 0, d.moves.x.len())
 	for _, m := range d.moves.x.all {
@@ -367,7 +370,7 @@
 	}
 }
 
-// sortKeys sorts keys so that an edit has the same bytes each time it is made.
+// sortKeys sorts the keys, so that the same edit always has the same bytes.
 func sortKeys(k *Keys) {
 	slices.SortFunc(k.Routes, strings.Compare)
 	slices.SortFunc(k.Teams, strings.Compare)
--- a/tables/edit_test.go
+++ b/tables/edit_test.go
@@ -11,9 +11,9 @@
 	"snipehub.example/ledger"
 )
 
-// Apply changes only what an edit touches. If it overlooked something, a
-// dispatcher would accept an edit that another version of the program rejects,
-// and the two would never agree again.
+// Apply checks only what an edit changes. If it missed something, a dispatcher would
+// accept an edit that another version of the program rejects, and the two would never
+// agree again. Apply must therefore give the same result as the reference implementation.
 func TestRapidApplyIsThePlainRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, rows := Empty(), Rows{}
@@ -22,14 +22,14 @@
 			want, bad := referenceApply(rows, e)
 			next, err := s.Apply(Version(i), e)
 			if (bad == nil) != (err == nil) {
-				t.Fatalf("edit %d: %v, the plain rule says %v", i, err, bad)
+				t.Fatalf("edit %d: Apply returns %v, the reference %v", i, err, bad)
 			}
 			if err != nil {
 				continue
 			}
 			before := s.Rows()
 			if !reflect.DeepEqual(before, sortRows(t, rows)) {
-				t.Fatalf("edit %d changed the state before it", i)
+				t.Fatalf("edit %d changed the previous state", i)
 			}
 			s, rows = next, want
 			if got := s.Rows(); !reflect.DeepEqual(got, sortRows(t, rows)) {
@@ -99,13 +99,13 @@
 		r.Page(ledger.Page{First: 5, Next: 6, Records: []ledger.Record{{Offset: 5, Data: b}}})
 		if _, err := r.Take(Body{Snapshot: b}); err == nil && r.Complete() {
 			if _, err := Build(r.State().Version, r.State().Rows()); err != nil {
-				t.Fatalf("adopted tables that do not hold: %v", err)
+				t.Fatalf("adopted inconsistent tables: %v", err)
 			}
 		}
 		c := NewReplay()
 		for _, n := range c.Page(ledger.Page{Next: 1, Records: []ledger.Record{{Data: b}}}) {
 			if n.Applied != (c.State().Version == 0) {
-				t.Fatal("a record took effect and was not reported")
+				t.Fatal("Note.Applied does not tell whether the record took effect")
 			}
 		}
 	})
--- a/tables/follow.go
+++ b/tables/follow.go
@@ -14,26 +14,26 @@
 	"snipehub.example/ledger"
 )
 
-// logClient is what the tables need of the platform's log.
+// logClient is the part of the platform's log client that a follower uses.
 type logClient interface {
 	Read(ctx context.Context, stream string, from ledger.Offset, wait time.Duration) (ledger.Page, error)
 	Append(ctx context.Context, stream string, data []byte) (ledger.Offset, error)
 }
 
-// Config sets a follower.
+// Config configures a follower.
 type Config struct {
 	// Poll is how long one read waits for new records.
 	Poll time.Duration
 	// Snapshot is the shortest time between two snapshots on the log.
 	Snapshot time.Duration
-	// Settle is the bound in which a change is in force everywhere.
+	// Settle is the time within which a change is in force everywhere.
 	Settle time.Duration
-	// Changed is called after each change of the state. It must not block.
+	// Changed is called after each change of the version in force. It must not block.
 	Changed func()
 }
 
-// Follower keeps the newest state that is known to this process. It is a
-// suture service; its methods may be called from any goroutine.
+// Follower keeps the newest state that this process knows. It is a suture service and
+// safe for concurrent use.
 type Follower struct {
 	log *slog.Logger
 	st  logClient
@@ -52,16 +52,20 @@
 	replay   *Replay
 	schedule *SnapshotSchedule
 	complete bool
-	// interrupt ends the read that waits at the log; hurry makes the next one
-	// not wait.
+	// interrupt cancels the read that waits at the log; skipWait makes the next read
+	// return at once.
 	interrupt context.CancelFunc
 	skipWait  bool
+	// notBefore is the end of the last suspension: answers to earlier calls confirm
+	// nothing.
 	notBefore time.Time
+	// downSince is the first failure since the log last answered, or zero; lastRead is
+	// when it last answered.
 	downSince time.Time
 	lastRead  time.Time
 }
 
-// New makes a follower.
+// New returns a follower.
 func New(log *slog.Logger, st logClient, cfg Config, rnd *rand.Rand) *Follower {
 	f := &Follower{
 		log:       log,
@@ -82,12 +86,11 @@
 // State returns the state in force.
 func (f *Follower) State() *State { return f.state.Load() }
 
-// Confirmed returns the time at which the state was last known to be the
-// newest, by an own read of the log or by a peer's. It is zero before the
-// first one.
+// Confirmed returns the time at which the state was last known to be the newest, from a
+// read of the log by this process or by a peer. It is zero before the first confirmation.
 func (f *Follower) Confirmed() time.Time { return *f.confirmed.Load() }
 
-// retryDelay is the pause after a read that failed.
+// retryDelay is the delay after a failed read.
 const retryDelay = time.Second
 
 // Serve follows the log until ctx ends.
@@ -100,7 +103,7 @@
 	return ctx.Err()
 }
 
-// readOnce reads once and tells whether the log answered.
+// readOnce reads once and reports whether the log can be read again without a delay.
 func (f *Follower) readOnce(ctx context.Context) bool {
 	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -125,7 +128,8 @@
 	return true
 }
 
-// readFailed notes a read that readFailed; one that was interrupted is no failure.
+// readFailed handles a failed read and reports whether it was only interrupted, which is
+// no failure.
 func (f *Follower) readFailed(ctx, readCtx context.Context, err error) bool {
 	if readCtx.Err() != nil {
 		return true
@@ -146,8 +150,8 @@
 	f.downSince = time.Time{}
 }
 
-// applyPage learns from a page of the log. A page that reaches the log's end
-// confirms the state as of the time at which it was asked for.
+// applyPage applies a page of the log. A page that reaches the end of the log confirms
+// the state as of the start of the read.
 func (f *Follower) applyPage(readStart time.Time, p ledger.Page) {
 	if p.End != 0 && p.End < f.replay.Next() {
 		event.LogWentBack.Log(f.log, "end", p.End, "read", f.replay.Next())
@@ -190,8 +194,8 @@
 	if before == now {
 		return
 	}
-	// The holds come first: placing must not see a moved server before it
-	// sees that the server is held back.
+	// The holds come first: placing must not see a moved server before it sees that the
+	// server is held back.
 	if n := f.holdMoved(before, now); n > 0 {
 		event.ServersHeld.Log(f.log, "version", now.Version, "servers", n)
 	}
@@ -209,17 +213,16 @@
 	return f.holds.Update(time.Now(), before, now)
 }
 
-// Held tells whether a backend server is held back after a move between
-// halves.
+// Held reports whether a backend server is held back after a move between halves.
 func (f *Follower) Held(now time.Time, server netip.AddrPort) bool {
 	f.holdsMu.RLock()
 	defer f.holdsMu.RUnlock()
 	return f.holds.Held(now, server)
 }
 
-// Confirm tells that a peer knew the version to be the newest one age before
-// it answered the call that was sent at the given time. It changes nothing while
-// the state here is older than the version.
+// Confirm applies a peer's confirmation that v is the newest version. The peer's
+// confirmation was as old as age when it answered a call that was sent at the given time.
+// It has no effect if the state here is older than v.
 func (f *Follower) Confirm(v Version, sent time.Time, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -233,10 +236,10 @@
 	}
 }
 
-// Refresh is for a process that was frozen until the given time. The clock may
-// have stood still as well (a suspended VM), so the age of the confirmation is
-// not known; the state counts as unconfirmed, and the log is asked at once.
-// Answers to what was asked before the time confirm nothing.
+// Refresh is called after this process was suspended until the given time. The clock may
+// have stood still as well (a suspended VM), so the age of the confirmation is not known:
+// the state counts as unconfirmed, and the log is read at once. Answers to calls from
+// before that time confirm nothing.
 func (f *Follower) Refresh(until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -246,9 +249,9 @@
 	f.interrupt()
 }
 
-// Wants tells whether to ask a peer that has the version: when it is newer and
-// the log does not answer here, or when a snapshot is missing. While the log
-// answers, it brings the edit itself, and a peer would only bring it twice.
+// Wants reports whether to ask a peer that has the version: if it is newer and the log
+// does not answer here, or if a snapshot is missing. While the log answers, it delivers
+// the edit itself, and a peer would only deliver it a second time.
 func (f *Follower) Wants(now time.Time, v Version) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -258,14 +261,14 @@
 	return v > f.State().Version && now.Sub(f.lastRead) > 2*f.cfg.Poll
 }
 
-// Ask returns what to ask a peer.
+// Ask returns the request to send to a peer.
 func (f *Follower) Ask() Ask {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.replay.Ask()
 }
 
-// Body answers a peer.
+// Body answers a peer's request.
 func (f *Follower) Body(a Ask) (Body, error) {
 	f.mu.Lock()
 	p, ok := f.replay.EditsSince(a)
@@ -281,16 +284,18 @@
 	return Body{Snapshot: b}, err
 }
 
-// packedSnapshot is a packed snapshot with what it was made of.
+// packedSnapshot is a compressed snapshot with the state and offset that it was made
+// from.
 type packedSnapshot struct {
 	state   *State
 	through ledger.Offset
 	bytes   []byte
 }
 
-// snapshot returns the packed snapshot of a state. The last one is kept,
-// because hundreds of fresh processes may ask for the same one at once; one
-// that ends before the asker's offset could leave a hole there.
+// snapshot returns the compressed snapshot of a state. It reuses the previous one if
+// possible, since hundreds of new processes may ask for the same one at once. A snapshot
+// that ends before the offset from is not reused: it could leave a gap for the process
+// that asked.
 func (f *Follower) snapshot(st *State, through, from ledger.Offset) ([]byte, error) {
 	f.packedMu.Lock()
 	defer f.packedMu.Unlock()
@@ -305,7 +310,7 @@
 	return b, nil
 }
 
-// Take learns from a peer's answer.
+// Take applies a peer's answer.
 func (f *Follower) Take(b Body) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -320,9 +325,8 @@
 	return nil
 }
 
-// PutSnapshot appends a snapshot to the log when it is time. A lost answer does
-// no harm: the record is seen when the log is read, and a second one changes
-// nothing.
+// PutSnapshot appends a snapshot to the log when it is due. A lost answer does no harm:
+// the record is seen when the log is read, and a second snapshot changes nothing.
 func (f *Follower) PutSnapshot(ctx context.Context, now time.Time) error {
 	f.mu.Lock()
 	if !f.schedule.Due(now) {
--- a/tables/follow_test.go
+++ b/tables/follow_test.go
@@ -16,7 +16,7 @@
 	"snipehub.example/ledger"
 )
 
-// fakeLog is the platform's log with pages of one record.
+// fakeLog is an in-memory log that returns one record per page.
 type fakeLog struct {
 	records []ledger.Record
 	down    bool
@@ -58,9 +58,9 @@
 	return e
 }
 
-// A dispatcher comes back with a long backlog to read. If its first page
-// counted as a confirmation, it would place work by tables that it knows to be
-// old, on backend servers that belong to the other half by now.
+// A dispatcher starts with a long backlog to read. If the first page counted as a
+// confirmation, it would place work by tables that are known to be outdated, on backend
+// servers that now belong to the other half.
 func TestBacklogDoesNotConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLog{}
@@ -72,7 +72,7 @@
 		for want := range 2 {
 			f.readOnce(t.Context())
 			if f.State().Version != Version(want) || !f.Confirmed().IsZero() {
-				t.Fatalf("version %d is confirmed as of %v", f.State().Version, f.Confirmed())
+				t.Fatalf("version %d, confirmed as of %v before the end of the log", f.State().Version, f.Confirmed())
 			}
 		}
 		f.readOnce(t.Context())
@@ -87,10 +87,10 @@
 	})
 }
 
-// A backend server goes from the north half to the south. A dispatcher that
-// learns of it an hour late, because its data centre was cut off, or one that
-// was only just started, must not use it for the south at once: its neighbours
-// may still use it for the north.
+// A backend server moves from the north half to the south. A dispatcher that learns of it
+// an hour late because its data centre was cut off, or one that has just started, must
+// not use the server for the south at once: its neighbours may still use it for the
+// north.
 func TestMovedServerIsHeldFromLearningOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, a := &fakeLog{}, netip.MustParseAddrPort("10.0.0.1:9000")
@@ -126,9 +126,9 @@
 	})
 }
 
-// Nobody edits the tables for a day and the log forgets. Without snapshots a
-// dispatcher that starts then finds nothing; if all dispatchers appended theirs
-// at the same time, the log would be busy with that alone.
+// Nobody edits the tables for a day and the log drops old records. Without snapshots a
+// dispatcher that starts then finds nothing; if all dispatchers appended snapshots at the
+// same time, they would overload the log.
 func TestOneOfManyAppendsSnapshots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLog{}
--- a/tables/index.go
+++ b/tables/index.go
@@ -5,15 +5,15 @@
 	"maps"
 )
 
-// shardCount is how many parts an index has. A change copies the parts that it
-// touches: with 13,000 servers about a hundred entries, where a copy of the
+// shardCount is the number of shards of an index. A change copies only the shards that it
+// touches: with 13,000 servers that is about a hundred entries each, while a copy of the
 // whole map would cost every process a millisecond for each edit.
 const shardCount = 128
 
 var hashSeed = maphash.MakeSeed()
 
-// index is a map that is never changed once made; a writer makes the next one
-// out of it. The zero value is empty.
+// index is an immutable map; a writer derives the next one from it. The zero value is
+// empty.
 type index[K comparable, V any] struct {
 	shards [shardCount]map[K]V
 	size   int
@@ -41,7 +41,8 @@
 	}
 }
 
-// writer builds an index out of another one, which stays as it is.
+// writer builds a new index from another one, which stays unchanged. owned marks the
+// shards that were copied; any is set once the index itself was copied.
 type writer[K comparable, V any] struct {
 	x     *index[K, V]
 	owned [shardCount]bool
@@ -70,7 +71,7 @@
 	w.x.size--
 }
 
-// shard returns the shard that holds k, copied once for this writer.
+// shard returns the shard that holds k, which is copied at most once by this writer.
 func (w *writer[K, V]) shard(k K) map[K]V {
 	if !w.any {
 		c := *w.x
--- a/tables/oracle_test.go
+++ b/tables/oracle_test.go
@@ -11,8 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of rapid, so that a run has the same verdict each
-// time. For long runs:
+// TestMain fixes the seed of rapid, so that each run has the same result. For long runs:
 //
 //	go test ./tables -run Rapid -rapid.seed=0 -rapid.checks=20000
 func TestMain(m *testing.M) {
@@ -23,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// referenceApply is the rule of edits written down as simply as possible: merge all
-// rows, then check all of them.
+// referenceApply is a simple reference implementation of Apply: it merges all rows, then
+// checks all of them.
 func referenceApply(old Rows, e Edit) (Rows, error) {
 	rows := Rows{
 		Routes:  referenceMerge(old.Routes, e.Put.Routes, e.Drop.Routes, func(r Route) string { return r.Kind }),
@@ -68,7 +67,7 @@
 	})
 )
 
-// drawEdit makes an edit of a few rows, each key at most once.
+// drawEdit draws an edit of a few rows with distinct keys.
 func drawEdit(t *rapid.T, base Version) Edit {
 	e := Edit{ID: "e", Base: base}
 	some := func(name string) int { return rapid.IntRange(0, 2).Draw(t, name) }
@@ -104,7 +103,7 @@
 	return out
 }
 
-// sortRows brings rows into the order of State.Rows.
+// sortRows returns the rows in the order of State.Rows.
 func sortRows(t interface{ Fatal(...any) }, r Rows) Rows {
 	s, err := Build(0, r)
 	if err != nil {
--- a/tables/replay.go
+++ b/tables/replay.go
@@ -9,59 +9,58 @@
 	"snipehub.example/ledger"
 )
 
-// Replay turns the records of the stream into the state in force. It is pure:
-// two replays that have read the same records hold the same state, however the
-// records reached them.
+// Replay is a deterministic state machine without I/O that turns the records of the
+// stream into the state in force: two replays that have read the same records hold the
+// same state, however the records reached them.
 //
-// A replay is complete when its state is what all records below its next
-// offset make. It is not while records are missing: at its start, when the log
-// has forgotten the first ones, or when it was away for longer than the log
-// remembers. It then goes on with the state that it has, and applies nothing
-// until a snapshot fills the hole.
+// A replay is complete if its state is the result of all records below its next offset.
+// It is incomplete while records are missing, because the log had already dropped the
+// first ones when it started, or because it did not read for longer than the log's
+// retention. It then keeps its state and applies nothing until a snapshot fills the gap.
 type Replay struct {
 	state    *State
 	complete bool
 	next     ledger.Offset
 
-	// readFrom is the first offset from which an incomplete replay has read
-	// everything, and held the edits read since.
+	// readFrom is the offset from which on an incomplete replay has read everything; held
+	// is the edits that it read since.
 	readFrom ledger.Offset
 	held     recordBuffer
 
-	// recent is the newest edits that took effect, for peers; every one from
-	// the offset floor on is there.
+	// recent is the newest edits that took effect, for peers. It holds every one from the
+	// offset recentFrom on.
 	recent     recordBuffer
 	recentFrom ledger.Offset
 }
 
-// limits bounds a list of records.
+// limits bounds a buffer of records.
 type limits struct {
 	records, bytes int
 }
 
-// The bounds of what a replay keeps besides the state. An edit of one row takes
-// about 200 bytes.
+// The limits of the records that a replay keeps besides the state. The record of an
+// edit of one row takes about 200 bytes.
 var (
 	heldLimits   = limits{4096, 4 << 20}
 	recentLimits = limits{1024, 1 << 20}
 )
 
-// NewReplay makes a replay that has read nothing.
+// NewReplay returns a replay that has read nothing.
 func NewReplay() *Replay { return newReplay(heldLimits, recentLimits) }
 
 func newReplay(held, recent limits) *Replay {
 	return &Replay{state: Empty(), complete: true, held: recordBuffer{limits: held}, recent: recordBuffer{limits: recent}}
 }
 
-// recordBuffer is the newest records of a kind, bounded.
+// recordBuffer holds the newest records within its limits.
 type recordBuffer struct {
 	limits  limits
 	records []ledger.Record
 	bytes   int
 }
 
-// add appends a record. When the list is full it drops the oldest and returns
-// the last offset dropped.
+// add appends a record. If that exceeds the limits it drops the oldest records and
+// returns the last offset dropped.
 func (l *recordBuffer) add(rec ledger.Record) (dropped ledger.Offset, full bool) {
 	l.records = append(l.records, rec)
 	l.bytes += len(rec.Data)
@@ -78,27 +77,27 @@
 // State returns the state in force.
 func (r *Replay) State() *State { return r.state }
 
-// Complete tells whether the state is what all records below Next make.
+// Complete reports whether the state is the result of all records below Next.
 func (r *Replay) Complete() bool { return r.complete }
 
 // Next returns the offset to read from.
 func (r *Replay) Next() ledger.Offset { return r.next }
 
-// Note tells what became of one record.
+// Note is the result of processing one record.
 type Note struct {
 	Offset ledger.Offset
 	Edit   string
-	// Applied tells that the edit took effect here.
+	// Applied is set if the edit took effect here.
 	Applied bool
-	// Snapshot tells that the record is a snapshot.
+	// Snapshot is set if the record is a snapshot.
 	Snapshot bool
-	// Discarded tells that an older edit that waited for a snapshot was dropped.
+	// Discarded is set if an older edit that waited for a snapshot was dropped.
 	Discarded bool
-	// Err is why a record changed nothing.
+	// Err is the reason why the record changed nothing.
 	Err error
 }
 
-// Page takes what was read from Next on, from the log or from a peer.
+// Page processes records read from Next on, from the log or from a peer.
 func (r *Replay) Page(p ledger.Page) []Note {
 	if p.First > r.next {
 		r.skipTo(p.First)
@@ -114,7 +113,7 @@
 	return notes
 }
 
-// skipTo notes that the records between next and first are gone.
+// skipTo continues at first, because the records between next and first are gone.
 func (r *Replay) skipTo(first ledger.Offset) {
 	r.complete = false
 	r.next = first
@@ -153,8 +152,8 @@
 	return n
 }
 
-// holdEdit keeps an edit that can't be judged yet. When there are too many, the
-// oldest is given up: the replay then needs a snapshot that was taken later.
+// holdEdit keeps an edit that can't be checked yet. If there are too many, it drops the
+// oldest: the replay then needs a snapshot that was taken later.
 func (r *Replay) holdEdit(rec ledger.Record) Note {
 	dropped, full := r.held.add(rec)
 	if full {
@@ -170,8 +169,8 @@
 	}
 }
 
-// processSnapshot adopts a snapshot from the log only when something is missing:
-// a complete replay has read all that the snapshot stands for, and more.
+// processSnapshot adopts a snapshot from the log only if records are missing: a complete
+// replay has read everything that the snapshot contains, and more.
 func (r *Replay) processSnapshot(rec ledger.Record) Note {
 	n := Note{Offset: rec.Offset, Snapshot: true}
 	if r.complete {
@@ -186,18 +185,18 @@
 	return n
 }
 
-// ErrGap means that records after a snapshot's last one are missing here.
+// ErrGap is returned for a snapshot if records after its last one are missing here.
 var ErrGap = errors.New("tables: records after the snapshot are missing")
 
-// AdoptSnapshot takes over the state of a snapshot, from the log or from a peer, and
-// replays on top of it what was read after its last offset.
+// AdoptSnapshot replaces the state by that of a snapshot, from the log or from a peer,
+// and replays on top of it the records that were read after its last offset.
 //
-// A snapshot may be adopted only if every record after its Through has been
-// read here. Counter-example: the author has read up to offset 7 and takes
-// version 5; an operator's edit lands at 8 and takes effect everywhere; the
-// snapshot lands at 9; the log forgets all below 9. A fresh reader that took
-// version 5 from it would miss the edit at 8, reject the next one, whose base
-// is 8, and never agree with the others again.
+// A snapshot may be adopted only if every record after its Through has been read here.
+// Counter-example: the author has read up to offset 7 and takes a snapshot of version 5;
+// an operator's edit lands at 8 and takes effect everywhere; the snapshot lands at 9; the
+// log drops everything below 9. A new reader that adopted version 5 from it would miss
+// the edit at 8, reject the next one, whose base is 8, and never agree with the others
+// again.
 func (r *Replay) AdoptSnapshot(n Snapshot) error {
 	after := n.Through + 1
 	switch {
@@ -226,8 +225,8 @@
 	return nil
 }
 
-// SnapshotBasis returns what a snapshot is made of: the state and the last offset read.
-// It is false for a replay that is not complete or has no tables yet.
+// SnapshotBasis returns what a snapshot is made from: the state and the last offset read.
+// ok is false if the replay is incomplete or has no tables yet.
 func (r *Replay) SnapshotBasis() (s *State, through ledger.Offset, ok bool) {
 	if !r.complete || r.state.Version == ledger.None {
 		return nil, ledger.None, false
@@ -235,27 +234,27 @@
 	return r.state, r.next - 1, true
 }
 
-// Ask is what a process asks a peer whose version is newer.
+// Ask is a process's request to a peer that has a newer version.
 type Ask struct {
-	// From is the asker's next offset.
+	// From is the next offset that the requester needs.
 	From ledger.Offset `json:"from"`
-	// Whole asks for a snapshot, because the asker can't apply edits.
+	// Whole requests a snapshot, because the requester can't apply edits.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// Body is a peer's answer to Ask: the edits from an offset on, a packed
-// snapshot, or neither when the peer itself has nothing to give.
+// Body is a peer's answer to Ask: the edits from an offset on, a compressed snapshot, or
+// neither if the peer has nothing to give.
 type Body struct {
 	Page     *ledger.Page `json:"page,omitempty"`
 	Snapshot []byte       `json:"snapshot,omitempty"`
 }
 
-// Ask returns what to ask a peer.
+// Ask returns the request to send to a peer.
 func (r *Replay) Ask() Ask { return Ask{From: r.next, Whole: !r.complete} }
 
-// EditsSince answers a peer that lags with the edits from an offset on, or false when
-// it needs a snapshot. Only edits that took effect are passed on: the others
-// change no state, wherever they are read.
+// EditsSince answers a peer that lags with the edits from an offset on. It returns false
+// if the peer needs a snapshot. Only edits that took effect are sent: the others change
+// no state, wherever they are read.
 func (r *Replay) EditsSince(a Ask) (ledger.Page, bool) {
 	if !r.complete || a.Whole || a.From < r.recentFrom {
 		return ledger.Page{}, false
@@ -266,7 +265,7 @@
 	return ledger.Page{First: a.From, Next: r.next, Records: slices.Clone(r.recent.records[i:])}, true
 }
 
-// Take learns from a peer's answer.
+// Take applies a peer's answer.
 func (r *Replay) Take(b Body) ([]Note, error) {
 	if b.Page != nil && b.Page.First <= r.next {
 		return r.Page(*b.Page), nil
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -11,8 +11,8 @@
 	"snipehub.example/ledger"
 )
 
-// replaySim is a log with its readers, and what the plain rule says of each prefix
-// of the log.
+// replaySim is a log with its readers, and the tables that the reference implementation
+// gives for each prefix of the log.
 type replaySim struct {
 	records  []ledger.Record
 	first    ledger.Offset
@@ -22,8 +22,8 @@
 
 	readers []*Replay
 	seen    []Version
-	// unappendedSnapshots are snapshots that were taken and not yet appended, letters bodies
-	// that are on their way to a reader.
+	// unappendedSnapshots were taken but not yet appended; pendingReplies are peers'
+	// answers that are still on the way.
 	unappendedSnapshots [][]byte
 	pendingReplies      []peerReply
 }
@@ -85,9 +85,9 @@
 	return Body{}
 }
 
-// check holds every reader against the plain rule: a complete one has what the
-// records below its next offset make; another one has what it had. No version
-// ever goes down.
+// check compares every reader with the reference: a complete one has the version that the
+// records below its next offset result in; the rows of any reader are those of its
+// version; and no version ever goes down.
 func (w *replaySim) check(t *rapid.T) {
 	for i, r := range w.readers {
 		v := r.State().Version
@@ -104,11 +104,10 @@
 	}
 }
 
-// Operators race each other, appends are repeated because their answers were
-// lost, the log forgets, snapshots reach it late, peers pass on what they have,
-// and processes pause and start afresh. If two readers came to different
-// tables, a request would reach a backend server of the wrong half for as long
-// as the two live.
+// Operators race, appends are repeated because their answers were lost, the log drops
+// records, snapshots are appended late, peers forward what they have, and processes pause
+// and restart. Readers that reached different tables would send requests to backend
+// servers of the wrong half for as long as they run.
 func TestRapidReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { readersAgree(t) })
 }
@@ -178,8 +177,8 @@
 	w.endFaults(t)
 }
 
-// endFaults ends the faults. One complete reader is enough for all of them to come
-// to the newest version.
+// endFaults ends the faults. One complete reader must be enough for all of them to reach
+// the newest version.
 func (w *replaySim) endFaults(t *rapid.T) {
 	for _, r := range w.readers {
 		r.Page(w.page(r.Next(), len(w.records)))
@@ -201,9 +200,9 @@
 	w.check(t)
 }
 
-// The author of a snapshot had read up to offset 0 when an edit landed at 1 and
-// took effect everywhere; the snapshot landed at 2 and the log forgot all below
-// it. A fresh reader that believed the snapshot would miss the edit for good.
+// The author of a snapshot had read up to offset 0 when an edit landed at 1 and took
+// effect everywhere; the snapshot landed at 2 and the log dropped everything below. A new
+// reader that adopted the snapshot would miss the edit for good.
 func TestSnapshotThatMissesAnEditIsNotAdopted(t *testing.T) {
 	edit := func(base Version, pool string) []byte {
 		b, _ := json.Marshal(Edit{ID: pool, Base: base, Put: Rows{Pools: []Pool{{Name: pool, Half: "north"}}}})
@@ -219,7 +218,7 @@
 	fresh := NewReplay()
 	fresh.Page(ledger.Page{First: 2, Next: 3, Records: []ledger.Record{{Offset: 2, Data: snap}}})
 	if fresh.Complete() {
-		t.Fatal("the reader believes to be complete without the edit at offset 1")
+		t.Fatal("the reader is complete without the edit at offset 1")
 	}
 	informed := NewReplay()
 	informed.Page(ledger.Page{First: 1, Next: 3, Records: []ledger.Record{{Offset: 1, Data: edit(0, "b")}, {Offset: 2, Data: snap}}})
--- a/tables/rows.go
+++ b/tables/rows.go
@@ -9,19 +9,18 @@
 	"github.com/go-faster/errors"
 )
 
-// Route says where a kind of request goes.
+// Route assigns a kind of request to a pool.
 type Route struct {
 	Kind string `toml:"kind" json:"kind"`
 	Half string `toml:"half" json:"half"`
 	Pool string `toml:"pool" json:"pool"`
-	// Repeatable allows a single request to be tried again when it is not
-	// known whether it ran.
+	// Repeatable allows a single request to be retried if it is not known whether it ran.
 	Repeatable bool `toml:"repeatable,omitempty" json:"repeatable,omitempty"`
-	// Timeout bounds one attempt; 0 takes the dispatcher's default.
+	// Timeout bounds one attempt; 0 means the dispatcher's default.
 	Timeout time.Duration `toml:"timeout,omitempty" json:"timeout,omitempty"`
 }
 
-// Pool names a group of backend servers of one half.
+// Pool is a group of backend servers of one half.
 type Pool struct {
 	Name string `toml:"name" json:"name"`
 	Half string `toml:"half" json:"half"`
@@ -32,7 +31,7 @@
 	Pool       string         `toml:"pool" json:"pool"`
 	Address    netip.AddrPort `toml:"address" json:"address"`
 	DataCenter string         `toml:"data_center" json:"data_center"`
-	// Slots is how many tasks it runs at once.
+	// Slots is how many tasks the server runs at once.
 	Slots   int  `toml:"slots" json:"slots"`
 	Leaving bool `toml:"leaving,omitempty" json:"leaving,omitempty"`
 }
@@ -43,10 +42,10 @@
 // Team is a group of callers that shares a quota.
 type Team struct {
 	Name string `toml:"name" json:"name"`
-	// Weight is the team's part when callers compete; 0 counts as 1.
+	// Weight is the team's share when callers compete; 0 counts as 1.
 	Weight float64 `toml:"weight,omitempty" json:"weight,omitempty"`
-	// Quota is how many of its tasks may run at once over the whole system; 0
-	// means no limit.
+	// Quota is how many of the team's tasks may run at once in the whole system; 0 means
+	// no limit.
 	Quota int `toml:"quota,omitempty" json:"quota,omitempty"`
 }
 
@@ -58,7 +57,7 @@
 	Servers []Server `toml:"servers" json:"servers,omitempty"`
 }
 
-// Keys names rows to remove.
+// Keys names the rows to remove.
 type Keys struct {
 	Routes  []string    `json:"routes,omitempty"`
 	Teams   []string    `json:"teams,omitempty"`
@@ -66,7 +65,7 @@
 	Servers []ServerKey `json:"servers,omitempty"`
 }
 
-// ServerKey names a row of servers.
+// ServerKey is the key of a server's row.
 type ServerKey struct {
 	Pool    string         `json:"pool"`
 	Address netip.AddrPort `json:"address"`
@@ -83,9 +82,9 @@
 	return nil
 }
 
-// check refuses addresses that stand for another one as well. Without it,
-// 10.0.0.1 and ::ffff:10.0.0.1 would be two servers to the tables, one for each
-// half, and one machine to the network.
+// check rejects an address that has more than one spelling. Otherwise 10.0.0.1 and
+// ::ffff:10.0.0.1 would be two servers in the tables, one for each half, and one machine
+// on the network.
 func (v Server) check() error {
 	a := v.Address.Addr()
 	switch {
--- a/tables/snapshot.go
+++ b/tables/snapshot.go
@@ -16,17 +16,18 @@
 
 // Errors of records.
 var (
-	// ErrRecord means that a record is neither an edit nor a snapshot.
+	// ErrRecord is returned for a record that is neither an edit nor a snapshot.
 	ErrRecord = errors.New("tables: unreadable record")
-	// ErrSnapshot means that a snapshot contradicts itself.
+	// ErrSnapshot is returned for a snapshot that contradicts itself or is older than the
+	// state here.
 	ErrSnapshot = errors.New("tables: unusable snapshot")
 )
 
-// Snapshot is the whole tables as its author had them.
+// Snapshot is the content of the tables as its author had it.
 type Snapshot struct {
 	Version Version `json:"version"`
-	// Through is the last offset that the author had read. It is at least
-	// Version, and tells a reader which records to replay on top.
+	// Through is the last offset that the author had read. It is at least Version; a
+	// reader replays the records after it on top of the snapshot.
 	Through ledger.Offset `json:"through"`
 	// At is the log's time of the edit that made the version.
 	At     time.Time `json:"at"`
@@ -34,8 +35,8 @@
 	Moves  []Move    `json:"moves,omitempty"`
 }
 
-// NewSnapshot makes the snapshot of a state that all records through the offset
-// make.
+// NewSnapshot returns the snapshot of a state that results from all records up to and
+// including the offset.
 func NewSnapshot(s *State, through ledger.Offset) Snapshot {
 	snap := Snapshot{Version: s.Version, Through: through, At: s.loggedAt, Tables: s.Rows()}
 	for _, m := range s.moves.all {
@@ -45,7 +46,7 @@
 	return snap
 }
 
-// state checks the snapshot and makes its state.
+// state checks the snapshot and returns its state.
 func (n Snapshot) state() (*State, error) {
 	if n.Version < ledger.None || n.Through < n.Version {
 		return nil, errors.Wrapf(ErrSnapshot, "version %d, through %d", n.Version, n.Through)
@@ -68,17 +69,17 @@
 }
 
 const (
-	// maxRecordBytes bounds a record as it stands on the log.
+	// maxRecordBytes bounds an edit's record on the log.
 	maxRecordBytes = 8 << 20
-	// maxSnapshotBytes bounds an unpacked snapshot: some 13,000 servers take 2 MB.
+	// maxSnapshotBytes bounds a decompressed snapshot: some 13,000 servers take 2 MB.
 	maxSnapshotBytes = 64 << 20
 )
 
-// gzipMagic begins a packed snapshot; an edit is JSON and begins with a brace.
+// gzipMagic begins a compressed snapshot; an edit is JSON and begins with a brace.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Encode packs the snapshot for the log: JSON, compressed because at 13,000
-// servers it shrinks to about a tenth.
+// Encode returns the snapshot as compressed JSON for the log. With 13,000 servers
+// compression reduces it to about a tenth.
 func (n Snapshot) Encode() ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -113,7 +114,7 @@
 
 func isSnapshot(b []byte) bool { return bytes.HasPrefix(b, gzipMagic) }
 
-// DecodeEdit reads the edit of a record.
+// DecodeEdit reads the edit in a record.
 func DecodeEdit(rec ledger.Record) (Edit, error) {
 	var e Edit
 	if len(rec.Data) > maxRecordBytes {
@@ -129,9 +130,9 @@
 	return e, nil
 }
 
-// SnapshotSchedule decides when this process puts a snapshot on the log. Every
-// dispatcher has one; the jitter lets one of them be first, and the others see
-// its record and wait for another interval. Two at once do no harm, because a
+// SnapshotSchedule decides when this process appends a snapshot to the log. Every
+// dispatcher has one. Its jitter makes one dispatcher the first; the others read that
+// snapshot and wait for another interval. Two snapshots at once do no harm, since a
 // snapshot changes nothing.
 type SnapshotSchedule struct {
 	interval time.Duration
@@ -139,21 +140,22 @@
 	dueAt    time.Time
 }
 
-// NewSnapshotSchedule makes a schedule with the given shortest interval between
-// snapshots of anybody, which must be well below the log's retention.
+// NewSnapshotSchedule returns a schedule. The interval is the shortest time between the
+// snapshots of all dispatchers and must be well below the log's retention.
 func NewSnapshotSchedule(now time.Time, interval time.Duration, rnd *rand.Rand) *SnapshotSchedule {
 	s := &SnapshotSchedule{interval: interval, rnd: rnd}
 	s.Restart(now)
 	return s
 }
 
-// Restart tells that a snapshot was read from the log, or that one was tried.
+// Restart starts a new interval. It is called when a snapshot was read from the log, or
+// when this process attempts to append one.
 func (s *SnapshotSchedule) Restart(now time.Time) {
 	jitter := time.Duration(s.rnd.Int64N(int64(max(s.interval/2, 1))))
 	s.dueAt = now.Add(s.interval + jitter)
 }
 
-// Due tells whether to append a snapshot now.
+// Due reports whether to append a snapshot now.
 func (s *SnapshotSchedule) Due(now time.Time) bool {
 	return !now.Before(s.dueAt)
 }
--- a/tables/state.go
+++ b/tables/state.go
@@ -12,9 +12,8 @@
 	"snipehub.example/ledger"
 )
 
-// State is the content of the tables at a version. States are never changed
-// once made, so they may be shared between goroutines. States that follow each
-// other share all rows that did not change.
+// State is the content of the tables at a version. States are immutable, so they may be
+// shared between goroutines. Consecutive states share all rows that did not change.
 type State struct {
 	Version Version
 
@@ -23,23 +22,23 @@
 	routes      *index[string, Route]
 	teams       *index[string, Team]
 	poolEntries *index[string, *poolEntry]
-	// serverPools gives the pools that a backend server is in.
+	// serverPools gives the names of the pools that a backend server is in.
 	serverPools *index[netip.AddrPort, []string]
 	moves       *index[netip.AddrPort, Move]
 	// lastMove is the version of the newest move.
 	lastMove Version
 }
 
-// poolEntry is a pool with what refers to it.
+// poolEntry is a pool with its servers and the routes to it.
 type poolEntry struct {
 	pool Pool
 	// servers are sorted by address.
 	servers []Server
-	// kinds are the routes to the pool.
+	// kinds are the kinds of requests that are routed to the pool.
 	kinds []string
 }
 
-// Empty is the state before the first edit.
+// Empty returns the state before the first edit.
 func Empty() *State {
 	return &State{
 		Version:     ledger.None,
@@ -52,7 +51,7 @@
 	}
 }
 
-// Build checks the rows and makes the state of them.
+// Build checks the rows and returns the state that they make.
 func Build(v Version, rows Rows) (*State, error) {
 	if err := checkDuplicates(rows); err != nil {
 		return nil, err
@@ -60,8 +59,8 @@
 	return Empty().Apply(v, Edit{Base: ledger.None, Put: rows})
 }
 
-// checkDuplicates refuses rows of the same key, of which an edit would silently
-// take the last.
+// checkDuplicates rejects rows with the same key, of which an edit would silently take
+// the last.
 func checkDuplicates(rows Rows) error {
 	if k, ok := findDuplicate(rows.Pools, func(p Pool) string { return p.Name }); ok {
 		return errors.Errorf("pools: pool %q stands twice", k)
@@ -91,10 +90,10 @@
 	return none, false
 }
 
-// Route finds the row of a kind.
+// Route returns the route of a kind.
 func (s *State) Route(kind string) (Route, bool) { return s.routes.get(kind) }
 
-// Pool finds a pool's row.
+// Pool returns a pool by name.
 func (s *State) Pool(name string) (Pool, bool) {
 	g, ok := s.poolEntries.get(name)
 	if !ok {
@@ -103,8 +102,8 @@
 	return g.pool, true
 }
 
-// Servers returns the members of a pool, sorted by address; do not change the
-// result.
+// Servers returns the servers of a pool, sorted by address. The caller must not change
+// the result.
 func (s *State) Servers(pool string) []Server {
 	g, ok := s.poolEntries.get(pool)
 	if !ok {
@@ -113,7 +112,7 @@
 	return g.servers
 }
 
-// Team finds a team's row.
+// Team returns a team by name.
 func (s *State) Team(name string) (Team, bool) { return s.teams.get(name) }
 
 // Half returns the half that a backend server belongs to, or "".
@@ -126,7 +125,7 @@
 	return p.Half
 }
 
-// Halves lists the halves that the pools name, sorted.
+// Halves returns the halves that the pools name, sorted.
 func (s *State) Halves() []string {
 	var out []string
 	for _, g := range s.poolEntries.all {
@@ -136,8 +135,8 @@
 	return slices.Compact(out)
 }
 
-// Rows returns a copy of all rows, sorted by their keys. It costs a copy of the
-// tables, so it is for operators and snapshots, not for the path of a task.
+// Rows returns a copy of all rows, sorted by key. It copies the whole tables, so it is
+// for operators and snapshots and not for the handling of a task.
 func (s *State) Rows() Rows {
 	var out Rows
 	for _, r := range s.routes.all {
@@ -157,23 +156,22 @@
 	return out
 }
 
-// Move records that a backend server left a half. It is part of the state, so
-// that a fresh process knows of moves that it did not see happen.
+// Move records that a backend server left a half. Moves are part of the state, so that a
+// new process knows of moves that happened before it started.
 type Move struct {
 	Address netip.AddrPort `json:"address"`
 	From    string         `json:"from"`
-	// To is the half that it came to, or "" while it is in no pool.
+	// To is the half that the server moved to, or "" while it is in no pool.
 	To      string    `json:"to,omitempty"`
 	Version Version   `json:"version"`
 	At      time.Time `json:"at"`
 }
 
-// maxMoves bounds the moves that a state remembers. When it is reached, the
-// older half is forgotten: a process that starts later does not hold those
-// servers back.
+// maxMoves bounds the moves that a state remembers. When it is exceeded, the older half
+// of them is forgotten: a process that starts later does not hold back those servers.
 const maxMoves = 16384
 
-// movesSince returns the moves of later versions than v, oldest first.
+// movesSince returns the moves of versions later than v, oldest first.
 func (s *State) movesSince(v Version) []Move {
 	if s.lastMove <= v {
 		return nil
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -1,17 +1,16 @@
-// Package tables holds the routes and pools tables and the rule by which
-// edits of them take effect.
+// Package tables holds the routes and pools tables and the rules by which edits of them
+// take effect.
 //
-// The tables live on one stream of the platform's log. Every process replays
-// the stream in the order of its offsets and comes to the same state, so there
-// is nothing to agree on besides the order that the log gives. An edit names
-// the version that its editor saw and takes effect only when that is still the
-// current one: of two operators who race, the first on the log wins and every
-// reader rejects the other alike.
+// The tables live on one stream of the platform's log. Every process replays the stream
+// in offset order and reaches the same state, so no agreement is needed beyond the order
+// of the log. An edit names the version that its editor saw and takes effect only if that
+// is still the current one: if two operators race, the first edit on the log wins and
+// every reader rejects the other.
 //
-// Limits: the whole tables are in the memory of every process, so they are for
-// tens of thousands of backend servers, not for millions. A reader that finds
-// the start of the stream forgotten needs a snapshot, which some dispatcher
-// puts on the log from time to time, or a peer.
+// Limits: every process holds the whole tables in memory, so they are for tens of
+// thousands of backend servers, not for millions. A reader that finds the start of the
+// stream gone needs a snapshot, either from the log, where dispatchers append one at
+// intervals, or from a peer.
 package tables
 
 import "snipehub.example/ledger"
