--- a/roster/bench_test.go
+++ b/roster/bench_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// BenchmarkRosterSteady gives what membership costs one node in a second, with
-// all heartbeats encoded and decoded; the time an operation is the processor
-// time of one node.
+// BenchmarkRosterSteady measures the cost of membership for one node and second, with all
+// heartbeats encoded and decoded. The time per operation is the processor time of one
+// node.
 func BenchmarkRosterSteady(b *testing.B) {
 	for _, n := range []int{16, 64, 256, 1024, 2048} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
@@ -32,9 +32,8 @@
 	}
 }
 
-// BenchmarkRosterChurn gives how many seconds pass until all agree after a
-// quarter of the nodes have ended and as many have started, half of them at the
-// addresses of those that ended.
+// BenchmarkRosterChurn measures the seconds until all agree after a quarter of the nodes
+// have ended and as many have started, half of them at the addresses of those that ended.
 func BenchmarkRosterChurn(b *testing.B) {
 	for _, n := range []int{16, 64, 256, 1024} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
--- a/roster/book.go
+++ b/roster/book.go
@@ -10,24 +10,23 @@
 	"snipehub.example/ticket"
 )
 
-// Config sets a book.
+// Config configures a roster.
 type Config struct {
-	// SuspectAfter is how long a member must fail to answer before it is
-	// suspect.
+	// SuspectAfter is how long a member must fail to answer until it is suspect.
 	SuspectAfter time.Duration
-	// GoneAfter is how long the VM list must lack a VM, and its members must be
-	// silent, before they are gone. It must exceed the lag of the list.
+	// GoneAfter is how long a VM must be missing from the VM list, and its members
+	// silent, until they are gone. It must exceed the lag of the list.
 	GoneAfter time.Duration
-	// KeepGone is how long gone members are remembered.
+	// KeepGone is how long gone members are kept.
 	KeepGone time.Duration
-	// Members bounds the members that are remembered, gone ones included.
+	// Members is the maximum number of members that are kept, including gone ones.
 	Members int
-	// News is how many members a heartbeat tells of.
+	// News is the maximum number of other members in a heartbeat.
 	News int
 }
 
-// MemberTable is what one process knows of the others. It is pure: it gets the time
-// and its random numbers, and neither sends nor waits.
+// MemberTable is what one process knows of the others. It is a deterministic state
+// machine without I/O: the time and the random source are passed in.
 type MemberTable struct {
 	cfg  Config
 	rnd  *rand.Rand
@@ -35,47 +34,50 @@
 
 	byOwner   map[ticket.Owner]*entry
 	byAddress map[netip.AddrPort][]*entry
-	// active is the members that are not gone, for random choice, gone the
+	// active is the members that are not gone, in no particular order; gone is the
 	// others, oldest first.
 	active []*entry
 	gone   []*entry
-	// newsQueue is the members with news to spread, doubted those that failed to
-	// answer, contested the addresses at which two incarnations are known.
+	// newsQueue is the members with news to spread, unanswered those that failed to
+	// answer, and contested the addresses at which two incarnations are known.
 	newsQueue  []*entry
 	unanswered []*entry
 	contested  []netip.AddrPort
 
+	// missingSince holds the VMs that have been on the VM list, with the time since when
+	// they are missing from it, or zero.
 	missingSince   map[vm]time.Time
 	heartbeatCount uint64
 	joinAnswers    int
-	// joining tells that heartbeats still ask for many members.
+	// joining is set while heartbeats ask for many members, because this process is new.
 	joining bool
-	// behind tells that a peer knows more members, catchUp from when on it may
-	// be asked again.
+	// behind is set if a peer knows more members; nextCatchUp is the earliest time at
+	// which it may be set again.
 	behind      bool
 	nextCatchUp time.Time
 	changes     []Change
-	// fullReported and disownedReported tell that the state was reported.
+	// fullReported and disownedReported are set once the condition was reported.
 	fullReported, disownedReported bool
 }
 
 type entry struct {
 	Known
-	// knownSince is when the member was first known here.
+	// knownSince is when this process first learned of the member.
 	knownSince time.Time
-	// unansweredSince is the first failure to answer since it was heard.
+	// unansweredSince is the first failure to answer since the member was last heard, or
+	// zero.
 	unansweredSince time.Time
-	// lastAnswered is when the latest call was sent that it lastAnswered, told what it
-	// last said of itself.
+	// lastAnswered is when the latest call that the member answered was sent; advertised
+	// is the state that its latest answer gave.
 	lastAnswered time.Time
 	advertised   Member
-	// newsLeft is how many more heartbeats carry news of it.
+	// newsLeft is how many more heartbeats carry news of the member.
 	newsLeft    int
 	inNewsQueue bool
 	activeIndex int
 }
 
-// NewMemberTable makes a book that knows only this process.
+// NewMemberTable returns a table without other members.
 func NewMemberTable(self Member, cfg Config, rnd *rand.Rand) *MemberTable {
 	return &MemberTable{
 		cfg:          cfg,
@@ -88,8 +90,8 @@
 	}
 }
 
-// Received learns from a heartbeat that reached this process. It may have been on
-// the way for long, so it shows only that its sender lived once.
+// Received processes a heartbeat from a peer. It may have been delayed for long, so it
+// proves only that its sender once ran.
 func (b *MemberTable) Received(now time.Time, heartbeat Beat) {
 	b.merge(now, heartbeat.From, Live, true)
 	for _, n := range heartbeat.News {
@@ -98,8 +100,8 @@
 	b.forgetExpired(now)
 }
 
-// Answered learns from the answer to a heartbeat that was sent to the address
-// at the given time.
+// Answered processes the answer to a heartbeat that was sent to the address at the given
+// time.
 func (b *MemberTable) Answered(sent, now time.Time, to netip.AddrPort, answer Beat) {
 	known := len(b.byOwner)
 	b.Received(now, answer)
@@ -115,8 +117,8 @@
 	}
 }
 
-// recordAnswer takes the member's answer to a call that was sent at the given time. Answers can
-// pass each other on the way; the member's own count tells which it gave last.
+// recordAnswer records the member's answer to a call that was sent at the given time.
+// Answers can arrive out of order; the member's Count tells which is the latest.
 func (e *entry) recordAnswer(sent time.Time, m Member) {
 	e.lastAnswered = later(e.lastAnswered, sent)
 	if m.Count > e.advertised.Count {
@@ -124,15 +126,15 @@
 	}
 }
 
-// endPredecessors notes that whoever else was known at the address before the call was
-// sent is gone for good.
+// endPredecessors marks all other incarnations as gone that were known at the address of
+// e before the call was sent.
 //
-// An address is bound by one process at a time. Two incarnations that were both
-// known when the call began have both been started by then, one after the
-// other; the one that answers is the one that runs, so the other has ended.
-// Numbers of incarnations don't decide this: after a restart with a clock that
-// went back the new process has the lower number, its peers would take it for
-// the dead one, and its jobs would be answered as failed while they run.
+// Only one process at a time can bind an address. Two incarnations that were both known
+// when the call was sent have both been started by then, one after the other; the one
+// that answers is running, so the other has ended. Incarnation numbers don't decide this:
+// if the clock went back before a restart, the new process has the lower number, its
+// peers would take it for the ended one, and its jobs would be answered as failed while
+// they run.
 func (b *MemberTable) endPredecessors(sent, now time.Time, e *entry) {
 	for _, o := range slices.Clone(b.byAddress[e.Address]) {
 		if o != e && o.State != Gone && !o.knownSince.After(sent) && !e.knownSince.After(sent) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// atMostOneActive tells whether at most one member at the address is not gone.
+// atMostOneActive reports whether at most one member at the address is not gone.
 func (b *MemberTable) atMostOneActive(a netip.AddrPort) bool {
 	n := 0
 	for _, e := range b.byAddress[a] {
@@ -155,7 +157,7 @@
 	return n <= 1
 }
 
-// Failed notes that a heartbeat to the address was not answered.
+// Failed records that a heartbeat to the address was not answered.
 func (b *MemberTable) Failed(now time.Time, to netip.AddrPort) {
 	for _, e := range b.byAddress[to] {
 		if e.State == Live && e.unansweredSince.IsZero() {
@@ -165,7 +167,8 @@
 	}
 }
 
-// Tick turns doubt into suspicion and forgets gone members whose time is over.
+// Tick makes members suspect that have not answered for SuspectAfter, and removes gone
+// members whose retention is over.
 func (b *MemberTable) Tick(now time.Time) {
 	b.unanswered = slices.DeleteFunc(b.unanswered, func(e *entry) bool {
 		if e.unansweredSince.IsZero() || e.State != Live {
@@ -180,7 +183,8 @@
 	b.forgetExpired(now)
 }
 
-// merge takes what is told of a member, by itself or by others.
+// merge applies the state of a member that was received from the member itself (direct)
+// or from others.
 func (b *MemberTable) merge(now time.Time, m Member, s State, direct bool) {
 	if m.Owner == b.self.Owner {
 		if s == Gone && !b.disownedReported {
@@ -222,8 +226,8 @@
 	b.byOwner[m.Owner] = e
 	b.byAddress[m.Address] = append(b.byAddress[m.Address], e)
 	b.active = append(b.active, e)
-	// This process has the address itself, so whoever else is known there has
-	// ended. No call to the own address would ever tell.
+	// This process itself has the address, so any other member known there has ended. No
+	// call would reveal that, since this process does not call its own address.
 	if s == Gone || m.Address == b.self.Address {
 		b.markGone(now, e)
 		return
@@ -261,8 +265,8 @@
 	b.announce(e)
 }
 
-// announce lets the next heartbeats carry news of a member. Each process passes
-// it on a few times more than there are doublings from one to all.
+// announce adds a member to the news of the next heartbeats. Each process forwards the
+// news a few more times than it takes doublings to get from one process to all.
 func (b *MemberTable) announce(e *entry) {
 	b.changes = append(b.changes, Change{Known: e.view()})
 	e.newsLeft = 3 + bits.Len(uint(len(b.active)))
@@ -272,17 +276,17 @@
 	}
 }
 
-// forgetExpired forgets gone members after their time. Whoever asks for one of them
-// later is told that it is unknown, which is true and lets the caller come back
-// with the same id, where "gone" would be final.
+// forgetExpired removes gone members after KeepGone. A caller that then asks for one of
+// them is told that it is unknown, which is true and lets the caller retry with the same
+// id, whereas "gone" would be final.
 func (b *MemberTable) forgetExpired(now time.Time) {
 	for len(b.gone) > 0 && now.Sub(b.gone[0].Heard) >= b.cfg.KeepGone {
 		b.forget(b.gone[0])
 	}
 }
 
-// evictOne forgets the oldest gone member, or the suspect one that was silent
-// for longest.
+// evictOne removes the oldest gone member, or else the suspect one that has been silent
+// for longest. It reports whether there was one.
 func (b *MemberTable) evictOne() bool {
 	if len(b.gone) > 0 {
 		b.forget(b.gone[0])
@@ -327,7 +331,7 @@
 	return k
 }
 
-// Changes returns what happened since it was last called.
+// Changes returns the changes since the last call and clears them.
 func (b *MemberTable) Changes() []Change {
 	c := b.changes
 	b.changes = nil
@@ -353,5 +357,5 @@
 	return out
 }
 
-// Len returns how many other members are remembered.
+// Len returns the number of other members, including gone ones.
 func (b *MemberTable) Len() int { return len(b.byOwner) }
--- a/roster/book_test.go
+++ b/roster/book_test.go
@@ -12,21 +12,21 @@
 	"snipehub.example/ticket"
 )
 
-// faults is a few processes under every fault at once, and a platform whose VM
-// list lags.
+// faults is a simulation of a few processes with all kinds of faults at once, and a
+// platform whose VM list lags.
 type faults struct {
 	*sim
 	count uint64
 	links map[[2]*node]bool
-	// lateAnswers are answers that are still on their way; lists the VM lists of the
-	// past.
+	// lateAnswers deliver answers that are still on the way; pastVMLists are the VM lists
+	// of each second so far.
 	lateAnswers []func(time.Time)
 	pastVMLists [][]ledger.VM
 }
 
 const (
 	faultNodes = 6
-	// listLag is how many seconds the VM list is late, less than GoneAfter.
+	// listLag is the maximum lag of the VM list in seconds; it must be below GoneAfter.
 	listLag = 12
 )
 
@@ -40,7 +40,8 @@
 	return f
 }
 
-// startProcess starts a process; its clock gives an incarnation around the number.
+// startProcess starts a process with an incarnation number around the given one, as its
+// clock would give it.
 func (f *faults) startProcess(i int, around uint64) {
 	f.count++
 	f.start(i, around*1000+f.count)
@@ -54,7 +55,7 @@
 	}
 }
 
-// check holds that no incarnation that runs is held to be gone by anybody.
+// check fails if any process holds a running incarnation to be gone.
 func (f *faults) check(t *rapid.T) {
 	for _, n := range f.nodes {
 		for _, k := range n.table.All() {
@@ -66,11 +67,11 @@
 	}
 }
 
-// Processes die, freeze and start again at the same address, some with a clock
-// that went back; calls are cut one way and both ways, answers arrive after
-// their sender has died; the VM list is late or down, and VMs come back under
-// the same name and address. A running process that others held to be gone
-// would have its callers told that their jobs failed.
+// Processes end, freeze and restart at the same address, some with a clock that went
+// back; calls are lost in one or both directions; answers arrive after their sender has
+// ended; the VM list lags or is missing, and VMs return under the same name and address.
+// If a running process were held to be gone, its callers would be told that their jobs
+// failed.
 func TestRapidRunningIsNeverGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFaults()
@@ -118,7 +119,7 @@
 	})
 }
 
-// endFaults ends the faults; soon all agree on who runs.
+// endFaults ends the faults. All must agree within a minute on which processes run.
 func (f *faults) endFaults(t *rapid.T) {
 	clear(f.links)
 	for i := range faultNodes {
@@ -134,12 +135,12 @@
 			return
 		}
 	}
-	t.Fatal("no agreement a minute after the faults")
+	t.Fatal("no agreement a minute after the faults ended")
 }
 
-// A VM is taken away. Its process is silent and the list no longer has the VM,
-// so callers must learn that its jobs failed; but not while the list may only
-// be late, and not when the list comes back empty.
+// A VM is removed. Its process is silent and the list no longer has the VM, so callers
+// must learn that its jobs failed; but not while the list may only lag, and not because
+// of an empty list.
 func TestGoneByTheVMList(t *testing.T) {
 	s := newSim(8, 1)
 	for i := range 8 {
@@ -167,7 +168,7 @@
 	run(120, whole)
 	run(120, nil)
 	if state() != Suspect {
-		t.Fatalf("%s without a word of the list, want suspect", state())
+		t.Fatalf("%s while the VM list proves nothing, want suspect", state())
 	}
 	run(59, s.vmList())
 	if state() != Suspect {
@@ -179,13 +180,13 @@
 	}
 	run(600, s.vmList())
 	if _, ok := b.Find(victim); ok {
-		t.Fatal("gone members are kept for ever")
+		t.Fatal("the gone member is still kept after KeepGone")
 	}
 }
 
-// The platform uses a VM's name and address again. The new process is heard and
-// then cut off from this one, while the list still lacks the VM because it lags.
-// The new process must not be held to be gone for the absence of the old VM.
+// The platform reuses a VM's name and address. The new process is heard and then cut off
+// from this one, while the lagging list still lacks the VM. The absence of the old VM
+// must not make the new process gone.
 func TestAbsenceOfTheOldVMSaysNothingOfTheNew(t *testing.T) {
 	s := newSim(8, 1)
 	for i := range 8 {
@@ -214,9 +215,9 @@
 	}
 }
 
-// Far more members are heard of than the settings allow, as after a mistake in
-// the seeds of two systems. The book stays bounded and forgets the dead first;
-// whoever was forgotten is unknown, not gone.
+// Far more members are heard of than the settings allow, for example after two systems
+// were given each other's seeds by mistake. The table must stay bounded and forget gone
+// and suspect members first; a forgotten member is unknown, not gone.
 func TestMemberTableIsBounded(t *testing.T) {
 	cfg := simConfig
 	cfg.Members = 10
@@ -236,18 +237,17 @@
 	b.Tick(s.now.Add(time.Minute))
 	b.Received(s.now.Add(time.Minute), Beat{From: member(30)})
 	if _, ok := b.Find(member(3).Owner); ok {
-		t.Error("a suspect member was kept rather than a live one")
+		t.Error("the suspect member was kept instead of a live one")
 	}
 	if _, ok := b.Find(member(30).Owner); !ok || b.Len() != 10 {
-		t.Error("no room was made for a live member")
+		t.Error("no member was evicted for the live one")
 	}
 }
 
-// Two heartbeats are on their way to one neighbour, and the answer to the first arrives
-// after that to the second. What the neighbour said first must not replace what it said
-// last: this process may be cut off from the platform, and whether it goes on placing work
-// depends on whether a neighbour has newer tables. With the older answer in place of the
-// newer, a backend server that has moved gets work of both halves.
+// Two heartbeats to one neighbour are answered out of order. The older answer must not
+// replace the newer: this process may be cut off from the platform, and whether it
+// continues to place work depends on whether a neighbour has newer tables. With the older
+// answer, a backend server that has moved would get work of both halves.
 func TestLateAnswerDoesNotReplaceANewerOne(t *testing.T) {
 	s := newSim(2, 1)
 	b := s.start(0, 1).table
@@ -264,8 +264,8 @@
 	if len(n) != 1 || n[0].Told.Tables != 7 || !n[0].Answered.Equal(second) {
 		t.Errorf("%+v", n)
 	}
-	// Its answers can pass each other the other way round too: then the later one is of
-	// the earlier call, and the neighbour had still got the later call by then.
+	// In the other order the later answer belongs to the earlier call; the neighbour had
+	// still received the later call by then.
 	b.Answered(second.Add(time.Second), second.Add(time.Second), near.Address, heartbeat(3, 7))
 	b.Answered(second, second.Add(2*time.Second), near.Address, heartbeat(4, 8))
 	n = b.Neighbours()
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -8,63 +8,66 @@
 )
 
 const (
-	// joinAnswerMembers is how many members the answer to a new process names.
+	// joinAnswerMembers is how many members are in the answer to a new process.
 	joinAnswerMembers = 1024
-	// A new process asks for such answers until one of them names fewer than
-	// joinMinNew members that it did not know: of hundreds that start at once, the
-	// first to be asked know little themselves. It asks at least joinLeast and
-	// at most joinMost times.
+	// A new process asks for such answers until one of them names fewer than joinMinNew
+	// members that it did not know: if hundreds start at once, the first ones asked know
+	// few members themselves. It asks at least minJoinRequests and at most
+	// maxJoinRequests times.
 	joinMinNew      = 4
 	minJoinRequests = 3
 	maxJoinRequests = 32
-	// catchUpInterval is how often a process that knows fewer members than a peer
-	// may ask for many at once. With few news in each heartbeat alone, the last
-	// members of a large burst are learned by chance.
+	// catchUpInterval is the shortest time between two requests for many members by a
+	// process that knows fewer than a peer. With the few members of ordinary heartbeats
+	// alone, it would be left to chance when the last members of a large burst are
+	// learned.
 	catchUpInterval = 10 * time.Second
-	// exploreInterval is how many heartbeats pass until one goes to an address
-	// that no known member has, so that two groups that forgot each other
-	// during a long partition find together again.
+	// exploreInterval is the number of heartbeats after which one goes to an address of
+	// no known member, so that two groups that forgot each other during a long partition
+	// find each other again.
 	exploreInterval = 16
-	// searchTargets is how many addresses a process tries at once while it knows
-	// nobody.
+	// searchTargets is how many addresses a process tries at once while it knows no other
+	// member.
 	searchTargets = 4
-	// maxPickTries bounds the search for a random member that fits.
+	// maxPickTries bounds the attempts to find a suitable random member.
 	maxPickTries = 16
 )
 
-// Beat returns the next heartbeat of this process; self is filled in by the
-// caller except for its count.
+// Beat returns the next heartbeat of this process. The caller fills in self, except for
+// owner, address and count.
 func (b *MemberTable) Beat(self Member) Beat {
 	join := b.joining || b.behind
 	b.behind = false
 	return Beat{From: b.nextSelf(self), Join: join, Size: len(b.active), News: b.news(b.cfg.News)}
 }
 
-// Answer returns the answer to a heartbeat, which has been learned before.
+// Answer returns the answer to a heartbeat, which must have been passed to Received
+// before.
 func (b *MemberTable) Answer(self Member, to Beat) Beat {
 	out := Beat{From: b.nextSelf(self), Size: len(b.active), News: b.news(b.cfg.News)}
 	if to.Join {
 		out.News = b.addRandom(out.News, joinAnswerMembers)
 	}
-	// Whoever is held to be gone and speaks must know it: its jobs are answered
-	// as failed by others.
+	// A running process that is held to be gone must learn of it: others answer its jobs
+	// as failed.
 	if e, ok := b.byOwner[to.From.Owner]; ok && e.State == Gone {
 		out.News = append(out.News, News{e.Member, Gone})
 	}
 	return out
 }
 
+// nextSelf returns the state that this process advertises next, and stores it.
 func (b *MemberTable) nextSelf(self Member) Member {
 	self.Owner, self.Address, self.Count = b.self.Owner, b.self.Address, b.self.Count+1
 	b.self = self
 	return self
 }
 
-// Self returns this process as it last spoke.
+// Self returns this process as it was last advertised.
 func (b *MemberTable) Self() Member { return b.self }
 
-// news returns up to n members: first those of which there is something new,
-// then random ones, so that free slots and versions stay fresh everywhere.
+// news returns up to n members: first those in the news queue, for up to three quarters
+// of n, then random ones, so that free slots and versions stay up to date everywhere.
 func (b *MemberTable) news(n int) []News {
 	out := make([]News, 0, n+1)
 	remaining := len(b.newsQueue)
@@ -102,8 +105,8 @@
 	return out
 }
 
-// Targets picks up to n addresses for the next heartbeat. Others are addresses
-// at which there may be members: seeds, and those that the VM list gives.
+// Targets returns up to n addresses for the next heartbeat. others are addresses at which
+// there may be members: seeds and those from the VM list.
 func (b *MemberTable) Targets(n int, others []netip.AddrPort) []netip.AddrPort {
 	b.heartbeatCount++
 	if len(b.active) == 0 {
@@ -126,7 +129,7 @@
 	return out[:min(n, len(out))]
 }
 
-// search picks addresses for a process that knows nobody.
+// search returns addresses to try for a process that knows no other member.
 func (b *MemberTable) search(others []netip.AddrPort) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, i := range b.rnd.Perm(len(others)) {
@@ -140,9 +143,9 @@
 	return out
 }
 
-// urgentTarget returns an address whose member must be known better: two incarnations
-// are known there, or the one did not answer. It is one a heartbeat at most, so
-// that a rack that fails does not take the heartbeats from the others.
+// urgentTarget returns an address where two incarnations are known or the member did not
+// answer. There is at most one for each heartbeat, so that the failure of a rack does not
+// take the heartbeats from all other members.
 func (b *MemberTable) urgentTarget() (netip.AddrPort, bool) {
 	if len(b.contested) > 0 {
 		a := b.contested[0]
@@ -167,9 +170,9 @@
 	return netip.AddrPort{}, false
 }
 
-// randomTarget returns a random member's address, where it can of the own data centre.
-// One heartbeat a period stays inside it, because a data centre that is cut off
-// lives by what its members tell each other.
+// randomTarget returns the address of a random member. With preferLocal it tries to find
+// one of the own data centre: one heartbeat per period stays inside it, because a data
+// centre that is cut off depends on what its members tell each other.
 func (b *MemberTable) randomTarget(preferLocal bool) (netip.AddrPort, bool) {
 	if len(b.active) == 0 {
 		return netip.AddrPort{}, false
@@ -190,12 +193,12 @@
 	return false
 }
 
-// Neighbour is a member of the own data centre as the rule for stale tables
-// needs it.
+// Neighbour is what the rule for outdated tables needs to know of a member of the own
+// data centre.
 type Neighbour struct {
 	State State
-	// Answered is when the latest call was sent that it answered, zero for never;
-	// Told is what it last said of itself in an answer.
+	// Answered is when the latest call that the member answered was sent, or zero; Told
+	// is the state that its latest answer gave.
 	Answered time.Time
 	Told     Member
 }
--- a/roster/list.go
+++ b/roster/list.go
@@ -7,22 +7,22 @@
 	"snipehub.example/ledger"
 )
 
-// vm is a VM of the list. Names and addresses are both used again by the
-// platform, so only the two together name one.
+// vm is the identity of a VM. The platform reuses both names and addresses, so only the
+// pair identifies a VM.
 type vm struct {
 	name    string
 	address netip.Addr
 }
 
-// List takes the platform's VM list.
+// List processes the platform's VM list.
 //
-// A member is gone for good when its VM was on the list, is on none of the
-// lists of the time GoneAfter, and the member is silent for that time. Each of
-// these has its reason. A fresh VM is not on the list yet, because the list
-// lags. A VM whose name and address are used again may be missing from a list
-// that lags although its new process lives; that one is heard. A list that is
-// down or empty says nothing. If a live owner were taken for gone, callers would
-// be told that their jobs failed while they run.
+// A member is gone for good if its VM was once on the list, is then missing from all
+// lists for GoneAfter, and the member is silent for that time. Each condition has a
+// reason. A new VM is not on the list yet, because the list lags. A VM with a reused name
+// and address may be missing from a lagging list although its new process runs; that
+// process is heard. An empty list, or none because the platform is down, proves nothing.
+// If a running owner were taken for gone, callers would be told that their jobs failed
+// while they run.
 func (b *MemberTable) List(now time.Time, list []ledger.VM) {
 	if len(list) == 0 {
 		return
@@ -37,7 +37,7 @@
 	b.forgetUnusedVMs()
 }
 
-// forgetUnusedVMs forgets VMs that no member has, so that there are never more of them
+// forgetUnusedVMs removes VMs without an active member, so that there are never more VMs
 // than members.
 func (b *MemberTable) forgetUnusedVMs() {
 	used := make(map[vm]struct{}, len(b.active))
--- a/roster/member.go
+++ b/roster/member.go
@@ -1,16 +1,15 @@
-// Package roster knows which dispatchers there are.
+// Package roster keeps track of the dispatchers of the system.
 //
-// Members tell each other by heartbeats with a few random peers, each of which
-// carries a bounded number of news about others; so the cost of a node does not
-// grow with their number. A member that does not answer becomes suspect,
-// nothing more. Only two things make an incarnation gone for good: another
-// process answers at its address, or the platform's VM list no longer has its
-// VM and nobody hears it. A suspect owner's jobs are "unknown, come back with
-// the same id"; a gone owner's are failed.
+// Members exchange heartbeats with a few random peers. Each heartbeat carries a bounded
+// number of other members' states, so the cost for a process does not grow with the
+// number of members. A member that does not answer becomes suspect, nothing more. Only
+// two things make an incarnation gone for good: another process answers at its address,
+// or its VM is missing from the platform's VM list and nothing is heard of it. The jobs
+// of a suspect owner are "unknown", and their callers may retry with the same id; those
+// of a gone owner are failed.
 //
-// Limits: a few thousand members; each keeps all others in memory. Nothing here
-// is agreed upon: views differ for some seconds, and whoever uses them must
-// bear that.
+// Limits: a few thousand members; each keeps all others in memory. There is no consensus:
+// the views of the members differ for some seconds, and their users must tolerate that.
 package roster
 
 import (
@@ -21,7 +20,7 @@
 	"snipehub.example/ticket"
 )
 
-// State is how sure we are of a member.
+// State is what is known of a member's condition.
 type State string
 
 // The states of a member.
@@ -37,50 +36,52 @@
 	Owner   ticket.Owner   `json:"owner"`
 	Address netip.AddrPort `json:"address"`
 	Leaving bool           `json:"leaving,omitempty"`
-	// Count grows with each heartbeat and answer of the member's own.
+	// Count increases with each heartbeat and each answer that the member sends.
 	Count uint64 `json:"count"`
-	// Tables is the tables version in force there.
+	// Tables is the version of the tables in force at the member.
 	Tables tables.Version `json:"tables"`
-	// Confirmed tells that the version was confirmed to be the newest on the
-	// log, and Age how long ago, as of the sending of the heartbeat. Both are
-	// known only of members that were heard directly.
+	// Confirmed is set if the member knows from a confirmation that the version was the
+	// newest on the log; Age is the age of that confirmation when the heartbeat was sent.
+	// Both are known only of members that were heard directly.
 	Confirmed bool          `json:"confirmed,omitempty"`
 	Age       time.Duration `json:"age,omitempty"`
-	// FreeSlots is how many more tasks it could start now.
+	// FreeSlots is how many more tasks the member could start now.
 	FreeSlots int `json:"free_slots"`
-	// Connections is its size: how many tasks it runs at once.
+	// Connections is the member's size: how many tasks it runs at once.
 	Connections int `json:"connections,omitempty"`
 }
 
-// Known is a member with what we think of it.
+// Known is a member and its state as this process knows them.
 type Known struct {
 	Member
-	State State     `json:"state"`
+	State State `json:"state"`
+	// Heard is when a heartbeat last carried a higher Count of the member, or, for a gone
+	// member, when it became gone.
 	Heard time.Time `json:"heard"`
 }
 
-// News is what a member thinks of another one: live, suspect or gone.
+// News is the state of another member as the sender of a heartbeat knows it: live,
+// suspect or gone.
 type News struct {
 	Member
 	State State
 }
 
-// Beat is a heartbeat, and the answer to one.
+// Beat is a heartbeat, or the answer to one.
 type Beat struct {
 	From Member
 	// Join asks for many members at once, because the sender is new.
 	Join bool
-	// Size is how many other members the sender knows that are not gone.
+	// Size is how many other members that are not gone the sender knows.
 	Size int
 	News []News
 }
 
-// Change tells what became of a member, for the log and for those who wait on
-// it.
+// Change is a change of a member's state, for the log and for code that waits for it.
 type Change struct {
 	Known
-	// Full tells that the member could not be remembered.
+	// Full is set if the member could not be added because the roster is full.
 	Full bool
-	// Self tells that others hold this process itself to be gone.
+	// Self is set if other members hold this process to be gone.
 	Self bool
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -10,18 +10,18 @@
 	"snipehub.example/ticket"
 )
 
-// Roster is a book that may be used from any goroutine.
+// Roster is a MemberTable that is safe for concurrent use.
 type Roster struct {
 	fillSelf func(now time.Time, m *Member)
-	// report is told each change, without a lock held.
+	// report is called for each change, without the lock held.
 	report func(Change)
 
 	mu    sync.Mutex
 	table *MemberTable
 }
 
-// New makes a roster that knows only this process. Fill sets what a heartbeat
-// tells of it; report is called for each change.
+// New returns a roster without other members. fillSelf sets what a heartbeat advertises
+// of this process; report is called for each change.
 func New(self Member, cfg Config, rnd *rand.Rand, fillSelf func(time.Time, *Member), report func(Change)) *Roster {
 	return &Roster{fillSelf: fillSelf, report: report, table: NewMemberTable(self, cfg, rnd)}
 }
@@ -42,8 +42,8 @@
 	return m
 }
 
-// Beat returns the next heartbeat of this process and up to n addresses to send
-// it to; others are addresses at which there may be members.
+// Beat returns the next heartbeat of this process and up to n addresses to send it to.
+// others are addresses at which there may be members.
 func (r *Roster) Beat(now time.Time, n int, others []netip.AddrPort) (heartbeat Beat, to []netip.AddrPort) {
 	self := r.currentSelf(now)
 	r.withTable(func(b *MemberTable) {
@@ -54,7 +54,7 @@
 	return heartbeat, to
 }
 
-// Answer takes a peer's heartbeat and returns the answer to it.
+// Answer processes a peer's heartbeat and returns the answer to it.
 func (r *Roster) Answer(now time.Time, in Beat) (out Beat) {
 	self := r.currentSelf(now)
 	r.withTable(func(b *MemberTable) {
@@ -64,17 +64,18 @@
 	return out
 }
 
-// Answered takes the answer to a heartbeat that was sent to the address.
+// Answered processes the answer to a heartbeat that was sent to the address at the given
+// time.
 func (r *Roster) Answered(sent, now time.Time, to netip.AddrPort, in Beat) {
 	r.withTable(func(b *MemberTable) { b.Answered(sent, now, to, in) })
 }
 
-// Failed notes that the address did not answer.
+// Failed records that a heartbeat to the address was not answered.
 func (r *Roster) Failed(now time.Time, to netip.AddrPort) {
 	r.withTable(func(b *MemberTable) { b.Failed(now, to) })
 }
 
-// List takes the platform's VM list.
+// List processes the platform's VM list.
 func (r *Roster) List(now time.Time, vms []ledger.VM) {
 	r.withTable(func(b *MemberTable) { b.List(now, vms) })
 }
@@ -91,7 +92,7 @@
 	return out
 }
 
-// Self returns this process as it last spoke.
+// Self returns this process as it was last advertised.
 func (r *Roster) Self() (m Member) {
 	r.withTable(func(b *MemberTable) { m = b.Self() })
 	return m
@@ -103,7 +104,7 @@
 	return out
 }
 
-// Len returns how many other members are remembered.
+// Len returns the number of other members, including gone ones.
 func (r *Roster) Len() (n int) {
 	r.withTable(func(b *MemberTable) { n = b.Len() })
 	return n
--- a/roster/sim_test.go
+++ b/roster/sim_test.go
@@ -14,8 +14,7 @@
 	"snipehub.example/ticket"
 )
 
-// TestMain fixes the seed of rapid, so that a run has the same verdict each
-// time. For long runs:
+// TestMain fixes the seed of rapid, so that each run has the same result. For long runs:
 //
 //	go test ./roster -run Rapid -rapid.seed=0 -rapid.checks=5000
 func TestMain(m *testing.M) {
@@ -26,16 +25,16 @@
 	os.Exit(m.Run())
 }
 
-// sim is many books that exchange encoded heartbeats on one clock.
+// sim simulates many processes that exchange heartbeats on one clock.
 type sim struct {
 	now   time.Time
 	rnd   *rand.Rand
 	cfg   Config
 	seeds []netip.AddrPort
 	nodes map[netip.AddrPort]*node
-	// cut tells that a call does not get through.
+	// cut reports whether a call between two nodes is lost.
 	cut func(from, to *node) bool
-	// encode sends heartbeats in their wire form.
+	// encode is set if heartbeats pass through their JSON form.
 	encode bool
 	bytes  int
 	calls  int
@@ -69,7 +68,7 @@
 	return s
 }
 
-// simAddress gives two processes to each VM.
+// simAddress returns the address of a node; each VM has two nodes.
 func simAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i / 512), byte(i / 2 % 256)}), uint16(7500+i%2))
 }
@@ -82,7 +81,7 @@
 	return n
 }
 
-// second lets every process send its heartbeats.
+// second advances the clock by a second and lets every process send its heartbeats.
 func (s *sim) second() {
 	s.now = s.now.Add(time.Second)
 	for i := range 2*len(s.nodes) + 8 {
@@ -101,7 +100,8 @@
 	}
 }
 
-// call sends a heartbeat and returns what the sender does with the answer.
+// call sends a heartbeat and returns a function that delivers the answer to the sender,
+// or nil if there is no answer.
 func (s *sim) call(n *node, a netip.AddrPort, b Beat) func(now time.Time) {
 	if a == n.addr {
 		return nil
@@ -142,8 +142,8 @@
 	return out
 }
 
-// agree tells whether every process has every other one as live and none that
-// has ended.
+// agree reports whether every process that is not frozen has all others as live and none
+// that has ended.
 func (s *sim) agree() bool {
 	for _, n := range s.nodes {
 		if n.frozen {
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -11,14 +11,14 @@
 	"snipehub.example/ticket"
 )
 
-// ErrHeartbeat is returned for text that is not a heartbeat.
+// ErrHeartbeat is returned for a malformed heartbeat.
 var ErrHeartbeat = errors.New("roster: malformed heartbeat")
 
-// maxHeartbeatNews bounds the news of a heartbeat that is read.
+// maxHeartbeatNews bounds the number of members in a received heartbeat.
 const maxHeartbeatNews = 2048
 
-// wireMember is a member as it stands in a heartbeat. The owner is written as
-// a ticket's name: as an object it would take a third of the heartbeat.
+// wireMember is the JSON form of a member in a heartbeat. The owner is written as a
+// ticket ID: as an object it would take a third of the heartbeat.
 type wireMember struct {
 	Owner   string         `json:"owner"`
 	Address netip.AddrPort `json:"addr"`
@@ -38,7 +38,7 @@
 	News []wireMember `json:"news,omitempty"`
 }
 
-// MarshalJSON writes the heartbeat in its short form.
+// MarshalJSON encodes the heartbeat in its compact form.
 func (b Beat) MarshalJSON() ([]byte, error) {
 	w := wireHeartbeat{From: toWire(b.From, Live), Join: b.Join, Size: b.Size, News: make([]wireMember, 0, len(b.News))}
 	if b.From.Confirmed {
@@ -114,7 +114,8 @@
 		Connections: w.Conns,
 	}
 	if w.Age != nil {
-		// A part of a millisecond was cut off; an age is never told too young.
+		// The sender truncated the age to milliseconds; it must not appear younger than
+		// it is.
 		m.Confirmed, m.Age = true, time.Duration(*w.Age+1)*time.Millisecond
 	}
 	if w.State == "" {
@@ -123,5 +124,5 @@
 	return m, w.State, nil
 }
 
-// maxAge bounds the age of a confirmation that is told.
+// maxAge bounds the age of a confirmation in a received heartbeat.
 const maxAge = 1000 * time.Hour
