--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -13,9 +13,9 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// idleTimeout is how long a connection stays open without a call. Heartbeats go to
-// random members, so a process would otherwise end up with a connection to each of
-// thousands.
+// idleTimeout is how long a connection must be without calls until it may be closed,
+// which happens when a peer without a connection is called. Heartbeats go to random
+// members, so a process would otherwise end up with a connection to each of thousands.
 const idleTimeout = time.Minute
 
 // Dialer holds a connection to each peer that was called recently.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -6,7 +6,7 @@
 //
 // Limits: a frame has at most maxFrameBytes bytes; a connection is closed if the peer
 // does not accept a write within the write timeout; a dialer keeps one connection to each
-// peer and closes connections that are idle for idleTimeout.
+// peer and closes those that were idle for idleTimeout when it opens another.
 package peer
 
 import (
--- a/tables/edit.go
+++ b/tables/edit.go
@@ -92,14 +92,14 @@
 // poolEntry returns the entry of a pool for modification, or nil if there is no such
 // pool.
 func (d *draft) poolEntry(name string) *poolEntry {
-	if g, ok := d.ownEntries[name]; ok {
-		return g
+	if entry, ok := d.ownEntries[name]; ok {
+		return entry
 	}
-	g, ok := d.poolEntries.get(name)
+	entry, ok := d.poolEntries.get(name)
 	if !ok {
 		return nil
 	}
-	c := *g
+	c := *entry
 	d.ownEntries[name] = &c
 	d.poolEntries.set(name, &c)
 	return &c
@@ -110,18 +110,18 @@
 		if err := p.check(); err != nil {
 			return err
 		}
-		g := d.poolEntry(p.Name)
-		if g == nil {
-			g = &poolEntry{}
-			d.ownEntries[p.Name] = g
-			d.poolEntries.set(p.Name, g)
+		entry := d.poolEntry(p.Name)
+		if entry == nil {
+			entry = &poolEntry{}
+			d.ownEntries[p.Name] = entry
+			d.poolEntries.set(p.Name, entry)
 		}
-		if g.pool.Half != p.Half {
-			for _, v := range g.servers {
+		if entry.pool.Half != p.Half {
+			for _, v := range entry.servers {
 				d.changedServers[v.Address] = struct{}{}
 			}
 		}
-		g.pool = p
+		entry.pool = p
 	}
 	return nil
 }
@@ -157,18 +157,18 @@
 		delete(c.drop, v.Address)
 	}
 	for pool, c := range changes {
-		if g := d.poolEntry(pool); g != nil {
-			d.changeEntry(g, c)
+		if entry := d.poolEntry(pool); entry != nil {
+			d.changeEntry(entry, c)
 		}
 	}
 	return nil
 }
 
-func (d *draft) changeEntry(g *poolEntry, c *serverChange) {
+func (d *draft) changeEntry(entry *poolEntry, c *serverChange) {
 	for a := range c.drop {
-		d.removeFromPool(a, g.pool.Name)
+		d.removeFromPool(a, entry.pool.Name)
 	}
-	kept := slices.Clone(g.servers)
+	kept := slices.Clone(entry.servers)
 	if len(c.drop) > 0 {
 		kept = slices.DeleteFunc(kept, func(v Server) bool {
 			_, ok := c.drop[v.Address]
@@ -185,13 +185,13 @@
 		added[v.Address] = v
 	}
 	for a, v := range added {
-		d.addToPool(a, g.pool.Name)
+		d.addToPool(a, entry.pool.Name)
 		kept = append(kept, v)
 	}
 	if len(added) > 0 {
 		slices.SortFunc(kept, func(a, b Server) int { return a.Address.Compare(b.Address) })
 	}
-	g.servers = kept
+	entry.servers = kept
 }
 
 func compareAddress(v Server, a netip.AddrPort) int { return v.Address.Compare(a) }
@@ -221,12 +221,12 @@
 		if err := r.check(); err != nil {
 			return err
 		}
-		g := d.poolEntry(r.Pool)
-		if g == nil {
+		entry := d.poolEntry(r.Pool)
+		if entry == nil {
 			return errors.Errorf("routes: kind %q: no pool %q", r.Kind, r.Pool)
 		}
 		d.detachKind(r.Kind)
-		g.kinds = append(slices.Clip(g.kinds), r.Kind)
+		entry.kinds = append(slices.Clip(entry.kinds), r.Kind)
 		d.routes.set(r.Kind, r)
 	}
 	for _, kind := range e.Drop.Routes {
@@ -245,8 +245,8 @@
 	if !ok {
 		return
 	}
-	g := d.poolEntry(r.Pool)
-	g.kinds = slices.DeleteFunc(slices.Clone(g.kinds), func(k string) bool { return k == kind })
+	entry := d.poolEntry(r.Pool)
+	entry.kinds = slices.DeleteFunc(slices.Clone(entry.kinds), func(k string) bool { return k == kind })
 }
 
 func (d *draft) dropPools(e Edit) error {
@@ -254,14 +254,14 @@
 		if slices.ContainsFunc(e.Put.Pools, func(p Pool) bool { return p.Name == name }) {
 			continue
 		}
-		g := d.poolEntry(name)
+		entry := d.poolEntry(name)
 		switch {
-		case g == nil:
+		case entry == nil:
 			continue
-		case len(g.servers) > 0:
-			return errors.Errorf("servers: %s: no pool %q", g.servers[0].Address, name)
-		case len(g.kinds) > 0:
-			return errors.Errorf("routes: kind %q: no pool %q", g.kinds[0], name)
+		case len(entry.servers) > 0:
+			return errors.Errorf("servers: %s: no pool %q", entry.servers[0].Address, name)
+		case len(entry.kinds) > 0:
+			return errors.Errorf("routes: kind %q: no pool %q", entry.kinds[0], name)
 		}
 		d.poolEntries.remove(name)
 		delete(d.ownEntries, name)
@@ -291,8 +291,8 @@
 		}
 	}
 	for _, p := range e.Put.Pools {
-		g, _ := d.poolEntries.get(p.Name)
-		for _, kind := range g.kinds {
+		entry, _ := d.poolEntries.get(p.Name)
+		for _, kind := range entry.kinds {
 			if err := d.checkRoute(kind); err != nil {
 				return err
 			}
@@ -303,9 +303,9 @@
 
 func (d *draft) checkRoute(kind string) error {
 	r, _ := d.routes.get(kind)
-	g, _ := d.poolEntries.get(r.Pool)
-	if r.Half != g.pool.Half {
-		return errors.Errorf("routes: kind %q: half %q, but pool %q is of half %q", kind, r.Half, r.Pool, g.pool.Half)
+	entry, _ := d.poolEntries.get(r.Pool)
+	if r.Half != entry.pool.Half {
+		return errors.Errorf("routes: kind %q: half %q, but pool %q is of half %q", kind, r.Half, r.Pool, entry.pool.Half)
 	}
 	return nil
 }
@@ -330,11 +330,11 @@
 	pools, _ := d.serverPools.get(a)
 	half := ""
 	for _, name := range pools {
-		g, _ := d.poolEntries.get(name)
-		if half != "" && half != g.pool.Half {
+		entry, _ := d.poolEntries.get(name)
+		if half != "" && half != entry.pool.Half {
 			return "", errors.Errorf("servers: %s: in pools of two halves", a)
 		}
-		half = g.pool.Half
+		half = entry.pool.Half
 	}
 	return half, nil
 }
@@ -358,7 +358,7 @@
 	d.lastMove = v
 }
 
-// dropOldMoves removes the older half of the moves.
+// dropOldMoves removes the oldest moves, half of them by number.
 func (d *draft) dropOldMoves() {
 	all := make([]Move, 0, d.moves.x.len())
 	for _, m := range d.moves.x.all {
--- a/tables/follow.go
+++ b/tables/follow.go
@@ -35,9 +35,9 @@
 // Follower keeps the newest state that this process knows. It is a suture service and
 // safe for concurrent use.
 type Follower struct {
-	log *slog.Logger
-	st  logClient
-	cfg Config
+	log    *slog.Logger
+	client logClient
+	cfg    Config
 
 	state     atomic.Pointer[State]
 	confirmed atomic.Pointer[time.Time]
@@ -66,10 +66,10 @@
 }
 
 // New returns a follower.
-func New(log *slog.Logger, st logClient, cfg Config, rnd *rand.Rand) *Follower {
+func New(log *slog.Logger, client logClient, cfg Config, rnd *rand.Rand) *Follower {
 	f := &Follower{
 		log:       log,
-		st:        st,
+		client:    client,
 		cfg:       cfg,
 		replay:    NewReplay(),
 		complete:  true,
@@ -117,7 +117,7 @@
 	f.skipWait = false
 	f.mu.Unlock()
 	readStart := time.Now()
-	p, err := f.st.Read(readCtx, Stream, from, wait)
+	p, err := f.client.Read(readCtx, Stream, from, wait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
@@ -272,12 +272,12 @@
 func (f *Follower) Body(a Ask) (Body, error) {
 	f.mu.Lock()
 	p, ok := f.replay.EditsSince(a)
-	st, through, whole := f.replay.SnapshotBasis()
+	st, through, hasBasis := f.replay.SnapshotBasis()
 	f.mu.Unlock()
 	switch {
 	case ok:
 		return Body{Page: &p}, nil
-	case !whole:
+	case !hasBasis:
 		return Body{}, nil
 	}
 	b, err := f.snapshot(st, through, a.From)
@@ -343,7 +343,7 @@
 	if err != nil {
 		return err
 	}
-	off, err := f.st.Append(ctx, Stream, b)
+	off, err := f.client.Append(ctx, Stream, b)
 	if err != nil {
 		event.SnapshotFailed.Log(f.log, "version", st.Version, "error", err)
 		return nil
--- a/tables/replay.go
+++ b/tables/replay.go
@@ -61,18 +61,18 @@
 
 // add appends a record. If that exceeds the limits it drops the oldest records and
 // returns the last offset dropped.
-func (l *recordBuffer) add(rec ledger.Record) (dropped ledger.Offset, full bool) {
-	l.records = append(l.records, rec)
-	l.bytes += len(rec.Data)
-	for len(l.records) > l.limits.records || l.bytes > l.limits.bytes {
-		dropped, full = l.records[0].Offset, true
-		l.bytes -= len(l.records[0].Data)
-		l.records = l.records[1:]
+func (b *recordBuffer) add(rec ledger.Record) (dropped ledger.Offset, full bool) {
+	b.records = append(b.records, rec)
+	b.bytes += len(rec.Data)
+	for len(b.records) > b.limits.records || b.bytes > b.limits.bytes {
+		dropped, full = b.records[0].Offset, true
+		b.bytes -= len(b.records[0].Data)
+		b.records = b.records[1:]
 	}
 	return dropped, full
 }
 
-func (l *recordBuffer) clear() { l.records, l.bytes = nil, 0 }
+func (b *recordBuffer) clear() { b.records, b.bytes = nil, 0 }
 
 // State returns the state in force.
 func (r *Replay) State() *State { return r.state }
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -20,8 +20,9 @@
 	rows     map[Version]Rows
 	sorted   map[Version]Rows
 
-	readers []*Replay
-	seen    []Version
+	readers      []*Replay
+	// lastVersions holds the last version seen of each reader.
+	lastVersions []Version
 	// unappendedSnapshots were taken but not yet appended; pendingReplies are peers'
 	// answers that are still on the way.
 	unappendedSnapshots [][]byte
@@ -37,7 +38,7 @@
 	w := &replaySim{rows: map[Version]Rows{ledger.None: {}}, sorted: map[Version]Rows{ledger.None: {}}}
 	for range readers {
 		w.readers = append(w.readers, w.newReader())
-		w.seen = append(w.seen, ledger.None)
+		w.lastVersions = append(w.lastVersions, ledger.None)
 	}
 	return w
 }
@@ -91,10 +92,10 @@
 func (w *replaySim) check(t *rapid.T) {
 	for i, r := range w.readers {
 		v := r.State().Version
-		if v < w.seen[i] {
-			t.Fatalf("reader %d went from version %d to %d", i, w.seen[i], v)
+		if v < w.lastVersions[i] {
+			t.Fatalf("reader %d went from version %d to %d", i, w.lastVersions[i], v)
 		}
-		w.seen[i] = v
+		w.lastVersions[i] = v
 		if r.Complete() && v != w.version(r.Next()) {
 			t.Fatalf("reader %d read below %d and has version %d, want %d", i, r.Next(), v, w.version(r.Next()))
 		}
@@ -156,21 +157,21 @@
 		},
 		"ask peer": func(t *rapid.T) {
 			i, j := reader.Draw(t, "asker"), reader.Draw(t, "peer")
-			l := peerReply{i, w.answer(j, w.readers[i].Ask())}
-			w.pendingReplies = append(w.pendingReplies, l)
+			reply := peerReply{i, w.answer(j, w.readers[i].Ask())}
+			w.pendingReplies = append(w.pendingReplies, reply)
 			if rapid.Bool().Draw(t, "at once") {
-				_, _ = w.readers[i].Take(l.body)
+				_, _ = w.readers[i].Take(reply.body)
 			}
 		},
 		"deliver": func(t *rapid.T) {
 			if len(w.pendingReplies) > 0 {
-				l := rapid.SampledFrom(w.pendingReplies).Draw(t, "letter")
-				_, _ = w.readers[l.to].Take(l.body)
+				reply := rapid.SampledFrom(w.pendingReplies).Draw(t, "letter")
+				_, _ = w.readers[reply.to].Take(reply.body)
 			}
 		},
 		"restart": func(t *rapid.T) {
 			i := reader.Draw(t, "reader")
-			w.readers[i], w.seen[i] = w.newReader(), ledger.None
+			w.readers[i], w.lastVersions[i] = w.newReader(), ledger.None
 		},
 	}
 	t.Repeat(actions)
@@ -183,17 +184,17 @@
 	for _, r := range w.readers {
 		r.Page(w.page(r.Next(), len(w.records)))
 	}
-	healed := false
+	snapshotAppended := false
 	for _, r := range w.readers {
-		if s, through, ok := r.SnapshotBasis(); ok && !healed {
+		if s, through, ok := r.SnapshotBasis(); ok && !snapshotAppended {
 			b, _ := NewSnapshot(s, through).Encode()
 			w.append(t, b)
-			healed = true
+			snapshotAppended = true
 		}
 	}
 	for i, r := range w.readers {
 		r.Page(w.page(r.Next(), len(w.records)))
-		if healed && r.State().Version != w.version(ledger.Offset(len(w.records))) {
+		if snapshotAppended && r.State().Version != w.version(ledger.Offset(len(w.records))) {
 			t.Fatalf("reader %d stays at version %d", i, r.State().Version)
 		}
 	}
--- a/tables/rows.go
+++ b/tables/rows.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Route assigns a kind of request to a pool.
+// Route assigns a kind of request to a pool. Its half must be that of the pool.
 type Route struct {
 	Kind string `toml:"kind" json:"kind"`
 	Half string `toml:"half" json:"half"`
@@ -20,7 +20,8 @@
 	Timeout time.Duration `toml:"timeout,omitempty" json:"timeout,omitempty"`
 }
 
-// Pool is a group of backend servers of one half.
+// Pool is a group of backend servers of one half. A backend server may be in several
+// pools, but only of the same half.
 type Pool struct {
 	Name string `toml:"name" json:"name"`
 	Half string `toml:"half" json:"half"`
--- a/tables/state.go
+++ b/tables/state.go
@@ -95,21 +95,21 @@
 
 // Pool returns a pool by name.
 func (s *State) Pool(name string) (Pool, bool) {
-	g, ok := s.poolEntries.get(name)
+	entry, ok := s.poolEntries.get(name)
 	if !ok {
 		return Pool{}, false
 	}
-	return g.pool, true
+	return entry.pool, true
 }
 
 // Servers returns the servers of a pool, sorted by address. The caller must not change
 // the result.
 func (s *State) Servers(pool string) []Server {
-	g, ok := s.poolEntries.get(pool)
+	entry, ok := s.poolEntries.get(pool)
 	if !ok {
 		return nil
 	}
-	return g.servers
+	return entry.servers
 }
 
 // Team returns a team by name.
@@ -128,8 +128,8 @@
 // Halves returns the halves that the pools name, sorted.
 func (s *State) Halves() []string {
 	var out []string
-	for _, g := range s.poolEntries.all {
-		out = append(out, g.pool.Half)
+	for _, entry := range s.poolEntries.all {
+		out = append(out, entry.pool.Half)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
@@ -145,9 +145,9 @@
 	for _, t := range s.teams.all {
 		out.Teams = append(out.Teams, t)
 	}
-	for _, g := range s.poolEntries.all {
-		out.Pools = append(out.Pools, g.pool)
-		out.Servers = append(out.Servers, g.servers...)
+	for _, entry := range s.poolEntries.all {
+		out.Pools = append(out.Pools, entry.pool)
+		out.Servers = append(out.Servers, entry.servers...)
 	}
 	slices.SortFunc(out.Routes, func(a, b Route) int { return strings.Compare(a.Kind, b.Kind) })
 	slices.SortFunc(out.Teams, func(a, b Team) int { return strings.Compare(a.Name, b.Name) })
@@ -167,8 +167,9 @@
 	At      time.Time `json:"at"`
 }
 
-// maxMoves bounds the moves that a state remembers. When it is exceeded, the older half
-// of them is forgotten: a process that starts later does not hold back those servers.
+// maxMoves bounds the moves that a state remembers. When it is exceeded, the oldest
+// moves, half of them by number, are forgotten: a process that starts later does not hold
+// back those servers.
 const maxMoves = 16384
 
 // movesSince returns the moves of versions later than v, oldest first.
