--- a/tables/follow_test.go
+++ b/tables/follow_test.go
@@ -111,7 +111,7 @@
 			late.readOnce(t.Context())
 			fresh.readOnce(t.Context())
 		}
-		b, err := fresh.Body(Ask{Whole: true})
+		b, err := fresh.Body(Ask{NeedSnapshot: true})
 		if err != nil || joined.Take(b) != nil {
 			t.Fatal("no snapshot from a peer")
 		}
--- a/tables/replay.go
+++ b/tables/replay.go
@@ -238,8 +238,8 @@
 type Ask struct {
 	// From is the next offset that the requester needs.
 	From ledger.Offset `json:"from"`
-	// Whole requests a snapshot, because the requester can't apply edits.
-	Whole bool `json:"whole,omitempty"`
+	// NeedSnapshot requests a snapshot, because the requester can't apply edits.
+	NeedSnapshot bool `json:"whole,omitempty"`
 }
 
 // Body is a peer's answer to Ask: the edits from an offset on, a compressed snapshot, or
@@ -250,13 +250,13 @@
 }
 
 // Ask returns the request to send to a peer.
-func (r *Replay) Ask() Ask { return Ask{From: r.next, Whole: !r.complete} }
+func (r *Replay) Ask() Ask { return Ask{From: r.next, NeedSnapshot: !r.complete} }
 
 // EditsSince answers a peer that lags with the edits from an offset on. It returns false
 // if the peer needs a snapshot. Only edits that took effect are sent: the others change
 // no state, wherever they are read.
 func (r *Replay) EditsSince(a Ask) (ledger.Page, bool) {
-	if !r.complete || a.Whole || a.From < r.recentFrom {
+	if !r.complete || a.NeedSnapshot || a.From < r.recentFrom {
 		return ledger.Page{}, false
 	}
 	i, _ := slices.BinarySearchFunc(r.recent.records, a.From, func(rec ledger.Record, o ledger.Offset) int {
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -20,7 +20,7 @@
 	rows     map[Version]Rows
 	sorted   map[Version]Rows
 
-	readers      []*Replay
+	readers []*Replay
 	// lastVersions holds the last version seen of each reader.
 	lastVersions []Version
 	// unappendedSnapshots were taken but not yet appended; pendingReplies are peers'
