--- a/peer/frame.go
+++ b/peer/frame.go
@@ -18,10 +18,9 @@
 
 var errFrameTooLarge = errors.New("peer: frame too large")
 
-// frameCodec prefixes each JSON-RPC object with its length. Unlike the library's codec
-// it bounds the length, so that a faulty peer can't make this process run out of
-// memory, and it always consumes the whole frame, so that the next one is read from
-// its beginning.
+// frameCodec prefixes each JSON-RPC object with its length. Unlike the library's codec it
+// bounds the length, so that a faulty peer can't make this process run out of memory, and
+// it consumes the whole frame, so that the next one is read from its beginning.
 type frameCodec struct{ limit int }
 
 // WriteObject writes one object. It writes nothing if the object is too large.
@@ -68,11 +67,11 @@
 }
 
 // Write writes b within the timeout.
-func (p boundedWriteConn) Write(b []byte) (int, error) {
-	if err := p.SetWriteDeadline(time.Now().Add(p.timeout)); err != nil {
+func (c boundedWriteConn) Write(b []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
-	return p.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
 // Patient returns a connection whose writes fail after the timeout.
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -116,6 +116,7 @@
 	}
 }
 
+// A follower reads the latest records once and then only the records added since.
 func TestFollowsFromTheNewest(t *testing.T) {
 	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
--- a/roster/book_test.go
+++ b/roster/book_test.go
@@ -40,13 +40,14 @@
 	return f
 }
 
-// startProcess starts a process with an incarnation number around the given one, as its
-// clock would give it.
+// startProcess starts a process with an incarnation number derived from around; lower
+// values of around stand for a clock that went back.
 func (f *faults) startProcess(i int, around uint64) {
 	f.count++
 	f.start(i, around*1000+f.count)
 }
 
+// runSeconds advances the simulation and checks it after each second.
 func (f *faults) runSeconds(t *rapid.T, seconds int) {
 	for range seconds {
 		f.second()
--- a/tables/follow_test.go
+++ b/tables/follow_test.go
@@ -48,6 +48,8 @@
 	return New(slog.New(slog.DiscardHandler), l, cfg, rand.New(rand.NewPCG(seed, 0)))
 }
 
+// move returns an edit that moves one server to the pool of the half and out of the
+// other.
 func move(base Version, half string) Edit {
 	a := netip.MustParseAddrPort("10.0.0.1:9000")
 	e := Edit{ID: half, Base: base}
