--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -33,14 +33,14 @@
 	Rank int `json:"rank"`
 	// Attempts is how many runs of a task may fail before its job fails.
 	Attempts int `json:"attempts"`
-	// Stretch and Aim define the latency objective of a job: the duration of its
-	// longest chain of work times Stretch, plus Aim.
+	// Stretch and Aim define the latency objective of a job: the estimated duration of
+	// its longest chain of dependent steps times Stretch, plus Aim.
 	Stretch float64       `json:"stretch"`
 	Aim     time.Duration `json:"aim"`
 	// Timeout bounds a request; 0 means that the route sets none.
 	Timeout time.Duration `json:"timeout"`
 	// Ticketed is set if a worker accepts a task only with a ticket of the
-	// platform's adviser.
+	// platform's adviser, that is, if the platform's record of the route has advice.
 	Ticketed bool `json:"ticketed,omitempty"`
 }
 
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -8,8 +8,8 @@
 //
 // Limits: the store can be down, slow, or silent on a connection that stays open,
 // so each call has its own timeout and failed calls are retried with an increasing
-// delay. A follower lags for as long as the store is unreachable; Confirmed gives
-// the age of its data.
+// delay. A follower lags for as long as the store is unreachable; Confirmed returns
+// the time as of which its data is current.
 package registry
 
 import (
@@ -94,7 +94,7 @@
 	// recipient names who gets the updates; "" suspends reading.
 	recipient func() string
 	// Count, if not nil, is called after each call to the source with whether it
-	// succeeded.
+	// succeeded, but not after one that returned ErrForgotten.
 	Count func(ok bool)
 
 	mu sync.Mutex
@@ -124,7 +124,8 @@
 	return f.confirmed
 }
 
-// Down reports whether the last call failed.
+// Down reports whether the last call failed. A call that returns ErrForgotten does not
+// change it.
 func (f *Follower) Down() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,10 +206,10 @@
 func (f *Follower) recordSuccess(at time.Time) {
 	f.reportCall(true)
 	f.mu.Lock()
-	reconnected := f.down || f.confirmed.IsZero()
+	becameReachable := f.down || f.confirmed.IsZero()
 	f.confirmed, f.down = at, false
 	f.mu.Unlock()
-	if reconnected {
+	if becameReachable {
 		event.StoreReached.Log(f.log, "topic", f.cfg.Name)
 	}
 }
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -12,7 +12,8 @@
 	"github.com/go-faster/errors"
 )
 
-// topic is an in-memory topic whose reads can fail or hang.
+// topic is an in-memory topic. Reads return fail if it is set, and hang while silent is
+// set. Records below the offset first count as dropped by the store.
 type topic struct {
 	mu      sync.Mutex
 	records []Record
@@ -181,7 +182,7 @@
 
 // The recipient changes. The new one has none of the earlier updates, so everything
 // must be read again; without a recipient nothing is read.
-func TestTurnChanges(t *testing.T) {
+func TestRecipientChanges(t *testing.T) {
 	var mu sync.Mutex
 	recipient := ""
 	set := func(s string) {
