--- a/tables/edit.go
+++ b/tables/edit.go
@@ -358,7 +358,7 @@
 	d.lastMove = v
 }
 
-// dropOldMoves removes the oldest moves, half of them by number.
+// dropOldMoves removes the oldest 50% of the moves.
 func (d *draft) dropOldMoves() {
 	all := make([]Move, 0, d.moves.x.len())
 	for _, m := range d.moves.x.all {
--- a/tables/edit_test.go
+++ b/tables/edit_test.go
@@ -14,15 +14,15 @@
 // Apply checks only what an edit changes. If it missed something, a dispatcher would
 // accept an edit that another version of the program rejects, and the two would never
 // agree again. Apply must therefore give the same result as the reference implementation.
-func TestRapidApplyIsThePlainRule(t *testing.T) {
+func TestRapidApplyMatchesTheReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, rows := Empty(), Rows{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "edits") {
 			e := drawEdit(t, s.Version)
-			want, bad := referenceApply(rows, e)
+			want, wantErr := referenceApply(rows, e)
 			next, err := s.Apply(Version(i), e)
-			if (bad == nil) != (err == nil) {
-				t.Fatalf("edit %d: Apply returns %v, the reference %v", i, err, bad)
+			if (wantErr == nil) != (err == nil) {
+				t.Fatalf("edit %d: Apply returns %v, the reference %v", i, err, wantErr)
 			}
 			if err != nil {
 				continue
--- a/tables/follow.go
+++ b/tables/follow.go
@@ -45,8 +45,8 @@
 	holdsMu sync.RWMutex
 	holds   *Holds
 
-	packedMu       sync.Mutex
-	packedSnapshot packedSnapshot
+	compressedMu       sync.Mutex
+	compressedSnapshot compressedSnapshot
 
 	mu       sync.Mutex
 	replay   *Replay
@@ -158,7 +158,7 @@
 		return
 	}
 	for _, n := range f.replay.Page(p) {
-		f.logNote(n)
+		f.logResult(n)
 	}
 	f.publish()
 	if f.replay.Complete() && p.Next >= p.End {
@@ -166,7 +166,7 @@
 	}
 }
 
-func (f *Follower) logNote(n Note) {
+func (f *Follower) logResult(n Note) {
 	switch {
 	case n.Snapshot:
 		f.schedule.Restart(time.Now())
@@ -284,9 +284,9 @@
 	return Body{Snapshot: b}, err
 }
 
-// packedSnapshot is a compressed snapshot with the state and offset that it was made
+// compressedSnapshot is a compressed snapshot with the state and offset that it was made
 // from.
-type packedSnapshot struct {
+type compressedSnapshot struct {
 	state   *State
 	through ledger.Offset
 	bytes   []byte
@@ -294,19 +294,19 @@
 
 // snapshot returns the compressed snapshot of a state. It reuses the previous one if
 // possible, since hundreds of new processes may ask for the same one at once. A snapshot
-// that ends before the offset from is not reused: it could leave a gap for the process
-// that asked.
+// whose last offset is below from-1 is not reused: the process that asked needs the
+// records from the offset from on, so those in between could be missing there.
 func (f *Follower) snapshot(st *State, through, from ledger.Offset) ([]byte, error) {
-	f.packedMu.Lock()
-	defer f.packedMu.Unlock()
-	if f.packedSnapshot.state == st && f.packedSnapshot.through >= from-1 {
-		return f.packedSnapshot.bytes, nil
+	f.compressedMu.Lock()
+	defer f.compressedMu.Unlock()
+	if f.compressedSnapshot.state == st && f.compressedSnapshot.through >= from-1 {
+		return f.compressedSnapshot.bytes, nil
 	}
 	b, err := NewSnapshot(st, through).Encode()
 	if err != nil {
 		return nil, err
 	}
-	f.packedSnapshot = packedSnapshot{st, through, b}
+	f.compressedSnapshot = compressedSnapshot{st, through, b}
 	return b, nil
 }
 
@@ -319,7 +319,7 @@
 		return err
 	}
 	for _, n := range notes {
-		f.logNote(n)
+		f.logResult(n)
 	}
 	f.publish()
 	return nil
--- a/tables/hold.go
+++ b/tables/hold.go
@@ -19,10 +19,10 @@
 	until  map[netip.AddrPort]time.Time
 }
 
-// moveRetention is how long, by the log's time, processes that start later still hold
-// back a move. If a data centre is cut off for longer and a process starts there just
-// when it is reconnected, a moved server may be used for both halves for up to the settle
-// time.
+// moveRetention bounds the age of a move, by the log's time and as of the newest edit, up
+// to which a process that learns of it holds back the server. If a data centre is cut off
+// for longer and a process starts there just when it is reconnected, a moved server may
+// be used for both halves for up to the settle time.
 const moveRetention = 24 * time.Hour
 
 // NewHolds returns holds with the given settle time.
--- a/tables/index.go
+++ b/tables/index.go
@@ -32,8 +32,8 @@
 
 // all calls yield for each entry, in no particular order.
 func (x *index[K, V]) all(yield func(K, V) bool) {
-	for _, p := range x.shards {
-		for k, v := range p {
+	for _, shard := range x.shards {
+		for k, v := range shard {
 			if !yield(k, v) {
 				return
 			}
@@ -56,11 +56,11 @@
 func (w *writer[K, V]) get(k K) (V, bool) { return w.x.get(k) }
 
 func (w *writer[K, V]) set(k K, v V) {
-	p := w.shard(k)
-	if _, ok := p[k]; !ok {
+	shard := w.shard(k)
+	if _, ok := shard[k]; !ok {
 		w.x.size++
 	}
-	p[k] = v
+	shard[k] = v
 }
 
 func (w *writer[K, V]) remove(k K) {
--- a/tables/replay.go
+++ b/tables/replay.go
@@ -22,10 +22,10 @@
 	complete bool
 	next     ledger.Offset
 
-	// readFrom is the offset from which on an incomplete replay has read everything; held
-	// is the edits that it read since.
-	readFrom ledger.Offset
-	held     recordBuffer
+	// An incomplete replay has read every record from readFrom up to next. pendingEdits
+	// is the newest edits among them, which wait for a snapshot.
+	readFrom     ledger.Offset
+	pendingEdits recordBuffer
 
 	// recent is the newest edits that took effect, for peers. It holds every one from the
 	// offset recentFrom on.
@@ -41,15 +41,15 @@
 // The limits of the records that a replay keeps besides the state. The record of an
 // edit of one row takes about 200 bytes.
 var (
-	heldLimits   = limits{4096, 4 << 20}
-	recentLimits = limits{1024, 1 << 20}
+	pendingLimits = limits{4096, 4 << 20}
+	recentLimits  = limits{1024, 1 << 20}
 )
 
 // NewReplay returns a replay that has read nothing.
-func NewReplay() *Replay { return newReplay(heldLimits, recentLimits) }
+func NewReplay() *Replay { return newReplay(pendingLimits, recentLimits) }
 
-func newReplay(held, recent limits) *Replay {
-	return &Replay{state: Empty(), complete: true, held: recordBuffer{limits: held}, recent: recordBuffer{limits: recent}}
+func newReplay(pending, recent limits) *Replay {
+	return &Replay{state: Empty(), complete: true, pendingEdits: recordBuffer{limits: pending}, recent: recordBuffer{limits: recent}}
 }
 
 // recordBuffer holds the newest records within its limits.
@@ -60,16 +60,16 @@
 }
 
 // add appends a record. If that exceeds the limits it drops the oldest records and
-// returns the last offset dropped.
-func (b *recordBuffer) add(rec ledger.Record) (dropped ledger.Offset, full bool) {
+// returns the last offset dropped; overflowed reports whether it dropped any.
+func (b *recordBuffer) add(rec ledger.Record) (dropped ledger.Offset, overflowed bool) {
 	b.records = append(b.records, rec)
 	b.bytes += len(rec.Data)
 	for len(b.records) > b.limits.records || b.bytes > b.limits.bytes {
-		dropped, full = b.records[0].Offset, true
+		dropped, overflowed = b.records[0].Offset, true
 		b.bytes -= len(b.records[0].Data)
 		b.records = b.records[1:]
 	}
-	return dropped, full
+	return dropped, overflowed
 }
 
 func (b *recordBuffer) clear() { b.records, b.bytes = nil, 0 }
@@ -118,7 +118,7 @@
 	r.complete = false
 	r.next = first
 	r.readFrom = first
-	r.held.clear()
+	r.pendingEdits.clear()
 	r.recent.clear()
 }
 
@@ -128,7 +128,7 @@
 		return r.processSnapshot(rec)
 	}
 	if !r.complete {
-		return r.holdEdit(rec)
+		return r.addPending(rec)
 	}
 	return r.apply(rec)
 }
@@ -152,19 +152,19 @@
 	return n
 }
 
-// holdEdit keeps an edit that can't be checked yet. If there are too many, it drops the
+// addPending keeps an edit that can't be checked yet. If there are too many, it drops the
 // oldest: the replay then needs a snapshot that was taken later.
-func (r *Replay) holdEdit(rec ledger.Record) Note {
-	dropped, full := r.held.add(rec)
-	if full {
+func (r *Replay) addPending(rec ledger.Record) Note {
+	dropped, overflowed := r.pendingEdits.add(rec)
+	if overflowed {
 		r.readFrom = dropped + 1
 	}
-	return Note{Offset: rec.Offset, Discarded: full}
+	return Note{Offset: rec.Offset, Discarded: overflowed}
 }
 
 // addRecent keeps an edit that took effect for peers that lag.
 func (r *Replay) addRecent(rec ledger.Record) {
-	if dropped, full := r.recent.add(rec); full {
+	if dropped, overflowed := r.recent.add(rec); overflowed {
 		r.recentFrom = dropped + 1
 	}
 }
@@ -191,12 +191,12 @@
 // AdoptSnapshot replaces the state by that of a snapshot, from the log or from a peer,
 // and replays on top of it the records that were read after its last offset.
 //
-// A snapshot may be adopted only if every record after its Through has been read here.
-// Counter-example: the author has read up to offset 7 and takes a snapshot of version 5;
-// an operator's edit lands at 8 and takes effect everywhere; the snapshot lands at 9; the
-// log drops everything below 9. A new reader that adopted version 5 from it would miss
-// the edit at 8, reject the next one, whose base is 8, and never agree with the others
-// again.
+// A snapshot may be adopted only if no record between its Through and Next is missing
+// here. Counter-example: the author has read up to offset 7 and takes a snapshot of
+// version 5; an operator's edit lands at 8 and takes effect everywhere; the snapshot lands
+// at 9; the log drops everything below 9. A new reader that adopted version 5 from it
+// would miss the edit at 8, reject the next one, whose base is 8, and never agree with the
+// others again.
 func (r *Replay) AdoptSnapshot(n Snapshot) error {
 	after := n.Through + 1
 	switch {
@@ -211,12 +211,12 @@
 	if err != nil {
 		return err
 	}
-	held := r.held.records
+	pending := r.pendingEdits.records
 	r.state, r.complete = s, true
-	r.held.clear()
+	r.pendingEdits.clear()
 	r.recent.clear()
 	r.recentFrom = after
-	for _, rec := range held {
+	for _, rec := range pending {
 		if rec.Offset >= after {
 			r.apply(rec)
 		}
@@ -253,8 +253,9 @@
 func (r *Replay) Ask() Ask { return Ask{From: r.next, NeedSnapshot: !r.complete} }
 
 // EditsSince answers a peer that lags with the edits from an offset on. It returns false
-// if the peer needs a snapshot. Only edits that took effect are sent: the others change
-// no state, wherever they are read.
+// if the peer needs a snapshot, or if this replay is incomplete or no longer keeps all of
+// these edits. Only edits that took effect are sent: the others change no state, wherever
+// they are read.
 func (r *Replay) EditsSince(a Ask) (ledger.Page, bool) {
 	if !r.complete || a.NeedSnapshot || a.From < r.recentFrom {
 		return ledger.Page{}, false
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -11,11 +11,13 @@
 	"snipehub.example/ledger"
 )
 
-// replaySim is a log with its readers, and the tables that the reference implementation
-// gives for each prefix of the log.
+// replaySim is a log that has dropped the records below first, its readers, and the
+// tables that the reference implementation gives for each prefix of the log.
 type replaySim struct {
-	records  []ledger.Record
-	first    ledger.Offset
+	records []ledger.Record
+	first   ledger.Offset
+	// versions holds the version after each record; rows holds the rows of each version,
+	// and sorted holds them in the order of State.Rows.
 	versions []Version
 	rows     map[Version]Rows
 	sorted   map[Version]Rows
--- a/tables/rows.go
+++ b/tables/rows.go
@@ -10,6 +10,9 @@
 )
 
 // Route assigns a kind of request to a pool. Its half must be that of the pool.
+//
+// Halves divide the requests and the backend servers into parts, which the operator
+// names: a backend server must get requests of only one half at a time.
 type Route struct {
 	Kind string `toml:"kind" json:"kind"`
 	Half string `toml:"half" json:"half"`
@@ -83,9 +86,8 @@
 	return nil
 }
 
-// check rejects an address that has more than one spelling. Otherwise 10.0.0.1 and
-// ::ffff:10.0.0.1 would be two servers in the tables, one for each half, and one machine
-// on the network.
+// check rejects an address that has more than one spelling. Otherwise one machine could
+// be in the tables as two servers, 10.0.0.1 and ::ffff:10.0.0.1, one in each half.
 func (v Server) check() error {
 	a := v.Address.Addr()
 	switch {
--- a/tables/state.go
+++ b/tables/state.go
@@ -167,9 +167,9 @@
 	At      time.Time `json:"at"`
 }
 
-// maxMoves bounds the moves that a state remembers. When it is exceeded, the oldest
-// moves, half of them by number, are forgotten: a process that starts later does not hold
-// back those servers.
+// maxMoves bounds the moves that a state remembers. When it is exceeded, the oldest 50%
+// of the moves are forgotten: a process that starts later does not hold back those
+// servers.
 const maxMoves = 16384
 
 // movesSince returns the moves of versions later than v, oldest first.
