--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -35,69 +35,69 @@
 
 // Beat returns the next heartbeat of this process. The caller fills in self, except for
 // owner, address and count.
-func (b *MemberTable) Beat(self Member) Beat {
-	join := b.joining || b.behind
-	b.behind = false
-	return Beat{From: b.nextSelf(self), Join: join, Size: len(b.active), News: b.news(b.cfg.News)}
+func (t *MemberTable) Beat(self Member) Beat {
+	join := t.joining || t.behind
+	t.behind = false
+	return Beat{From: t.nextSelf(self), Join: join, Size: len(t.active), News: t.news(t.cfg.News)}
 }
 
 // Answer returns the answer to a heartbeat, which must have been passed to Received
 // before.
-func (b *MemberTable) Answer(self Member, to Beat) Beat {
-	out := Beat{From: b.nextSelf(self), Size: len(b.active), News: b.news(b.cfg.News)}
+func (t *MemberTable) Answer(self Member, to Beat) Beat {
+	out := Beat{From: t.nextSelf(self), Size: len(t.active), News: t.news(t.cfg.News)}
 	if to.Join {
-		out.News = b.addRandom(out.News, joinAnswerMembers)
+		out.News = t.addRandom(out.News, joinAnswerMembers)
 	}
 	// A running process that is held to be gone must learn of it: others answer its jobs
 	// as failed.
-	if e, ok := b.byOwner[to.From.Owner]; ok && e.State == Gone {
+	if e, ok := t.byOwner[to.From.Owner]; ok && e.State == Gone {
 		out.News = append(out.News, News{e.Member, Gone})
 	}
 	return out
 }
 
 // nextSelf returns the state that this process advertises next, and stores it.
-func (b *MemberTable) nextSelf(self Member) Member {
-	self.Owner, self.Address, self.Count = b.self.Owner, b.self.Address, b.self.Count+1
-	b.self = self
+func (t *MemberTable) nextSelf(self Member) Member {
+	self.Owner, self.Address, self.Count = t.self.Owner, t.self.Address, t.self.Count+1
+	t.self = self
 	return self
 }
 
 // Self returns this process as it was last advertised.
-func (b *MemberTable) Self() Member { return b.self }
+func (t *MemberTable) Self() Member { return t.self }
 
 // news returns up to n members: first those in the news queue, for up to three quarters
 // of n, then random ones, so that free slots and versions stay up to date everywhere.
-func (b *MemberTable) news(n int) []News {
+func (t *MemberTable) news(n int) []News {
 	out := make([]News, 0, n+1)
-	remaining := len(b.newsQueue)
+	remaining := len(t.newsQueue)
 	for len(out) < n-n/4 && remaining > 0 {
 		remaining--
-		e := b.newsQueue[0]
-		b.newsQueue = b.newsQueue[1:]
+		e := t.newsQueue[0]
+		t.newsQueue = t.newsQueue[1:]
 		if e.newsLeft == 0 {
 			e.inNewsQueue = false
 			continue
 		}
 		e.newsLeft--
-		b.newsQueue = append(b.newsQueue, e)
+		t.newsQueue = append(t.newsQueue, e)
 		out = append(out, News{e.Member, e.State})
 	}
-	return b.addRandom(out, n)
+	return t.addRandom(out, n)
 }
 
 // addRandom adds random members until there are n.
-func (b *MemberTable) addRandom(out []News, n int) []News {
+func (t *MemberTable) addRandom(out []News, n int) []News {
 	included := make(map[ticket.Owner]struct{}, n)
 	for _, o := range out {
 		included[o.Owner] = struct{}{}
 	}
 	start := 0
-	if len(b.active) > 0 {
-		start = b.rnd.IntN(len(b.active))
+	if len(t.active) > 0 {
+		start = t.rnd.IntN(len(t.active))
 	}
-	for i := 0; i < len(b.active) && len(out) < n; i++ {
-		e := b.active[(start+i)%len(b.active)]
+	for i := 0; i < len(t.active) && len(out) < n; i++ {
+		e := t.active[(start+i)%len(t.active)]
 		if _, ok := included[e.Owner]; !ok {
 			out = append(out, News{e.Member, e.State})
 		}
@@ -107,22 +107,22 @@
 
 // Targets returns up to n addresses for the next heartbeat. others are addresses at which
 // there may be members: seeds and those from the VM list.
-func (b *MemberTable) Targets(n int, others []netip.AddrPort) []netip.AddrPort {
-	b.heartbeatCount++
-	if len(b.active) == 0 {
-		return b.search(others)
+func (t *MemberTable) Targets(n int, others []netip.AddrPort) []netip.AddrPort {
+	t.heartbeatCount++
+	if len(t.active) == 0 {
+		return t.search(others)
 	}
 	var out []netip.AddrPort
-	if a, ok := b.urgentTarget(); ok {
+	if a, ok := t.urgentTarget(); ok {
 		out = append(out, a)
 	}
-	if b.joining || b.heartbeatCount%exploreInterval == 0 {
-		if a, ok := b.explore(others); ok {
+	if t.joining || t.heartbeatCount%exploreInterval == 0 {
+		if a, ok := t.explore(others); ok {
 			out = append(out, a)
 		}
 	}
 	for tries := 0; len(out) < n && tries < maxPickTries; tries++ {
-		if a, ok := b.randomTarget(len(out) == 0); ok && !contains(out, a) {
+		if a, ok := t.randomTarget(len(out) == 0); ok && !contains(out, a) {
 			out = append(out, a)
 		}
 	}
@@ -130,13 +130,13 @@
 }
 
 // search returns addresses to try for a process that knows no other member.
-func (b *MemberTable) search(others []netip.AddrPort) []netip.AddrPort {
+func (t *MemberTable) search(others []netip.AddrPort) []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, i := range b.rnd.Perm(len(others)) {
+	for _, i := range t.rnd.Perm(len(others)) {
 		if len(out) == searchTargets {
 			break
 		}
-		if others[i] != b.self.Address {
+		if others[i] != t.self.Address {
 			out = append(out, others[i])
 		}
 	}
@@ -146,24 +146,24 @@
 // urgentTarget returns an address where two incarnations are known or the member did not
 // answer. There is at most one for each heartbeat, so that the failure of a rack does not
 // take the heartbeats from all other members.
-func (b *MemberTable) urgentTarget() (netip.AddrPort, bool) {
-	if len(b.contested) > 0 {
-		a := b.contested[0]
-		b.contested = append(b.contested[1:], a)
+func (t *MemberTable) urgentTarget() (netip.AddrPort, bool) {
+	if len(t.contested) > 0 {
+		a := t.contested[0]
+		t.contested = append(t.contested[1:], a)
 		return a, true
 	}
-	if len(b.unanswered) > 0 {
-		e := b.unanswered[0]
-		b.unanswered = append(b.unanswered[1:], e)
+	if len(t.unanswered) > 0 {
+		e := t.unanswered[0]
+		t.unanswered = append(t.unanswered[1:], e)
 		return e.Address, true
 	}
 	return netip.AddrPort{}, false
 }
 
-func (b *MemberTable) explore(others []netip.AddrPort) (netip.AddrPort, bool) {
+func (t *MemberTable) explore(others []netip.AddrPort) (netip.AddrPort, bool) {
 	for range min(maxPickTries, len(others)) {
-		a := others[b.rnd.IntN(len(others))]
-		if a != b.self.Address && len(b.byAddress[a]) == 0 {
+		a := others[t.rnd.IntN(len(others))]
+		if a != t.self.Address && len(t.byAddress[a]) == 0 {
 			return a, true
 		}
 	}
@@ -173,13 +173,13 @@
 // randomTarget returns the address of a random member. With preferLocal it tries to find
 // one of the own data centre: one heartbeat per period stays inside it, because a data
 // centre that is cut off depends on what its members tell each other.
-func (b *MemberTable) randomTarget(preferLocal bool) (netip.AddrPort, bool) {
-	if len(b.active) == 0 {
+func (t *MemberTable) randomTarget(preferLocal bool) (netip.AddrPort, bool) {
+	if len(t.active) == 0 {
 		return netip.AddrPort{}, false
 	}
-	e := b.active[b.rnd.IntN(len(b.active))]
-	for tries := 0; preferLocal && tries < maxPickTries && e.Owner.DataCenter != b.self.Owner.DataCenter; tries++ {
-		e = b.active[b.rnd.IntN(len(b.active))]
+	e := t.active[t.rnd.IntN(len(t.active))]
+	for tries := 0; preferLocal && tries < maxPickTries && e.Owner.DataCenter != t.self.Owner.DataCenter; tries++ {
+		e = t.active[t.rnd.IntN(len(t.active))]
 	}
 	return e.Address, true
 }
@@ -193,8 +193,8 @@
 	return false
 }
 
-// Neighbour is what the rule for outdated tables needs to know of a member of the own
-// data centre.
+// Neighbour is a member of the own data centre, as a process needs it to decide whether
+// its own tables are outdated.
 type Neighbour struct {
 	State State
 	// Answered is when the latest call that the member answered was sent, or zero; Told
@@ -204,10 +204,10 @@
 }
 
 // Neighbours returns the other members of the data centre that are not gone.
-func (b *MemberTable) Neighbours() []Neighbour {
+func (t *MemberTable) Neighbours() []Neighbour {
 	var out []Neighbour
-	for _, e := range b.active {
-		if e.Owner.DataCenter == b.self.Owner.DataCenter {
+	for _, e := range t.active {
+		if e.Owner.DataCenter == t.self.Owner.DataCenter {
 			out = append(out, Neighbour{e.view().State, e.lastAnswered, e.advertised})
 		}
 	}
--- a/roster/member.go
+++ b/roster/member.go
@@ -55,8 +55,8 @@
 type Known struct {
 	Member
 	State State `json:"state"`
-	// Heard is when a heartbeat last carried a higher Count of the member, or, for a gone
-	// member, when it became gone.
+	// Heard is when a heartbeat last reported the member as live with a higher Count, or,
+	// for a gone member, when it became gone.
 	Heard time.Time `json:"heard"`
 }
 
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -26,7 +26,7 @@
 	return &Roster{fillSelf: fillSelf, report: report, table: NewMemberTable(self, cfg, rnd)}
 }
 
-func (r *Roster) withTable(fn func(b *MemberTable)) {
+func (r *Roster) withTable(fn func(t *MemberTable)) {
 	r.mu.Lock()
 	fn(r.table)
 	changes := r.table.Changes()
@@ -46,10 +46,10 @@
 // others are addresses at which there may be members.
 func (r *Roster) Beat(now time.Time, n int, others []netip.AddrPort) (heartbeat Beat, to []netip.AddrPort) {
 	self := r.currentSelf(now)
-	r.withTable(func(b *MemberTable) {
-		b.Tick(now)
-		to = b.Targets(n, others)
-		heartbeat = b.Beat(self)
+	r.withTable(func(t *MemberTable) {
+		t.Tick(now)
+		to = t.Targets(n, others)
+		heartbeat = t.Beat(self)
 	})
 	return heartbeat, to
 }
@@ -57,9 +57,9 @@
 // Answer processes a peer's heartbeat and returns the answer to it.
 func (r *Roster) Answer(now time.Time, in Beat) (out Beat) {
 	self := r.currentSelf(now)
-	r.withTable(func(b *MemberTable) {
-		b.Received(now, in)
-		out = b.Answer(self, in)
+	r.withTable(func(t *MemberTable) {
+		t.Received(now, in)
+		out = t.Answer(self, in)
 	})
 	return out
 }
@@ -67,45 +67,45 @@
 // Answered processes the answer to a heartbeat that was sent to the address at the given
 // time.
 func (r *Roster) Answered(sent, now time.Time, to netip.AddrPort, in Beat) {
-	r.withTable(func(b *MemberTable) { b.Answered(sent, now, to, in) })
+	r.withTable(func(t *MemberTable) { t.Answered(sent, now, to, in) })
 }
 
 // Failed records that a heartbeat to the address was not answered.
 func (r *Roster) Failed(now time.Time, to netip.AddrPort) {
-	r.withTable(func(b *MemberTable) { b.Failed(now, to) })
+	r.withTable(func(t *MemberTable) { t.Failed(now, to) })
 }
 
 // List processes the platform's VM list.
 func (r *Roster) List(now time.Time, vms []ledger.VM) {
-	r.withTable(func(b *MemberTable) { b.List(now, vms) })
+	r.withTable(func(t *MemberTable) { t.ApplyVMList(now, vms) })
 }
 
 // Find returns what is known of an incarnation.
 func (r *Roster) Find(_ time.Time, o ticket.Owner) (k Known, ok bool) {
-	r.withTable(func(b *MemberTable) { k, ok = b.Find(o) })
+	r.withTable(func(t *MemberTable) { k, ok = t.Find(o) })
 	return k, ok
 }
 
 // All returns the other members, sorted by address.
 func (r *Roster) All(time.Time) (out []Known) {
-	r.withTable(func(b *MemberTable) { out = b.All() })
+	r.withTable(func(t *MemberTable) { out = t.All() })
 	return out
 }
 
 // Self returns this process as it was last advertised.
 func (r *Roster) Self() (m Member) {
-	r.withTable(func(b *MemberTable) { m = b.Self() })
+	r.withTable(func(t *MemberTable) { m = t.Self() })
 	return m
 }
 
 // Neighbours returns the other members of the data centre that are not gone.
 func (r *Roster) Neighbours() (out []Neighbour) {
-	r.withTable(func(b *MemberTable) { out = b.Neighbours() })
+	r.withTable(func(t *MemberTable) { out = t.Neighbours() })
 	return out
 }
 
 // Len returns the number of other members, including gone ones.
 func (r *Roster) Len() (n int) {
-	r.withTable(func(b *MemberTable) { n = b.Len() })
+	r.withTable(func(t *MemberTable) { n = t.Len() })
 	return n
 }
--- a/roster/sim_test.go
+++ b/roster/sim_test.go
@@ -41,9 +41,9 @@
 }
 
 type node struct {
-	addr   netip.AddrPort
-	table  *MemberTable
-	frozen bool
+	addr      netip.AddrPort
+	table     *MemberTable
+	suspended bool
 }
 
 var simConfig = Config{
@@ -86,15 +86,15 @@
 	s.now = s.now.Add(time.Second)
 	for i := range 2*len(s.nodes) + 8 {
 		n := s.nodes[simAddress(i)]
-		if n == nil || n.frozen {
+		if n == nil || n.suspended {
 			continue
 		}
 		n.table.Tick(s.now)
 		to := n.table.Targets(2, s.seeds)
 		b := n.table.Beat(Member{})
 		for _, a := range to {
-			if done := s.call(n, a, b); done != nil {
-				done(s.now)
+			if deliver := s.call(n, a, b); deliver != nil {
+				deliver(s.now)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 		return nil
 	}
 	t, sent := s.nodes[a], s.now
-	if t == nil || t.frozen || s.cut(n, t) {
+	if t == nil || t.suspended || s.cut(n, t) {
 		n.table.Failed(s.now, a)
 		return nil
 	}
@@ -142,11 +142,11 @@
 	return out
 }
 
-// agree reports whether every process that is not frozen has all others as live and none
-// that has ended.
+// agree reports whether every process that is not suspended has all others as live and
+// none that has ended.
 func (s *sim) agree() bool {
 	for _, n := range s.nodes {
-		if n.frozen {
+		if n.suspended {
 			continue
 		}
 		live := 0
--- a/roster/book.go
+++ b/roster/table.go
@@ -92,28 +92,28 @@
 
 // Received processes a heartbeat from a peer. It may have been delayed for long, so it
 // proves only that its sender once ran.
-func (b *MemberTable) Received(now time.Time, heartbeat Beat) {
-	b.merge(now, heartbeat.From, Live, true)
+func (t *MemberTable) Received(now time.Time, heartbeat Beat) {
+	t.merge(now, heartbeat.From, Live, true)
 	for _, n := range heartbeat.News {
-		b.merge(now, n.Member, n.State, false)
+		t.merge(now, n.Member, n.State, false)
 	}
-	b.forgetExpired(now)
+	t.forgetExpired(now)
 }
 
 // Answered processes the answer to a heartbeat that was sent to the address at the given
 // time.
-func (b *MemberTable) Answered(sent, now time.Time, to netip.AddrPort, answer Beat) {
-	known := len(b.byOwner)
-	b.Received(now, answer)
-	b.joinAnswers++
-	fewNew := len(b.byOwner)-known < joinMinNew
-	if answer.Size > len(b.active)+1 && !now.Before(b.nextCatchUp) {
-		b.behind, b.nextCatchUp = true, now.Add(catchUpInterval)
+func (t *MemberTable) Answered(sent, now time.Time, to netip.AddrPort, answer Beat) {
+	known := len(t.byOwner)
+	t.Received(now, answer)
+	t.joinAnswers++
+	fewNew := len(t.byOwner)-known < joinMinNew
+	if answer.Size > len(t.active)+1 && !now.Before(t.nextCatchUp) {
+		t.behind, t.nextCatchUp = true, now.Add(catchUpInterval)
 	}
-	b.joining = b.joining && b.joinAnswers < maxJoinRequests && (b.joinAnswers < minJoinRequests || !fewNew)
-	if e, ok := b.byOwner[answer.From.Owner]; ok && e.State != Gone && answer.From.Address == to {
+	t.joining = t.joining && t.joinAnswers < maxJoinRequests && (t.joinAnswers < minJoinRequests || !fewNew)
+	if e, ok := t.byOwner[answer.From.Owner]; ok && e.State != Gone && answer.From.Address == to {
 		e.recordAnswer(sent, answer.From)
-		b.endPredecessors(sent, now, e)
+		t.endPredecessors(sent, now, e)
 	}
 }
 
@@ -135,21 +135,21 @@
 // if the clock went back before a restart, the new process has the lower number, its
 // peers would take it for the ended one, and its jobs would be answered as failed while
 // they run.
-func (b *MemberTable) endPredecessors(sent, now time.Time, e *entry) {
-	for _, o := range slices.Clone(b.byAddress[e.Address]) {
+func (t *MemberTable) endPredecessors(sent, now time.Time, e *entry) {
+	for _, o := range slices.Clone(t.byAddress[e.Address]) {
 		if o != e && o.State != Gone && !o.knownSince.After(sent) && !e.knownSince.After(sent) {
-			b.markGone(now, o)
+			t.markGone(now, o)
 		}
 	}
-	if len(b.byAddress[e.Address]) == 1 || b.atMostOneActive(e.Address) {
-		b.contested = slices.DeleteFunc(b.contested, func(a netip.AddrPort) bool { return a == e.Address })
+	if len(t.byAddress[e.Address]) == 1 || t.atMostOneActive(e.Address) {
+		t.contested = slices.DeleteFunc(t.contested, func(a netip.AddrPort) bool { return a == e.Address })
 	}
 }
 
 // atMostOneActive reports whether at most one member at the address is not gone.
-func (b *MemberTable) atMostOneActive(a netip.AddrPort) bool {
+func (t *MemberTable) atMostOneActive(a netip.AddrPort) bool {
 	n := 0
-	for _, e := range b.byAddress[a] {
+	for _, e := range t.byAddress[a] {
 		if e.State != Gone {
 			n++
 		}
@@ -158,142 +158,142 @@
 }
 
 // Failed records that a heartbeat to the address was not answered.
-func (b *MemberTable) Failed(now time.Time, to netip.AddrPort) {
-	for _, e := range b.byAddress[to] {
+func (t *MemberTable) Failed(now time.Time, to netip.AddrPort) {
+	for _, e := range t.byAddress[to] {
 		if e.State == Live && e.unansweredSince.IsZero() {
 			e.unansweredSince = now
-			b.unanswered = append(b.unanswered, e)
+			t.unanswered = append(t.unanswered, e)
 		}
 	}
 }
 
 // Tick makes members suspect that have not answered for SuspectAfter, and removes gone
 // members whose retention is over.
-func (b *MemberTable) Tick(now time.Time) {
-	b.unanswered = slices.DeleteFunc(b.unanswered, func(e *entry) bool {
+func (t *MemberTable) Tick(now time.Time) {
+	t.unanswered = slices.DeleteFunc(t.unanswered, func(e *entry) bool {
 		if e.unansweredSince.IsZero() || e.State != Live {
 			return true
 		}
-		if now.Sub(e.unansweredSince) < b.cfg.SuspectAfter {
+		if now.Sub(e.unansweredSince) < t.cfg.SuspectAfter {
 			return false
 		}
-		b.markSuspect(e)
+		t.markSuspect(e)
 		return true
 	})
-	b.forgetExpired(now)
+	t.forgetExpired(now)
 }
 
 // merge applies the state of a member that was received from the member itself (direct)
 // or from others.
-func (b *MemberTable) merge(now time.Time, m Member, s State, direct bool) {
-	if m.Owner == b.self.Owner {
-		if s == Gone && !b.disownedReported {
-			b.disownedReported = true
-			b.changes = append(b.changes, Change{Known: Known{Member: m, State: Gone}, Self: true})
+func (t *MemberTable) merge(now time.Time, m Member, s State, direct bool) {
+	if m.Owner == t.self.Owner {
+		if s == Gone && !t.disownedReported {
+			t.disownedReported = true
+			t.changes = append(t.changes, Change{Known: Known{Member: m, State: Gone}, Self: true})
 		}
 		return
 	}
 	if !direct {
 		m.Confirmed, m.Age = false, 0
 	}
-	e, ok := b.byOwner[m.Owner]
+	e, ok := t.byOwner[m.Owner]
 	switch {
 	case !ok && s == Suspect:
 		return
 	case !ok:
-		b.add(now, m, s)
+		t.add(now, m, s)
 	case e.State == Gone:
 	case s == Gone:
-		b.markGone(now, e)
+		t.markGone(now, e)
 	case s == Suspect && m.Count >= e.Count && e.State == Live:
 		e.Member.Count = m.Count
-		b.markSuspect(e)
+		t.markSuspect(e)
 	case s == Live && m.Count > e.Count:
-		b.update(now, e, m)
+		t.update(now, e, m)
 	}
 }
 
-func (b *MemberTable) add(now time.Time, m Member, s State) {
-	if len(b.byOwner) >= b.cfg.Members && !b.evictOne() {
-		if !b.fullReported {
-			b.changes = append(b.changes, Change{Known: Known{Member: m, State: s}, Full: true})
+func (t *MemberTable) add(now time.Time, m Member, s State) {
+	if len(t.byOwner) >= t.cfg.Members && !t.evictOne() {
+		if !t.fullReported {
+			t.changes = append(t.changes, Change{Known: Known{Member: m, State: s}, Full: true})
 		}
-		b.fullReported = true
+		t.fullReported = true
 		return
 	}
-	b.fullReported = false
-	e := &entry{Known: Known{Member: m, State: Live, Heard: now}, knownSince: now, activeIndex: len(b.active)}
-	b.byOwner[m.Owner] = e
-	b.byAddress[m.Address] = append(b.byAddress[m.Address], e)
-	b.active = append(b.active, e)
+	t.fullReported = false
+	e := &entry{Known: Known{Member: m, State: Live, Heard: now}, knownSince: now, activeIndex: len(t.active)}
+	t.byOwner[m.Owner] = e
+	t.byAddress[m.Address] = append(t.byAddress[m.Address], e)
+	t.active = append(t.active, e)
 	// This process itself has the address, so any other member known there has ended. No
 	// call would reveal that, since this process does not call its own address.
-	if s == Gone || m.Address == b.self.Address {
-		b.markGone(now, e)
+	if s == Gone || m.Address == t.self.Address {
+		t.markGone(now, e)
 		return
 	}
-	if !b.atMostOneActive(m.Address) && !slices.Contains(b.contested, m.Address) {
-		b.contested = append(b.contested, m.Address)
+	if !t.atMostOneActive(m.Address) && !slices.Contains(t.contested, m.Address) {
+		t.contested = append(t.contested, m.Address)
 	}
-	b.announce(e)
+	t.announce(e)
 }
 
-func (b *MemberTable) update(now time.Time, e *entry, m Member) {
+func (t *MemberTable) update(now time.Time, e *entry, m Member) {
 	news := e.State != Live || e.Leaving != m.Leaving
 	if m.Address != e.Address {
 		m.Address = e.Address
 	}
 	e.Member, e.State, e.Heard, e.unansweredSince = m, Live, now, time.Time{}
 	if news {
-		b.announce(e)
+		t.announce(e)
 	}
 }
 
-func (b *MemberTable) markSuspect(e *entry) {
+func (t *MemberTable) markSuspect(e *entry) {
 	e.State = Suspect
 	e.unansweredSince = time.Time{}
-	b.announce(e)
+	t.announce(e)
 }
 
 // markGone makes an incarnation gone for good.
-func (b *MemberTable) markGone(now time.Time, e *entry) {
+func (t *MemberTable) markGone(now time.Time, e *entry) {
 	e.State, e.Heard = Gone, now
-	last := b.active[len(b.active)-1]
-	b.active[e.activeIndex], last.activeIndex = last, e.activeIndex
-	b.active = b.active[:len(b.active)-1]
-	b.gone = append(b.gone, e)
-	b.announce(e)
+	last := t.active[len(t.active)-1]
+	t.active[e.activeIndex], last.activeIndex = last, e.activeIndex
+	t.active = t.active[:len(t.active)-1]
+	t.gone = append(t.gone, e)
+	t.announce(e)
 }
 
 // announce adds a member to the news of the next heartbeats. Each process forwards the
 // news a few more times than it takes doublings to get from one process to all.
-func (b *MemberTable) announce(e *entry) {
-	b.changes = append(b.changes, Change{Known: e.view()})
-	e.newsLeft = 3 + bits.Len(uint(len(b.active)))
+func (t *MemberTable) announce(e *entry) {
+	t.changes = append(t.changes, Change{Known: e.view()})
+	e.newsLeft = 3 + bits.Len(uint(len(t.active)))
 	if !e.inNewsQueue {
 		e.inNewsQueue = true
-		b.newsQueue = append(b.newsQueue, e)
+		t.newsQueue = append(t.newsQueue, e)
 	}
 }
 
 // forgetExpired removes gone members after KeepGone. A caller that then asks for one of
 // them is told that it is unknown, which is true and lets the caller retry with the same
 // id, whereas "gone" would be final.
-func (b *MemberTable) forgetExpired(now time.Time) {
-	for len(b.gone) > 0 && now.Sub(b.gone[0].Heard) >= b.cfg.KeepGone {
-		b.forget(b.gone[0])
+func (t *MemberTable) forgetExpired(now time.Time) {
+	for len(t.gone) > 0 && now.Sub(t.gone[0].Heard) >= t.cfg.KeepGone {
+		t.forget(t.gone[0])
 	}
 }
 
 // evictOne removes the oldest gone member, or else the suspect one that has been silent
 // for longest. It reports whether there was one.
-func (b *MemberTable) evictOne() bool {
-	if len(b.gone) > 0 {
-		b.forget(b.gone[0])
+func (t *MemberTable) evictOne() bool {
+	if len(t.gone) > 0 {
+		t.forget(t.gone[0])
 		return true
 	}
 	var oldest *entry
-	for _, e := range b.active {
+	for _, e := range t.active {
 		if e.State == Suspect && (oldest == nil || e.Heard.Before(oldest.Heard)) {
 			oldest = e
 		}
@@ -301,26 +301,26 @@
 	if oldest == nil {
 		return false
 	}
-	b.forget(oldest)
+	t.forget(oldest)
 	return true
 }
 
-func (b *MemberTable) forget(e *entry) {
-	delete(b.byOwner, e.Owner)
+func (t *MemberTable) forget(e *entry) {
+	delete(t.byOwner, e.Owner)
 	e.newsLeft = 0
 	same := func(o *entry) bool { return o == e }
-	if others := slices.DeleteFunc(b.byAddress[e.Address], same); len(others) > 0 {
-		b.byAddress[e.Address] = others
+	if others := slices.DeleteFunc(t.byAddress[e.Address], same); len(others) > 0 {
+		t.byAddress[e.Address] = others
 	} else {
-		delete(b.byAddress, e.Address)
+		delete(t.byAddress, e.Address)
 	}
 	if e.State == Gone {
-		b.gone = slices.DeleteFunc(b.gone, same)
+		t.gone = slices.DeleteFunc(t.gone, same)
 		return
 	}
-	last := b.active[len(b.active)-1]
-	b.active[e.activeIndex], last.activeIndex = last, e.activeIndex
-	b.active = b.active[:len(b.active)-1]
+	last := t.active[len(t.active)-1]
+	t.active[e.activeIndex], last.activeIndex = last, e.activeIndex
+	t.active = t.active[:len(t.active)-1]
 }
 
 func (e *entry) view() Known {
@@ -332,15 +332,15 @@
 }
 
 // Changes returns the changes since the last call and clears them.
-func (b *MemberTable) Changes() []Change {
-	c := b.changes
-	b.changes = nil
+func (t *MemberTable) Changes() []Change {
+	c := t.changes
+	t.changes = nil
 	return c
 }
 
 // Find returns what is known of an incarnation.
-func (b *MemberTable) Find(o ticket.Owner) (Known, bool) {
-	e, ok := b.byOwner[o]
+func (t *MemberTable) Find(o ticket.Owner) (Known, bool) {
+	e, ok := t.byOwner[o]
 	if !ok {
 		return Known{}, false
 	}
@@ -348,14 +348,14 @@
 }
 
 // All returns the other members, sorted by address.
-func (b *MemberTable) All() []Known {
-	out := make([]Known, 0, len(b.byOwner))
-	for _, e := range b.byOwner {
+func (t *MemberTable) All() []Known {
+	out := make([]Known, 0, len(t.byOwner))
+	for _, e := range t.byOwner {
 		out = append(out, e.view())
 	}
-	slices.SortFunc(out, func(a, b Known) int { return a.Address.Compare(b.Address) })
+	slices.SortFunc(out, func(s, t Known) int { return s.Address.Compare(t.Address) })
 	return out
 }
 
 // Len returns the number of other members, including gone ones.
-func (b *MemberTable) Len() int { return len(b.byOwner) }
+func (t *MemberTable) Len() int { return len(t.byOwner) }
--- a/roster/book_test.go
+++ b/roster/table_test.go
@@ -16,8 +16,10 @@
 // platform whose VM list lags.
 type faults struct {
 	*sim
+	// count is the number of processes started so far.
 	count uint64
-	links map[[2]*node]bool
+	// cutLinks is true for the pairs (from, to) whose calls are lost.
+	cutLinks map[[2]*node]bool
 	// lateAnswers deliver answers that are still on the way; pastVMLists are the VM lists
 	// of each second so far.
 	lateAnswers []func(time.Time)
@@ -31,9 +33,9 @@
 )
 
 func newFaults() *faults {
-	f := &faults{sim: newSim(faultNodes, 1), links: make(map[[2]*node]bool)}
+	f := &faults{sim: newSim(faultNodes, 1), cutLinks: make(map[[2]*node]bool)}
 	f.cfg.GoneAfter = 20 * time.Second
-	f.cut = func(a, b *node) bool { return f.links[[2]*node{a, b}] }
+	f.cut = func(a, b *node) bool { return f.cutLinks[[2]*node{a, b}] }
 	for i := range faultNodes {
 		f.startProcess(i, 500)
 	}
@@ -68,7 +70,7 @@
 	}
 }
 
-// Processes end, freeze and restart at the same address, some with a clock that went
+// Processes end, are suspended and restart at the same address, some with a clock that went
 // back; calls are lost in one or both directions; answers arrive after their sender has
 // ended; the VM list lags or is missing, and VMs return under the same name and address.
 // If a running process were held to be gone, its callers would be told that their jobs
@@ -77,7 +79,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFaults()
 		any := rapid.IntRange(0, faultNodes-1)
-		at := func(t *rapid.T) *node { return f.nodes[simAddress(any.Draw(t, "node"))] }
+		drawNode := func(t *rapid.T) *node { return f.nodes[simAddress(any.Draw(t, "node"))] }
 		t.Repeat(map[string]func(*rapid.T){
 			"":       f.check,
 			"second": func(t *rapid.T) { f.runSeconds(t, 1) },
@@ -87,21 +89,21 @@
 				f.startProcess(any.Draw(t, "node"), rapid.Uint64Range(1, 999).Draw(t, "clock"))
 			},
 			"freeze or thaw": func(t *rapid.T) {
-				if n := at(t); n != nil {
-					n.frozen = !n.frozen
+				if n := drawNode(t); n != nil {
+					n.suspended = !n.suspended
 				}
 			},
 			"cut or join": func(t *rapid.T) {
-				k := [2]*node{at(t), at(t)}
-				f.links[k] = !f.links[k]
+				k := [2]*node{drawNode(t), drawNode(t)}
+				f.cutLinks[k] = !f.cutLinks[k]
 			},
 			"slow call": func(t *rapid.T) {
-				n, to := at(t), any.Draw(t, "to")
-				if n == nil || n.frozen {
+				n, to := drawNode(t), any.Draw(t, "to")
+				if n == nil || n.suspended {
 					return
 				}
-				if done := f.call(n, simAddress(to), n.table.Beat(Member{})); done != nil {
-					f.lateAnswers = append(f.lateAnswers, done)
+				if deliver := f.call(n, simAddress(to), n.table.Beat(Member{})); deliver != nil {
+					f.lateAnswers = append(f.lateAnswers, deliver)
 				}
 			},
 			"late answer": func(t *rapid.T) {
@@ -111,8 +113,8 @@
 			},
 			"VM list": func(t *rapid.T) {
 				lag := rapid.IntRange(1, listLag).Draw(t, "lag")
-				if n := at(t); n != nil && len(f.pastVMLists) >= lag {
-					n.table.List(f.now, f.pastVMLists[len(f.pastVMLists)-lag])
+				if n := drawNode(t); n != nil && len(f.pastVMLists) >= lag {
+					n.table.ApplyVMList(f.now, f.pastVMLists[len(f.pastVMLists)-lag])
 				}
 			},
 		})
@@ -122,12 +124,12 @@
 
 // endFaults ends the faults. All must agree within a minute on which processes run.
 func (f *faults) endFaults(t *rapid.T) {
-	clear(f.links)
+	clear(f.cutLinks)
 	for i := range faultNodes {
 		if n := f.nodes[simAddress(i)]; n == nil {
 			f.startProcess(i, 1)
 		} else {
-			n.frozen = false
+			n.suspended = false
 		}
 	}
 	for range 60 {
@@ -150,23 +152,23 @@
 	for range 10 {
 		s.second()
 	}
-	whole := s.vmList()
+	fullList := s.vmList()
 	victim := s.nodes[simAddress(7)].table.self.Owner
 	delete(s.nodes, simAddress(6))
 	delete(s.nodes, simAddress(7))
-	b := s.nodes[simAddress(0)].table
-	b.List(s.now, whole)
+	table := s.nodes[simAddress(0)].table
+	table.ApplyVMList(s.now, fullList)
 	state := func() State {
-		k, _ := b.Find(victim)
+		k, _ := table.Find(victim)
 		return k.State
 	}
 	run := func(seconds int, list []ledger.VM) {
 		for range seconds {
 			s.second()
-			b.List(s.now, list)
+			table.ApplyVMList(s.now, list)
 		}
 	}
-	run(120, whole)
+	run(120, fullList)
 	run(120, nil)
 	if state() != Suspect {
 		t.Fatalf("%s while the VM list proves nothing, want suspect", state())
@@ -180,7 +182,7 @@
 		t.Fatalf("%s after the lag of the list, want gone", state())
 	}
 	run(600, s.vmList())
-	if _, ok := b.Find(victim); ok {
+	if _, ok := table.Find(victim); ok {
 		t.Fatal("the gone member is still kept after KeepGone")
 	}
 }
@@ -194,24 +196,24 @@
 		s.start(i, 1)
 	}
 	s.second()
-	whole := s.vmList()
-	b := s.nodes[simAddress(0)].table
+	fullList := s.vmList()
+	table := s.nodes[simAddress(0)].table
 	run := func(seconds int, list []ledger.VM) {
 		for range seconds {
 			s.second()
-			b.List(s.now, list)
+			table.ApplyVMList(s.now, list)
 		}
 	}
-	run(10, whole)
+	run(10, fullList)
 	delete(s.nodes, simAddress(6))
 	delete(s.nodes, simAddress(7))
 	without := s.vmList()
 	run(30, without)
-	again := s.start(7, 2).table.self.Owner
+	newOwner := s.start(7, 2).table.self.Owner
 	run(15, without)
 	s.cut = func(from, to *node) bool { return to == s.nodes[simAddress(7)] || from == s.nodes[simAddress(7)] }
 	run(40, without)
-	if k, _ := b.Find(again); k.State != Suspect {
+	if k, _ := table.Find(newOwner); k.State != Suspect {
 		t.Fatalf("the new process is %q, want suspect", k.State)
 	}
 }
@@ -224,23 +226,23 @@
 	cfg.Members = 10
 	s := newSim(3, 1)
 	s.cfg = cfg
-	b := s.start(0, 1).table
+	table := s.start(0, 1).table
 	member := func(i int) Member {
 		return Member{Owner: ticket.Owner{DataCenter: "d", VM: "v", Process: "p", Incarnation: uint64(i)}, Address: simAddress(i), Count: 1}
 	}
 	for i := 1; i <= 20; i++ {
-		b.Received(s.now, Beat{From: member(i)})
+		table.Received(s.now, Beat{From: member(i)})
 	}
-	if b.Len() != 10 || !b.fullReported {
-		t.Fatalf("%d members, want 10", b.Len())
+	if table.Len() != 10 || !table.fullReported {
+		t.Fatalf("%d members, want 10", table.Len())
 	}
-	b.Failed(s.now, simAddress(3))
-	b.Tick(s.now.Add(time.Minute))
-	b.Received(s.now.Add(time.Minute), Beat{From: member(30)})
-	if _, ok := b.Find(member(3).Owner); ok {
+	table.Failed(s.now, simAddress(3))
+	table.Tick(s.now.Add(time.Minute))
+	table.Received(s.now.Add(time.Minute), Beat{From: member(30)})
+	if _, ok := table.Find(member(3).Owner); ok {
 		t.Error("the suspect member was kept instead of a live one")
 	}
-	if _, ok := b.Find(member(30).Owner); !ok || b.Len() != 10 {
+	if _, ok := table.Find(member(30).Owner); !ok || table.Len() != 10 {
 		t.Error("no member was evicted for the live one")
 	}
 }
@@ -251,25 +253,25 @@
 // answer, a backend server that has moved would get work of both halves.
 func TestLateAnswerDoesNotReplaceANewerOne(t *testing.T) {
 	s := newSim(2, 1)
-	b := s.start(0, 1).table
-	near := Member{Owner: ticket.Owner{DataCenter: b.self.Owner.DataCenter, VM: "vm9", Process: "hub", Incarnation: 1}, Address: simAddress(9)}
+	table := s.start(0, 1).table
+	neighbour := Member{Owner: ticket.Owner{DataCenter: table.self.Owner.DataCenter, VM: "vm9", Process: "hub", Incarnation: 1}, Address: simAddress(9)}
 	heartbeat := func(count uint64, v tables.Version) Beat {
-		m := near
+		m := neighbour
 		m.Count, m.Tables = count, v
 		return Beat{From: m}
 	}
 	first, second := s.now, s.now.Add(time.Second)
-	b.Answered(second, second.Add(time.Millisecond), near.Address, heartbeat(2, 7))
-	b.Answered(first, second.Add(2*time.Millisecond), near.Address, heartbeat(1, 5))
-	n := b.Neighbours()
+	table.Answered(second, second.Add(time.Millisecond), neighbour.Address, heartbeat(2, 7))
+	table.Answered(first, second.Add(2*time.Millisecond), neighbour.Address, heartbeat(1, 5))
+	n := table.Neighbours()
 	if len(n) != 1 || n[0].Told.Tables != 7 || !n[0].Answered.Equal(second) {
 		t.Errorf("%+v", n)
 	}
 	// In the other order the later answer belongs to the earlier call; the neighbour had
 	// still received the later call by then.
-	b.Answered(second.Add(time.Second), second.Add(time.Second), near.Address, heartbeat(3, 7))
-	b.Answered(second, second.Add(2*time.Second), near.Address, heartbeat(4, 8))
-	n = b.Neighbours()
+	table.Answered(second.Add(time.Second), second.Add(time.Second), neighbour.Address, heartbeat(3, 7))
+	table.Answered(second, second.Add(2*time.Second), neighbour.Address, heartbeat(4, 8))
+	n = table.Neighbours()
 	if n[0].Told.Tables != 8 || !n[0].Answered.Equal(second.Add(time.Second)) {
 		t.Errorf("%+v", n)
 	}
