--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -125,8 +125,8 @@
 	case errors.Is(err, errFrameTooLarge):
 		return reply{err: errors.Wrap(ErrNotSent, err.Error())}
 	case err != nil:
-		// The frame was not written completely, so the peer can't have read it, and
-		// could not find the start of a following one.
+		// The frame was not written completely, so the peer can't have read it. The
+		// connection is closed, since the peer could not find the start of the next frame.
 		_ = c.Close()
 		return reply{err: errors.Wrap(ErrNotSent, err.Error()), writeFailed: true}
 	}
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -21,37 +21,37 @@
 
 var anyAddress = netip.MustParseAddrPort("10.0.0.1:7500")
 
-// pipes is an in-memory network and its listener. Connections go to the server that
-// accepts from the listener; with a nil channel nobody reads from them.
+// pipes is an in-memory network and its listener. Connections go through incoming to the
+// server that accepts from the listener; if incoming is nil, nobody reads from them.
 type pipes struct {
-	accepted chan net.Conn
+	incoming chan net.Conn
 	opened   int
 }
 
 func (p *pipes) open(context.Context, string, string) (net.Conn, error) {
 	a, b := net.Pipe()
 	p.opened++
-	if p.accepted != nil {
-		p.accepted <- b
+	if p.incoming != nil {
+		p.incoming <- b
 	}
 	return a, nil
 }
 
 func (p *pipes) Accept() (net.Conn, error) {
-	c, ok := <-p.accepted
+	c, ok := <-p.incoming
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
 
-func (p *pipes) Close() error   { close(p.accepted); return nil }
+func (p *pipes) Close() error   { close(p.incoming); return nil }
 func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
 // serve runs a server with the method "wait", which answers once the returned channel
 // is closed.
 func serve(t *testing.T) (*Server, *pipes, *Dialer, chan struct{}) {
-	p := &pipes{accepted: make(chan net.Conn, 4)}
+	p := &pipes{incoming: make(chan net.Conn, 4)}
 	s := NewServer(slog.New(slog.DiscardHandler), p)
 	answer := make(chan struct{})
 	Handle(s, "wait", func(_ context.Context, n int) (int, error) {
@@ -79,6 +79,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := NewDialer(nil, time.Minute, (&pipes{}).open)
 		began := time.Now()
+		// The first call may have been written in part when its context ends; the second
+		// waits for the first one's write and is never written.
 		for _, want := range []error{ErrLost, ErrNotSent} {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			_, err := Call[int](ctx, d, anyAddress, "wait", 1)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -13,7 +13,7 @@
 
 // A caller's body is forwarded to another dispatcher. It must arrive byte for byte: with
 // its keys sorted or its text escaped it no longer matches the body that was submitted
-// directly, and the resubmission of an order is refused.
+// directly, and the resubmission of a job is refused.
 func TestBodyArrivesUnchanged(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
