--- a/roster/bench_test.go
+++ b/roster/bench_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// BenchmarkRosterSteady gives what membership costs one node in a second, with
-// all heartbeats encoded and decoded; the time an operation is the processor
-// time of one node.
+// BenchmarkRosterSteady measures the cost of membership for one node and second, with all
+// heartbeats encoded and decoded. The time per operation is the processor time of one
+// node.
 func BenchmarkRosterSteady(b *testing.B) {
 	for _, n := range []int{16, 64, 256, 1024, 2048} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
-			s := joined(b, n)
+			s := newJoinedSim(b, n)
 			heap := heapBytes()
 			s.bytes, s.calls = 0, 0
 			seconds := 0
@@ -32,15 +32,14 @@
 	}
 }
 
-// BenchmarkRosterChurn gives how many seconds pass until all agree after a
-// quarter of the nodes have ended and as many have started, half of them at the
-// addresses of those that ended.
+// BenchmarkRosterChurn measures the seconds until all agree after a quarter of the nodes
+// have ended and as many have started, half of them at the addresses of those that ended.
 func BenchmarkRosterChurn(b *testing.B) {
 	for _, n := range []int{16, 64, 256, 1024} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
 			seconds := 0
 			for b.Loop() {
-				s := joined(b, n)
+				s := newJoinedSim(b, n)
 				for i := range n / 4 {
 					delete(s.nodes, simAddress(n-1-i))
 				}
@@ -55,7 +54,7 @@
 	}
 }
 
-func joined(b *testing.B, n int) *sim {
+func newJoinedSim(b *testing.B, n int) *sim {
 	s := newSim(n, 1)
 	s.encode = true
 	for i := range n {
--- a/roster/list.go
+++ b/roster/list.go
@@ -7,23 +7,23 @@
 	"snipehub.example/ledger"
 )
 
-// vm is a VM of the list. Names and addresses are both used again by the
-// platform, so only the two together name one.
+// vm is the identity of a VM. The platform reuses both names and addresses, so only the
+// pair identifies a VM.
 type vm struct {
 	name    string
 	address netip.Addr
 }
 
-// List takes the platform's VM list.
+// ApplyVMList processes the platform's VM list.
 //
-// A member is gone for good when its VM was on the list, is on none of the
-// lists of the time GoneAfter, and the member is silent for that time. Each of
-// these has its reason. A fresh VM is not on the list yet, because the list
-// lags. A VM whose name and address are used again may be missing from a list
-// that lags although its new process lives; that one is heard. A list that is
-// down or empty says nothing. If a live owner were taken for gone, callers would
-// be told that their jobs failed while they run.
-func (b *Book) List(now time.Time, list []ledger.VM) {
+// A member is gone for good if its VM was once on the list, is then missing from all
+// lists for GoneAfter, and the member is suspect and silent for that time. Each condition
+// has a reason. A new VM is not on the list yet, because the list lags. A VM with a
+// reused name and address may be missing from a lagging list although its new process
+// runs; that process is heard. An empty list, or none because the platform is down,
+// proves nothing. If a running owner were taken for gone, callers would be told that
+// their jobs failed while they run.
+func (t *MemberTable) ApplyVMList(now time.Time, list []ledger.VM) {
 	if len(list) == 0 {
 		return
 	}
@@ -31,45 +31,45 @@
 	for _, v := range list {
 		listed[vm{v.Name, v.Address}] = struct{}{}
 	}
-	for _, e := range append([]*entry(nil), b.order...) {
-		b.compare(now, e, listed)
+	for _, e := range append([]*entry(nil), t.active...) {
+		t.checkVM(now, e, listed)
 	}
-	b.trimVMs()
+	t.forgetUnusedVMs()
 }
 
-// trimVMs forgets VMs that no member has, so that there are never more of them
+// forgetUnusedVMs removes VMs without an active member, so that there are never more VMs
 // than members.
-func (b *Book) trimVMs() {
-	used := make(map[vm]struct{}, len(b.order))
-	for _, e := range b.order {
+func (t *MemberTable) forgetUnusedVMs() {
+	used := make(map[vm]struct{}, len(t.active))
+	for _, e := range t.active {
 		used[e.vm()] = struct{}{}
 	}
-	for v := range b.vms {
+	for v := range t.missingSince {
 		if _, ok := used[v]; !ok {
-			delete(b.vms, v)
+			delete(t.missingSince, v)
 		}
 	}
 }
 
 func (e *entry) vm() vm { return vm{e.Owner.VM, e.Address.Addr()} }
 
-func (b *Book) compare(now time.Time, e *entry, listed map[vm]struct{}) {
+func (t *MemberTable) checkVM(now time.Time, e *entry, listed map[vm]struct{}) {
 	v := e.vm()
 	if _, ok := listed[v]; ok {
-		b.vms[v] = time.Time{}
+		t.missingSince[v] = time.Time{}
 		return
 	}
-	absent, known := b.vms[v]
+	missingSince, known := t.missingSince[v]
 	if !known {
 		return
 	}
-	if absent.IsZero() {
-		b.vms[v] = now
+	if missingSince.IsZero() {
+		t.missingSince[v] = now
 		return
 	}
-	quiet := later(later(absent, e.since), e.Heard)
-	if e.State == Suspect && now.Sub(quiet) >= b.cfg.GoneAfter {
-		b.end(now, e)
+	silentSince := later(later(missingSince, e.knownSince), e.Heard)
+	if e.State == Suspect && now.Sub(silentSince) >= t.cfg.GoneAfter {
+		t.markGone(now, e)
 	}
 }
 
--- a/tables/edit.go
+++ b/tables/edit.go
@@ -9,10 +9,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Edit is a change of rows, as it stands on the log. An edit carries only the
-// rows that change: at 14,000 edits a day of tables with 13,000 servers, whole
-// tables would cost every process megabytes for each edit. A row that is both
-// put and dropped is put.
+// Edit is a change of rows as it is stored on the log. It carries only the rows that
+// change: at 14,000 edits a day of tables with 13,000 servers, whole tables would cost
+// every process megabytes for each edit. A row that is both put and dropped is put.
 type Edit struct {
 	ID     string    `json:"id"`
 	Base   Version   `json:"base"`
@@ -21,13 +20,13 @@
 	Put    Rows      `json:"put"`
 	Drop   Keys      `json:"drop"`
 
-	// logged is the log's time of the record.
-	logged time.Time
+	// loggedAt is the log's time of the record.
+	loggedAt time.Time
 }
 
-// Apply returns the state that the edit at offset v makes of s, or the reason
-// why every reader rejects it. It costs about as much as the pools that the
-// edit touches are large.
+// Apply returns the state that results from the edit at offset v, or the reason why every
+// reader rejects the edit. Its cost grows with the size of the pools that the edit
+// changes.
 func (s *State) Apply(v Version, e Edit) (*State, error) {
 	if e.Base != s.Version {
 		return nil, errors.Errorf("base is version %d, current is %d", e.Base, s.Version)
@@ -42,65 +41,67 @@
 	if err := d.checkRoutes(e); err != nil {
 		return nil, err
 	}
-	if err := d.settleHomes(v, e.logged); err != nil {
+	if err := d.checkHalves(v, e.loggedAt); err != nil {
 		return nil, err
 	}
-	return d.done(v, e.logged), nil
+	return d.done(v, e.loggedAt), nil
 }
 
 // draft is a state under construction.
 type draft struct {
-	old    *State
-	routes *writer[string, Route]
-	teams  *writer[string, Team]
-	groups *writer[string, *group]
-	homes  *writer[netip.AddrPort, []string]
-	moves  *writer[netip.AddrPort, Move]
-	// copied are the groups that belong to the draft alone.
-	copied   map[string]*group
-	touched  map[netip.AddrPort]struct{}
-	lastMove Version
+	old         *State
+	routes      *writer[string, Route]
+	teams       *writer[string, Team]
+	poolEntries *writer[string, *poolEntry]
+	serverPools *writer[netip.AddrPort, []string]
+	moves       *writer[netip.AddrPort, Move]
+	// ownEntries are the entries that were copied or created for this draft and may be
+	// changed.
+	ownEntries     map[string]*poolEntry
+	changedServers map[netip.AddrPort]struct{}
+	lastMove       Version
 }
 
 func newDraft(s *State) *draft {
 	return &draft{
-		old:      s,
-		routes:   newWriter(s.routes),
-		teams:    newWriter(s.teams),
-		groups:   newWriter(s.groups),
-		homes:    newWriter(s.homes),
-		moves:    newWriter(s.moves),
-		copied:   make(map[string]*group),
-		touched:  make(map[netip.AddrPort]struct{}),
-		lastMove: s.lastMove,
+		old:            s,
+		routes:         newWriter(s.routes),
+		teams:          newWriter(s.teams),
+		poolEntries:    newWriter(s.poolEntries),
+		serverPools:    newWriter(s.serverPools),
+		moves:          newWriter(s.moves),
+		ownEntries:     make(map[string]*poolEntry),
+		changedServers: make(map[netip.AddrPort]struct{}),
+		lastMove:       s.lastMove,
 	}
 }
 
-func (d *draft) done(v Version, logged time.Time) *State {
+func (d *draft) done(v Version, loggedAt time.Time) *State {
 	return &State{
-		Version:  v,
-		logged:   logged,
-		routes:   d.routes.done(),
-		teams:    d.teams.done(),
-		groups:   d.groups.done(),
-		homes:    d.homes.done(),
-		moves:    d.moves.done(),
-		lastMove: d.lastMove,
+		Version:     v,
+		loggedAt:    loggedAt,
+		routes:      d.routes.done(),
+		teams:       d.teams.done(),
+		poolEntries: d.poolEntries.done(),
+		serverPools: d.serverPools.done(),
+		moves:       d.moves.done(),
+		lastMove:    d.lastMove,
 	}
 }
 
-// group returns a pool's group for changing, or nil.
-func (d *draft) group(name string) *group {
-	if g, ok := d.copied[name]; ok {
-		return g
+// poolEntry returns the entry of a pool for modification, or nil if there is no such
+// pool.
+func (d *draft) poolEntry(name string) *poolEntry {
+	if entry, ok := d.ownEntries[name]; ok {
+		return entry
 	}
-	g, ok := d.groups.get(name)
+	entry, ok := d.poolEntries.get(name)
 	if !ok {
 		return nil
 	}
-	c := *g
-	d.copied[name] = &c
-	d.groups.set(name, &c)
+	c := *entry
+	d.ownEntries[name] = &c
+	d.poolEntries.set(name, &c)
 	return &c
 }
 
@@ -109,65 +110,65 @@
 		if err := p.check(); err != nil {
 			return err
 		}
-		g := d.group(p.Name)
-		if g == nil {
-			g = &group{}
-			d.copied[p.Name] = g
-			d.groups.set(p.Name, g)
+		entry := d.poolEntry(p.Name)
+		if entry == nil {
+			entry = &poolEntry{}
+			d.ownEntries[p.Name] = entry
+			d.poolEntries.set(p.Name, entry)
 		}
-		if g.pool.Half != p.Half {
-			for _, v := range g.servers {
-				d.touched[v.Address] = struct{}{}
+		if entry.pool.Half != p.Half {
+			for _, v := range entry.servers {
+				d.changedServers[v.Address] = struct{}{}
 			}
 		}
-		g.pool = p
+		entry.pool = p
 	}
 	return nil
 }
 
-// change is what an edit does to one pool's servers.
-type change struct {
+// serverChange is what an edit changes in the servers of one pool.
+type serverChange struct {
 	put  []Server
 	drop map[netip.AddrPort]struct{}
 }
 
 func (d *draft) changeServers(e Edit) error {
-	changes := make(map[string]*change)
-	of := func(pool string) *change {
+	changes := make(map[string]*serverChange)
+	changeOf := func(pool string) *serverChange {
 		c, ok := changes[pool]
 		if !ok {
-			c = &change{drop: make(map[netip.AddrPort]struct{})}
+			c = &serverChange{drop: make(map[netip.AddrPort]struct{})}
 			changes[pool] = c
 		}
 		return c
 	}
 	for _, k := range e.Drop.Servers {
-		of(k.Pool).drop[k.Address] = struct{}{}
+		changeOf(k.Pool).drop[k.Address] = struct{}{}
 	}
 	for _, v := range e.Put.Servers {
 		if err := v.check(); err != nil {
 			return err
 		}
-		if d.group(v.Pool) == nil {
+		if d.poolEntry(v.Pool) == nil {
 			return errors.Errorf("servers: %s: no pool %q", v.Address, v.Pool)
 		}
-		c := of(v.Pool)
+		c := changeOf(v.Pool)
 		c.put = append(c.put, v)
 		delete(c.drop, v.Address)
 	}
 	for pool, c := range changes {
-		if g := d.group(pool); g != nil {
-			d.changeGroup(g, c)
+		if entry := d.poolEntry(pool); entry != nil {
+			d.changeEntry(entry, c)
 		}
 	}
 	return nil
 }
 
-func (d *draft) changeGroup(g *group, c *change) {
+func (d *draft) changeEntry(entry *poolEntry, c *serverChange) {
 	for a := range c.drop {
-		d.leave(a, g.pool.Name)
+		d.removeFromPool(a, entry.pool.Name)
 	}
-	kept := slices.Clone(g.servers)
+	kept := slices.Clone(entry.servers)
 	if len(c.drop) > 0 {
 		kept = slices.DeleteFunc(kept, func(v Server) bool {
 			_, ok := c.drop[v.Address]
@@ -184,35 +185,35 @@
 		added[v.Address] = v
 	}
 	for a, v := range added {
-		d.enter(a, g.pool.Name)
+		d.addToPool(a, entry.pool.Name)
 		kept = append(kept, v)
 	}
 	if len(added) > 0 {
 		slices.SortFunc(kept, func(a, b Server) int { return a.Address.Compare(b.Address) })
 	}
-	g.servers = kept
+	entry.servers = kept
 }
 
 func compareAddress(v Server, a netip.AddrPort) int { return v.Address.Compare(a) }
 
-func (d *draft) enter(a netip.AddrPort, pool string) {
-	d.touched[a] = struct{}{}
-	pools, _ := d.homes.get(a)
-	d.homes.set(a, append(slices.Clip(pools), pool))
+func (d *draft) addToPool(a netip.AddrPort, pool string) {
+	d.changedServers[a] = struct{}{}
+	pools, _ := d.serverPools.get(a)
+	d.serverPools.set(a, append(slices.Clip(pools), pool))
 }
 
-func (d *draft) leave(a netip.AddrPort, pool string) {
-	pools, ok := d.homes.get(a)
+func (d *draft) removeFromPool(a netip.AddrPort, pool string) {
+	pools, ok := d.serverPools.get(a)
 	if !ok || !slices.Contains(pools, pool) {
 		return
 	}
-	d.touched[a] = struct{}{}
+	d.changedServers[a] = struct{}{}
 	rest := slices.DeleteFunc(slices.Clone(pools), func(p string) bool { return p == pool })
 	if len(rest) == 0 {
-		d.homes.remove(a)
+		d.serverPools.remove(a)
 		return
 	}
-	d.homes.set(a, rest)
+	d.serverPools.set(a, rest)
 }
 
 func (d *draft) changeRoutes(e Edit) error {
@@ -220,32 +221,32 @@
 		if err := r.check(); err != nil {
 			return err
 		}
-		g := d.group(r.Pool)
-		if g == nil {
+		entry := d.poolEntry(r.Pool)
+		if entry == nil {
 			return errors.Errorf("routes: kind %q: no pool %q", r.Kind, r.Pool)
 		}
-		d.unroute(r.Kind)
-		g.kinds = append(slices.Clip(g.kinds), r.Kind)
+		d.detachKind(r.Kind)
+		entry.kinds = append(slices.Clip(entry.kinds), r.Kind)
 		d.routes.set(r.Kind, r)
 	}
 	for _, kind := range e.Drop.Routes {
 		if slices.ContainsFunc(e.Put.Routes, func(r Route) bool { return r.Kind == kind }) {
 			continue
 		}
-		d.unroute(kind)
+		d.detachKind(kind)
 		d.routes.remove(kind)
 	}
 	return nil
 }
 
-// unroute takes a kind from the pool that it goes to.
-func (d *draft) unroute(kind string) {
+// detachKind removes a kind from the entry of the pool that it is routed to.
+func (d *draft) detachKind(kind string) {
 	r, ok := d.routes.get(kind)
 	if !ok {
 		return
 	}
-	g := d.group(r.Pool)
-	g.kinds = slices.DeleteFunc(slices.Clone(g.kinds), func(k string) bool { return k == kind })
+	entry := d.poolEntry(r.Pool)
+	entry.kinds = slices.DeleteFunc(slices.Clone(entry.kinds), func(k string) bool { return k == kind })
 }
 
 func (d *draft) dropPools(e Edit) error {
@@ -253,17 +254,17 @@
 		if slices.ContainsFunc(e.Put.Pools, func(p Pool) bool { return p.Name == name }) {
 			continue
 		}
-		g := d.group(name)
+		entry := d.poolEntry(name)
 		switch {
-		case g == nil:
+		case entry == nil:
 			continue
-		case len(g.servers) > 0:
-			return errors.Errorf("servers: %s: no pool %q", g.servers[0].Address, name)
-		case len(g.kinds) > 0:
-			return errors.Errorf("routes: kind %q: no pool %q", g.kinds[0], name)
+		case len(entry.servers) > 0:
+			return errors.Errorf("servers: %s: no pool %q", entry.servers[0].Address, name)
+		case len(entry.kinds) > 0:
+			return errors.Errorf("routes: kind %q: no pool %q", entry.kinds[0], name)
 		}
-		d.groups.remove(name)
-		delete(d.copied, name)
+		d.poolEntries.remove(name)
+		delete(d.ownEntries, name)
 	}
 	return nil
 }
@@ -281,7 +282,8 @@
 	return nil
 }
 
-// checkRoutes holds the join of the two tables: a route's half is its pool's.
+// checkRoutes checks the consistency of the two tables: a route has the same half as its
+// pool.
 func (d *draft) checkRoutes(e Edit) error {
 	for _, r := range e.Put.Routes {
 		if err := d.checkRoute(r.Kind); err != nil {
@@ -289,8 +291,8 @@
 		}
 	}
 	for _, p := range e.Put.Pools {
-		g, _ := d.groups.get(p.Name)
-		for _, kind := range g.kinds {
+		entry, _ := d.poolEntries.get(p.Name)
+		for _, kind := range entry.kinds {
 			if err := d.checkRoute(kind); err != nil {
 				return err
 			}
@@ -301,62 +303,63 @@
 
 func (d *draft) checkRoute(kind string) error {
 	r, _ := d.routes.get(kind)
-	g, _ := d.groups.get(r.Pool)
-	if r.Half != g.pool.Half {
-		return errors.Errorf("routes: kind %q: half %q, but pool %q is of half %q", kind, r.Half, r.Pool, g.pool.Half)
+	entry, _ := d.poolEntries.get(r.Pool)
+	if r.Half != entry.pool.Half {
+		return errors.Errorf("routes: kind %q: half %q, but pool %q is of half %q", kind, r.Half, r.Pool, entry.pool.Half)
 	}
 	return nil
 }
 
-// settleHomes holds that a backend server is in pools of one half only, and
-// records which servers changed theirs.
-func (d *draft) settleHomes(v Version, logged time.Time) error {
-	for a := range d.touched {
+// checkHalves checks that each changed backend server is in pools of one half only, and
+// records the servers whose half changed.
+func (d *draft) checkHalves(v Version, loggedAt time.Time) error {
+	for a := range d.changedServers {
 		half, err := d.half(a)
 		if err != nil {
 			return err
 		}
-		d.move(a, half, v, logged)
+		d.recordMove(a, half, v, loggedAt)
 	}
 	if d.moves.x.len() > maxMoves {
-		d.forgetMoves()
+		d.dropOldMoves()
 	}
 	return nil
 }
 
 func (d *draft) half(a netip.AddrPort) (string, error) {
-	pools, _ := d.homes.get(a)
+	pools, _ := d.serverPools.get(a)
 	half := ""
 	for _, name := range pools {
-		g, _ := d.groups.get(name)
-		if half != "" && half != g.pool.Half {
+		entry, _ := d.poolEntries.get(name)
+		if half != "" && half != entry.pool.Half {
 			return "", errors.Errorf("servers: %s: in pools of two halves", a)
 		}
-		half = g.pool.Half
+		half = entry.pool.Half
 	}
 	return half, nil
 }
 
-// move records a change of half. A server that is taken out of all pools and
-// put into the other half by a later edit has moved as well, so its last half
-// is remembered. One that comes back to the same half is recorded too: it may
-// have come from the other half a moment before it was taken out.
-func (d *draft) move(a netip.AddrPort, half string, v Version, logged time.Time) {
-	was := d.old.Half(a)
+// recordMove records a change of half. A server that is removed from all pools and added
+// to the other half by a later edit has moved as well, so its last half is remembered. A
+// server that returns to the same half is recorded too: it may have come from the other
+// half shortly before it was removed.
+func (d *draft) recordMove(a netip.AddrPort, half string, v Version, loggedAt time.Time) {
+	oldHalf := d.old.Half(a)
 	m, known := d.moves.get(a)
 	switch {
-	case was == half:
+	case oldHalf == half:
 		return
-	case was == "" && !known:
+	case oldHalf == "" && !known:
 		return
-	case was == "":
-		was = m.From
+	case oldHalf == "":
+		oldHalf = m.From
 	}
-	d.moves.set(a, Move{Address: a, From: was, To: half, Version: v, At: logged})
+	d.moves.set(a, Move{Address: a, From: oldHalf, To: half, Version: v, At: loggedAt})
 	d.lastMove = v
 }
 
-func (d *draft) forgetMoves() {
+// dropOldMoves removes the oldest 50% of the moves.
+func (d *draft) dropOldMoves() {
 	all := make([]Move, 0, d.moves.x.len())
 	for _, m := range d.moves.x.all {
 		all = append(all, m)
@@ -367,7 +370,7 @@
 	}
 }
 
-// sortKeys sorts keys so that an edit has the same bytes each time it is made.
+// sortKeys sorts the keys, so that the same edit always has the same bytes.
 func sortKeys(k *Keys) {
 	slices.SortFunc(k.Routes, strings.Compare)
 	slices.SortFunc(k.Teams, strings.Compare)
--- a/tables/oracle_test.go
+++ b/tables/oracle_test.go
@@ -11,8 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of rapid, so that a run has the same verdict each
-// time. For long runs:
+// TestMain fixes the seed of rapid, so that each run has the same result. For long runs:
 //
 //	go test ./tables -run Rapid -rapid.seed=0 -rapid.checks=20000
 func TestMain(m *testing.M) {
@@ -23,14 +22,14 @@
 	os.Exit(m.Run())
 }
 
-// plain is the rule of edits written down as simply as possible: merge all
-// rows, then check all of them.
-func plain(old Rows, e Edit) (Rows, error) {
+// referenceApply is a simple reference implementation of Apply: it merges all rows, then
+// checks all of them.
+func referenceApply(old Rows, e Edit) (Rows, error) {
 	rows := Rows{
-		Routes:  plainMerge(old.Routes, e.Put.Routes, e.Drop.Routes, func(r Route) string { return r.Kind }),
-		Teams:   plainMerge(old.Teams, e.Put.Teams, e.Drop.Teams, func(t Team) string { return t.Name }),
-		Pools:   plainMerge(old.Pools, e.Put.Pools, e.Drop.Pools, func(p Pool) string { return p.Name }),
-		Servers: plainMerge(old.Servers, e.Put.Servers, e.Drop.Servers, Server.Key),
+		Routes:  referenceMerge(old.Routes, e.Put.Routes, e.Drop.Routes, func(r Route) string { return r.Kind }),
+		Teams:   referenceMerge(old.Teams, e.Put.Teams, e.Drop.Teams, func(t Team) string { return t.Name }),
+		Pools:   referenceMerge(old.Pools, e.Put.Pools, e.Drop.Pools, func(p Pool) string { return p.Name }),
+		Servers: referenceMerge(old.Servers, e.Put.Servers, e.Drop.Servers, Server.Key),
 	}
 	half := make(map[string]string)
 	for _, p := range rows.Pools {
@@ -51,7 +50,7 @@
 	return rows, nil
 }
 
-func plainMerge[K comparable, R any](old, put []R, drop []K, key func(R) K) []R {
+func referenceMerge[K comparable, R any](old, put []R, drop []K, key func(R) K) []R {
 	out := slices.DeleteFunc(slices.Clone(old), func(r R) bool {
 		same := func(p R) bool { return key(p) == key(r) }
 		return slices.Contains(drop, key(r)) || slices.ContainsFunc(put, same)
@@ -68,7 +67,7 @@
 	})
 )
 
-// drawEdit makes an edit of a few rows, each key at most once.
+// drawEdit draws an edit of a few rows with distinct keys.
 func drawEdit(t *rapid.T, base Version) Edit {
 	e := Edit{ID: "e", Base: base}
 	some := func(name string) int { return rapid.IntRange(0, 2).Draw(t, name) }
@@ -104,7 +103,7 @@
 	return out
 }
 
-// sortRows brings rows into the order of State.Rows.
+// sortRows returns the rows in the order of State.Rows.
 func sortRows(t interface{ Fatal(...any) }, r Rows) Rows {
 	s, err := Build(0, r)
 	if err != nil {
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -11,54 +11,57 @@
 	"snipehub.example/ledger"
 )
 
-// world is a log with its readers, and what the plain rule says of each prefix
-// of the log.
-type world struct {
-	records  []ledger.Record
-	first    ledger.Offset
+// replaySim is a log that has dropped the records below first, its readers, and the
+// tables that the reference implementation gives for each prefix of the log.
+type replaySim struct {
+	records []ledger.Record
+	first   ledger.Offset
+	// versions holds the version after each record; rows holds the rows of each version,
+	// and sorted holds them in the order of State.Rows.
 	versions []Version
 	rows     map[Version]Rows
 	sorted   map[Version]Rows
 
 	readers []*Replay
-	seen    []Version
-	// late are snapshots that were taken and not yet appended, letters bodies
-	// that are on their way to a reader.
-	late    [][]byte
-	letters []letter
+	// lastVersions holds the last version seen of each reader.
+	lastVersions []Version
+	// unappendedSnapshots were taken but not yet appended; pendingReplies are peers'
+	// answers that are still on the way.
+	unappendedSnapshots [][]byte
+	pendingReplies      []peerReply
 }
 
-type letter struct {
+type peerReply struct {
 	to   int
 	body Body
 }
 
-func newWorld(readers int) *world {
-	w := &world{rows: map[Version]Rows{ledger.None: {}}, sorted: map[Version]Rows{ledger.None: {}}}
+func newReplaySim(readers int) *replaySim {
+	w := &replaySim{rows: map[Version]Rows{ledger.None: {}}, sorted: map[Version]Rows{ledger.None: {}}}
 	for range readers {
-		w.readers = append(w.readers, w.fresh())
-		w.seen = append(w.seen, ledger.None)
+		w.readers = append(w.readers, w.newReader())
+		w.lastVersions = append(w.lastVersions, ledger.None)
 	}
 	return w
 }
 
-func (w *world) fresh() *Replay { return newReplay(keep{3, 1 << 20}, keep{3, 1 << 20}) }
+func (w *replaySim) newReader() *Replay { return newReplay(limits{3, 1 << 20}, limits{3, 1 << 20}) }
 
 // version returns the version that the first n records make.
-func (w *world) version(n ledger.Offset) Version {
+func (w *replaySim) version(n ledger.Offset) Version {
 	if n == 0 {
 		return ledger.None
 	}
 	return w.versions[n-1]
 }
 
-func (w *world) append(t *rapid.T, data []byte) {
+func (w *replaySim) append(t *rapid.T, data []byte) {
 	off := ledger.Offset(len(w.records))
 	w.records = append(w.records, ledger.Record{Offset: off, Data: data})
 	v := w.version(off)
 	var e Edit
 	if json.Unmarshal(data, &e) == nil && e.ID != "" && e.Base == v {
-		if rows, err := plain(w.rows[v], e); err == nil {
+		if rows, err := referenceApply(w.rows[v], e); err == nil {
 			v = off
 			w.rows[v], w.sorted[v] = rows, sortRows(t, rows)
 		}
@@ -66,35 +69,35 @@
 	w.versions = append(w.versions, v)
 }
 
-func (w *world) page(from ledger.Offset, n int) ledger.Page {
+func (w *replaySim) page(from ledger.Offset, n int) ledger.Page {
 	end := ledger.Offset(len(w.records))
 	from = min(max(from, w.first), end)
 	next := min(end, from+ledger.Offset(n))
 	return ledger.Page{First: w.first, Next: next, End: end, Records: w.records[from:next]}
 }
 
-func (w *world) answer(from int, a Ask) Body {
+func (w *replaySim) answer(from int, a Ask) Body {
 	r := w.readers[from]
-	if p, ok := r.Edits(a); ok {
+	if p, ok := r.EditsSince(a); ok {
 		return Body{Page: &p}
 	}
-	if s, through, ok := r.Basis(); ok {
+	if s, through, ok := r.SnapshotBasis(); ok {
 		b, _ := NewSnapshot(s, through).Encode()
 		return Body{Snapshot: b}
 	}
 	return Body{}
 }
 
-// check holds every reader against the plain rule: a complete one has what the
-// records below its next offset make; another one has what it had. No version
-// ever goes down.
-func (w *world) check(t *rapid.T) {
+// check compares every reader with the reference: a complete one has the version that the
+// records below its next offset result in; the rows of any reader are those of its
+// version; and no version ever goes down.
+func (w *replaySim) check(t *rapid.T) {
 	for i, r := range w.readers {
 		v := r.State().Version
-		if v < w.seen[i] {
-			t.Fatalf("reader %d went from version %d to %d", i, w.seen[i], v)
+		if v < w.lastVersions[i] {
+			t.Fatalf("reader %d went from version %d to %d", i, w.lastVersions[i], v)
 		}
-		w.seen[i] = v
+		w.lastVersions[i] = v
 		if r.Complete() && v != w.version(r.Next()) {
 			t.Fatalf("reader %d read below %d and has version %d, want %d", i, r.Next(), v, w.version(r.Next()))
 		}
@@ -104,17 +107,16 @@
 	}
 }
 
-// Operators race each other, appends are repeated because their answers were
-// lost, the log forgets, snapshots reach it late, peers pass on what they have,
-// and processes pause and start afresh. If two readers came to different
-// tables, a request would reach a backend server of the wrong half for as long
-// as the two live.
+// Operators race, appends are repeated because their answers were lost, the log drops
+// records, snapshots are appended late, peers forward what they have, and processes pause
+// and restart. Readers that reached different tables would send requests to backend
+// servers of the wrong half for as long as they run.
 func TestRapidReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { readersAgree(t) })
 }
 
 func readersAgree(t *rapid.T) {
-	w := newWorld(3)
+	w := newReplaySim(3)
 	reader := rapid.IntRange(0, len(w.readers)-1)
 	actions := map[string]func(*rapid.T){
 		"": w.check,
@@ -145,65 +147,65 @@
 			w.first = ledger.Offset(rapid.IntRange(int(w.first), len(w.records)).Draw(t, "first"))
 		},
 		"take snapshot": func(t *rapid.T) {
-			if s, through, ok := w.readers[reader.Draw(t, "author")].Basis(); ok {
+			if s, through, ok := w.readers[reader.Draw(t, "author")].SnapshotBasis(); ok {
 				b, _ := NewSnapshot(s, through).Encode()
-				w.late = append(w.late, b)
+				w.unappendedSnapshots = append(w.unappendedSnapshots, b)
 			}
 		},
 		"append snapshot": func(t *rapid.T) {
-			if len(w.late) > 0 {
-				w.append(t, rapid.SampledFrom(w.late).Draw(t, "snapshot"))
+			if len(w.unappendedSnapshots) > 0 {
+				w.append(t, rapid.SampledFrom(w.unappendedSnapshots).Draw(t, "snapshot"))
 			}
 		},
 		"ask peer": func(t *rapid.T) {
 			i, j := reader.Draw(t, "asker"), reader.Draw(t, "peer")
-			l := letter{i, w.answer(j, w.readers[i].Ask())}
-			w.letters = append(w.letters, l)
+			reply := peerReply{i, w.answer(j, w.readers[i].Ask())}
+			w.pendingReplies = append(w.pendingReplies, reply)
 			if rapid.Bool().Draw(t, "at once") {
-				_, _ = w.readers[i].Take(l.body)
+				_, _ = w.readers[i].Take(reply.body)
 			}
 		},
 		"deliver": func(t *rapid.T) {
-			if len(w.letters) > 0 {
-				l := rapid.SampledFrom(w.letters).Draw(t, "letter")
-				_, _ = w.readers[l.to].Take(l.body)
+			if len(w.pendingReplies) > 0 {
+				reply := rapid.SampledFrom(w.pendingReplies).Draw(t, "letter")
+				_, _ = w.readers[reply.to].Take(reply.body)
 			}
 		},
 		"restart": func(t *rapid.T) {
 			i := reader.Draw(t, "reader")
-			w.readers[i], w.seen[i] = w.fresh(), ledger.None
+			w.readers[i], w.lastVersions[i] = w.newReader(), ledger.None
 		},
 	}
 	t.Repeat(actions)
-	w.heal(t)
+	w.endFaults(t)
 }
 
-// heal ends the faults. One complete reader is enough for all of them to come
-// to the newest version.
-func (w *world) heal(t *rapid.T) {
+// endFaults ends the faults. One complete reader must be enough for all of them to reach
+// the newest version.
+func (w *replaySim) endFaults(t *rapid.T) {
 	for _, r := range w.readers {
 		r.Page(w.page(r.Next(), len(w.records)))
 	}
-	healed := false
+	snapshotAppended := false
 	for _, r := range w.readers {
-		if s, through, ok := r.Basis(); ok && !healed {
+		if s, through, ok := r.SnapshotBasis(); ok && !snapshotAppended {
 			b, _ := NewSnapshot(s, through).Encode()
 			w.append(t, b)
-			healed = true
+			snapshotAppended = true
 		}
 	}
 	for i, r := range w.readers {
 		r.Page(w.page(r.Next(), len(w.records)))
-		if healed && r.State().Version != w.version(ledger.Offset(len(w.records))) {
+		if snapshotAppended && r.State().Version != w.version(ledger.Offset(len(w.records))) {
 			t.Fatalf("reader %d stays at version %d", i, r.State().Version)
 		}
 	}
 	w.check(t)
 }
 
-// The author of a snapshot had read up to offset 0 when an edit landed at 1 and
-// took effect everywhere; the snapshot landed at 2 and the log forgot all below
-// it. A fresh reader that believed the snapshot would miss the edit for good.
+// The author of a snapshot had read up to offset 0 when an edit landed at 1 and took
+// effect everywhere; the snapshot landed at 2 and the log dropped everything below. A new
+// reader that adopted the snapshot would miss the edit for good.
 func TestSnapshotThatMissesAnEditIsNotAdopted(t *testing.T) {
 	edit := func(base Version, pool string) []byte {
 		b, _ := json.Marshal(Edit{ID: pool, Base: base, Put: Rows{Pools: []Pool{{Name: pool, Half: "north"}}}})
@@ -211,7 +213,7 @@
 	}
 	author := NewReplay()
 	author.Page(ledger.Page{Next: 1, Records: []ledger.Record{{Offset: 0, Data: edit(ledger.None, "a")}}})
-	s, through, _ := author.Basis()
+	s, through, _ := author.SnapshotBasis()
 	snap, err := NewSnapshot(s, through).Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -219,11 +221,11 @@
 	fresh := NewReplay()
 	fresh.Page(ledger.Page{First: 2, Next: 3, Records: []ledger.Record{{Offset: 2, Data: snap}}})
 	if fresh.Complete() {
-		t.Fatal("the reader believes to be complete without the edit at offset 1")
+		t.Fatal("the reader is complete without the edit at offset 1")
 	}
-	knowing := NewReplay()
-	knowing.Page(ledger.Page{First: 1, Next: 3, Records: []ledger.Record{{Offset: 1, Data: edit(0, "b")}, {Offset: 2, Data: snap}}})
-	if !knowing.Complete() || knowing.State().Version != 1 {
-		t.Fatalf("a reader that has the edit is at version %d", knowing.State().Version)
+	informed := NewReplay()
+	informed.Page(ledger.Page{First: 1, Next: 3, Records: []ledger.Record{{Offset: 1, Data: edit(0, "b")}, {Offset: 2, Data: snap}}})
+	if !informed.Complete() || informed.State().Version != 1 {
+		t.Fatalf("a reader that has the edit is at version %d", informed.State().Version)
 	}
 }
