--- a/settings/check.go
+++ b/settings/check.go
@@ -10,22 +10,22 @@
 	"snipehub.example/ticket"
 )
 
-// bad is the error of a key.
-func bad(key, reason string) error { return errors.Errorf("%s: %s", key, reason) }
+// keyError reports that the value of key is invalid for the given reason.
+func keyError(key, reason string) error { return errors.Errorf("%s: %s", key, reason) }
 
-// checkKeys holds every key to its rule.
-func (c *Config) checkKeys() error {
-	values := leaves(c)
+// checkValues checks the value of each key against the key's rule.
+func (c *Config) checkValues() error {
+	values := valuesByKey(c)
 	for _, k := range keys {
-		if !k.rule.ok(values[k.Name]) {
-			return bad(k.Name, "must be "+k.rule.text)
+		if !k.rule.valid(values[k.Name]) {
+			return keyError(k.Name, "must be "+k.rule.requirement)
 		}
 	}
 	return nil
 }
 
-// checkTogether finds keys that contradict each other.
-func (c *Config) checkTogether() error {
+// checkConsistency reports the first conflict between keys.
+func (c *Config) checkConsistency() error {
 	for _, check := range []func() error{c.checkListen, c.checkTLS, c.checkPeers, c.checkCallers, c.checkLimits} {
 		if err := check(); err != nil {
 			return err
@@ -35,7 +35,7 @@
 }
 
 func (c *Config) checkListen() error {
-	taken := make(map[netip.AddrPort]string)
+	keyByAddr := make(map[netip.AddrPort]string)
 	for _, l := range []struct {
 		key  string
 		addr netip.AddrPort
@@ -44,10 +44,10 @@
 		{"listen.peers", c.Listen.Peers},
 		{"listen.operators", c.Listen.Operators},
 	} {
-		if other, ok := taken[l.addr]; ok && l.addr.IsValid() {
-			return bad(l.key, "is the same address as "+other)
+		if other, ok := keyByAddr[l.addr]; ok && l.addr.IsValid() {
+			return keyError(l.key, "is the same address as "+other)
 		}
-		taken[l.addr] = l.key
+		keyByAddr[l.addr] = l.key
 	}
 	return nil
 }
@@ -56,16 +56,16 @@
 	t := c.TLS
 	switch {
 	case (t.CallerCert == "") != (t.CallerKey == ""):
-		return bad("tls.caller_cert", "and tls.caller_key must be set together")
+		return keyError("tls.caller_cert", "and tls.caller_key must be set together")
 	case (t.PeerCert == "") != (t.PeerKey == ""), (t.PeerCert == "") != (t.PeerCA == ""):
-		return bad("tls.peer_cert", "and tls.peer_key and tls.peer_ca must be set together")
+		return keyError("tls.peer_cert", "and tls.peer_key and tls.peer_ca must be set together")
 	}
 	return nil
 }
 
 func (c *Config) checkPeers() error {
 	if c.Peers.SuspectAfter < 2*c.Peers.Heartbeat {
-		return bad("peers.suspect_after", "must be at least twice peers.heartbeat")
+		return keyError("peers.suspect_after", "must be at least twice peers.heartbeat")
 	}
 	return nil
 }
@@ -73,30 +73,30 @@
 func (c *Config) checkCallers() error {
 	switch {
 	case !c.Callers.Open && len(c.Callers.Tokens) == 0:
-		return bad("callers.tokens", "is empty; set callers.open = true to let everybody in")
+		return keyError("callers.tokens", "is empty; set callers.open = true to let everybody in")
 	case c.Callers.Open && len(c.Callers.Tokens) > 0:
-		return bad("callers.open", "contradicts callers.tokens")
+		return keyError("callers.open", "contradicts callers.tokens")
 	}
-	teams := make(map[string]string)
-	tokens := make(map[string]bool)
+	teamByCaller := make(map[string]string)
+	seenHashes := make(map[string]bool)
 	for i, t := range c.Callers.Tokens {
 		key := fmt.Sprintf("callers.tokens[%d].", i)
-		h, err := hex.DecodeString(t.SHA256)
-		team, known := teams[t.Caller]
+		hash, err := hex.DecodeString(t.SHA256)
+		team, known := teamByCaller[t.Caller]
 		switch {
 		case !ticket.ValidName(t.Caller):
-			return bad(key+"caller", "must be "+name.text)
+			return keyError(key+"caller", "must be "+identifier.requirement)
 		case t.Team != "" && !ticket.ValidName(t.Team):
-			return bad(key+"team", "must be empty, or "+name.text)
-		case err != nil || len(h) != 32:
-			return bad(key+"sha256", "must be 64 hexadecimal digits")
-		case tokens[string(h)]:
-			return bad(key+"sha256", "stands twice")
+			return keyError(key+"team", "must be empty, or "+identifier.requirement)
+		case err != nil || len(hash) != 32:
+			return keyError(key+"sha256", "must be 64 hexadecimal digits")
+		case seenHashes[string(hash)]:
+			return keyError(key+"sha256", "stands twice")
 		case known && team != t.Team:
-			return bad(key+"team", fmt.Sprintf("is %q, but the caller %q is of team %q above", t.Team, t.Caller, team))
+			return keyError(key+"team", fmt.Sprintf("is %q, but the caller %q is of team %q above", t.Team, t.Caller, team))
 		}
-		teams[t.Caller] = t.Team
-		tokens[string(h)] = true
+		teamByCaller[t.Caller] = t.Team
+		seenHashes[string(hash)] = true
 	}
 	return nil
 }
@@ -105,17 +105,17 @@
 	l := c.Limits
 	switch {
 	case uint64(l.TicketWindow) > l.TicketRange:
-		return bad("limits.ticket_window", "must not be above limits.ticket_range")
+		return keyError("limits.ticket_window", "must not be above limits.ticket_range")
 	case l.AnswerBytes > l.KeptAnswerBytes:
-		return bad("limits.answer_bytes", "must not be above limits.kept_answer_bytes")
+		return keyError("limits.answer_bytes", "must not be above limits.kept_answer_bytes")
 	case l.BodyBytes > l.OpenBytes:
-		return bad("limits.body_bytes", "must not be above limits.open_bytes")
+		return keyError("limits.body_bytes", "must not be above limits.open_bytes")
 	case l.JobTasks > l.QueuedTasks:
-		return bad("limits.job_tasks", "must not be above limits.queued_tasks")
+		return keyError("limits.job_tasks", "must not be above limits.queued_tasks")
 	case 3*c.Tables.Poll > c.Tables.Settle:
-		return bad("tables.poll", "must be at most a third of tables.settle")
+		return keyError("tables.poll", "must be at most a third of tables.settle")
 	case c.Dispatch.TaskTimeout > l.JobTimeout:
-		return bad("dispatch.task_timeout", "must not be above limits.job_timeout")
+		return keyError("dispatch.task_timeout", "must not be above limits.job_timeout")
 	}
 	return nil
 }
--- a/settings/rules.go
+++ b/settings/rules.go
@@ -11,57 +11,58 @@
 	"snipehub.example/ticket"
 )
 
-// rule says which values a key may have. Its text ends the error "must be ...",
-// and stands in the docs.
+// rule defines the valid values of a key. The requirement completes the error
+// message "must be ..." and is shown in the documentation.
 type rule struct {
-	text string
-	ok   func(v reflect.Value) bool
+	requirement string
+	valid       func(v reflect.Value) bool
 }
 
-// anything is for keys whose values are checked together with others.
-var anything = rule{"", func(reflect.Value) bool { return true }}
+// anyValue accepts every value. It is for booleans, and for keys that
+// checkConsistency checks or that have no restriction.
+var anyValue = rule{"", func(reflect.Value) bool { return true }}
 
-// name is for names that become part of ids, metrics and paths.
-var name = rule{
+// identifier is for names that become part of ids, metrics and paths.
+var identifier = rule{
 	"letters, digits and dashes, at most 64",
 	func(v reflect.Value) bool { return ticket.ValidName(v.String()) },
 }
 
-// address is for addresses that others reach this process at.
-var address = rule{
+// requiredAddress is for addresses that must be set, with a port.
+var requiredAddress = rule{
 	"an address such as 127.0.0.1:7400, with a port",
-	func(v reflect.Value) bool { return isAddress(v.Interface().(netip.AddrPort)) },
+	func(v reflect.Value) bool { return hasPort(v.Interface().(netip.AddrPort)) },
 }
 
-// ownAddress is for an address that is told to others: 0.0.0.0 would lead each
-// of them to itself.
-var ownAddress = rule{
+// advertisedAddress is for an address that is advertised to other dispatchers. With
+// 0.0.0.0, each of them would connect to itself.
+var advertisedAddress = rule{
 	"an address such as 10.0.0.7:7500 that other dispatchers reach, not 0.0.0.0",
 	func(v reflect.Value) bool {
 		a := v.Interface().(netip.AddrPort)
-		return isAddress(a) && !a.Addr().IsUnspecified()
+		return hasPort(a) && !a.Addr().IsUnspecified()
 	},
 }
 
-// noAddress is for addresses that may be left out.
-var noAddress = rule{
-	"empty, or " + address.text,
-	func(v reflect.Value) bool { return v.IsZero() || address.ok(v) },
+// optionalAddress is for addresses that may be empty.
+var optionalAddress = rule{
+	"empty, or " + requiredAddress.requirement,
+	func(v reflect.Value) bool { return v.IsZero() || requiredAddress.valid(v) },
 }
 
-var addresses = rule{
+var addressList = rule{
 	"a list of addresses such as 10.0.0.7:7500",
 	func(v reflect.Value) bool {
-		return !slices.ContainsFunc(v.Interface().([]netip.AddrPort), func(a netip.AddrPort) bool { return !isAddress(a) })
+		return !slices.ContainsFunc(v.Interface().([]netip.AddrPort), func(a netip.AddrPort) bool { return !hasPort(a) })
 	},
 }
 
-var ports = rule{
+var portList = rule{
 	"a list of ports above 0",
 	func(v reflect.Value) bool { return !slices.Contains(v.Interface().([]uint16), 0) },
 }
 
-func isAddress(a netip.AddrPort) bool { return a.IsValid() && a.Port() > 0 }
+func hasPort(a netip.AddrPort) bool { return a.IsValid() && a.Port() > 0 }
 
 func oneOf(values ...string) rule {
 	return rule{
@@ -70,21 +71,21 @@
 	}
 }
 
-// between is for numbers from low to high.
-func between(low, high float64) rule {
+// numberBetween accepts numbers from low to high, both included.
+func numberBetween(low, high float64) rule {
 	return rule{
-		fmt.Sprintf("from %s to %s", number(low), number(high)),
+		fmt.Sprintf("from %s to %s", formatNumber(low), formatNumber(high)),
 		func(v reflect.Value) bool {
-			f := float(v)
+			f := toFloat(v)
 			return f >= low && f <= high
 		},
 	}
 }
 
-// lasting is for durations from low to high.
-func lasting(low, high time.Duration) rule {
+// durationBetween accepts durations from low to high, both included.
+func durationBetween(low, high time.Duration) rule {
 	return rule{
-		fmt.Sprintf("from %s to %s", short(low), short(high)),
+		fmt.Sprintf("from %s to %s", formatDuration(low), formatDuration(high)),
 		func(v reflect.Value) bool {
 			d := v.Interface().(Duration).D()
 			return d >= low && d <= high
@@ -92,7 +93,7 @@
 	}
 }
 
-func float(v reflect.Value) float64 {
+func toFloat(v reflect.Value) float64 {
 	switch {
 	case v.CanInt():
 		return float64(v.Int())
@@ -102,12 +103,12 @@
 	return v.Float()
 }
 
-func number(f float64) string {
+func formatNumber(f float64) string {
 	return strings.TrimSuffix(fmt.Sprintf("%f", f), ".000000")
 }
 
-// short writes 2m0s as 2m.
-func short(d time.Duration) string {
+// formatDuration formats d without trailing zero units: 2m instead of 2m0s.
+func formatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
 		s = strings.TrimSuffix(s, "0s")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,9 @@
 // Package settings reads the TOML file of a dispatcher.
 //
-// Reading is strict: an unknown key, a value out of range or a contradiction
-// is one error that names file, key and reason. Defaults stand in Default and
-// nowhere else; what each key means and which values it may have stands in the
-// table in keys.go, from which docs/SETTINGS.md is made.
+// Parsing is strict: the first unknown key, value out of range or conflict between
+// keys is returned as an error that names the file, the key and the reason. Default is
+// the only place that defines default values. The table in keys.go documents each key
+// and its valid values; docs/SETTINGS.md is generated from it.
 package settings
 
 import (
@@ -19,7 +19,7 @@
 // Duration is a time.Duration written as "5s" in TOML.
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as "250ms".
+// UnmarshalText parses a duration such as "250ms".
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// MarshalText writes the duration as time.Duration does.
+// MarshalText formats the duration like time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
@@ -37,7 +37,7 @@
 // D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Config is the whole of a dispatcher's settings.
+// Config holds all settings of a dispatcher.
 type Config struct {
 	Process  Process  `toml:"process"`
 	Listen   Listen   `toml:"listen"`
@@ -51,47 +51,47 @@
 	Log      Log      `toml:"log"`
 }
 
-// Process names this process.
+// Process identifies this process.
 type Process struct {
 	DataCenter string `toml:"data_center"`
 	VM         string `toml:"vm"`
-	// Name tells the processes of one VM apart.
+	// Name distinguishes the processes of one VM.
 	Name string `toml:"name"`
 }
 
-// Listen gives the addresses that the process serves.
+// Listen holds the addresses that the process listens on.
 type Listen struct {
 	Callers netip.AddrPort `toml:"callers"`
 	Peers   netip.AddrPort `toml:"peers"`
-	// Operators shows status and metrics with the names of callers. Without
-	// it, the callers' address shows them without these names.
+	// Operators serves status and metrics that include the names of callers. If it
+	// is not set, the callers' address serves them without these names.
 	Operators netip.AddrPort `toml:"operators"`
 }
 
-// TLS names certificate files; empty means plain TCP.
+// TLS holds the paths of certificate and key files. Empty paths mean no TLS.
 type TLS struct {
 	CallerCert string `toml:"caller_cert"`
 	CallerKey  string `toml:"caller_key"`
 	PeerCert   string `toml:"peer_cert"`
 	PeerKey    string `toml:"peer_key"`
 	PeerCA     string `toml:"peer_ca"`
-	// Refresh is how often the files are looked at.
+	// Refresh is the interval between two checks of the files for changes.
 	Refresh Duration `toml:"refresh"`
 }
 
-// Platform gives the addresses of the platform's services.
+// Platform configures access to the platform's services.
 type Platform struct {
 	Log netip.AddrPort `toml:"log"`
 	VMs netip.AddrPort `toml:"vms"`
-	// AppendRate is the share of the log's append rate, in appends a second,
-	// that all dispatchers together may use.
+	// AppendRate is the number of appends per second to the log that all
+	// dispatchers together may use.
 	AppendRate float64  `toml:"append_rate"`
 	Timeout    Duration `toml:"timeout"`
 }
 
-// Peers sets how dispatchers find and watch each other.
+// Peers configures discovery and failure detection between dispatchers.
 type Peers struct {
-	// Seeds are addresses to try when nothing else is known.
+	// Seeds are the addresses to contact when no other dispatcher is known.
 	Seeds []netip.AddrPort `toml:"seeds"`
 	// Ports are the peer ports to try on each VM of the VM list.
 	Ports        []uint16 `toml:"ports"`
@@ -99,25 +99,25 @@
 	Fanout       int      `toml:"fanout"`
 	SuspectAfter Duration `toml:"suspect_after"`
 	Timeout      Duration `toml:"timeout"`
-	// GoneAfter is how long the VM list must lack a VM before its silent
-	// processes are gone for good; it must exceed the lag of the list.
+	// GoneAfter is how long a VM must be missing from the VM list before its silent
+	// processes count as gone for good. It must exceed the lag of the list.
 	GoneAfter Duration `toml:"gone_after"`
-	// KeepGone is how long gone processes are remembered.
+	// KeepGone is how long gone processes stay in the roster.
 	KeepGone Duration `toml:"keep_gone"`
-	// Members bounds the dispatchers that are remembered.
+	// Members is the maximum number of other dispatchers in the roster.
 	Members int `toml:"members"`
-	// News is how many other dispatchers one heartbeat tells of.
+	// News is the number of other dispatchers whose state one heartbeat carries.
 	News int `toml:"news"`
-	// VMPoll is how often the VM list is read.
+	// VMPoll is the interval between two reads of the VM list.
 	VMPoll Duration `toml:"vm_poll"`
-	// VMPrefix begins the names of entry VMs in the VM list; only at these are
-	// the ports tried.
+	// VMPrefix is the name prefix of entry VMs in the VM list. Ports are tried only
+	// on these VMs.
 	VMPrefix string `toml:"vm_prefix"`
 }
 
-// Callers sets who may call.
+// Callers configures the authentication of callers.
 type Callers struct {
-	// Open lets everybody in, as the caller "anyone".
+	// Open admits every request without a token, as the caller "anyone".
 	Open   bool    `toml:"open"`
 	Tokens []Token `toml:"tokens"`
 }
@@ -126,11 +126,11 @@
 type Token struct {
 	Caller string `toml:"caller"`
 	Team   string `toml:"team"`
-	// SHA256 is the hash of the bearer token, in hexadecimal.
+	// SHA256 is the SHA-256 hash of the bearer token, in hexadecimal.
 	SHA256 string `toml:"sha256"`
 }
 
-// Limits bounds what callers may send and what is kept for them.
+// Limits bounds what callers may send and what a dispatcher stores for them.
 type Limits struct {
 	BodyBytes       int64    `toml:"body_bytes"`
 	HeaderBytes     int      `toml:"header_bytes"`
@@ -146,66 +146,66 @@
 	ReadTimeout     Duration `toml:"read_timeout"`
 	WriteTimeout    Duration `toml:"write_timeout"`
 	StopDeadline    Duration `toml:"stop_deadline"`
-	// MetricSeries bounds the series that metrics tell apart.
+	// MetricSeries is the maximum number of series of callers, kinds and codes.
 	MetricSeries int `toml:"metric_series"`
-	// JobTimeout bounds a job or a request; it holds for those that ask for
-	// no other.
+	// JobTimeout is the maximum timeout of a job or request, and the timeout of
+	// those that set none.
 	JobTimeout Duration `toml:"job_timeout"`
-	// OpenRequests bounds the requests of callers that are open at once, and
-	// OpenBytes the bodies of all of them together.
+	// OpenRequests is the maximum number of callers' requests in flight, and
+	// OpenBytes the maximum total size of their bodies.
 	OpenRequests int   `toml:"open_requests"`
 	OpenBytes    int64 `toml:"open_bytes"`
-	// IdleTimeout is how long a connection may be without a request.
+	// IdleTimeout is how long a caller's connection may stay idle between requests.
 	IdleTimeout Duration `toml:"idle_timeout"`
-	// HandoffBytes bounds what a process hands over when it stops, and
-	// HeldBytes what it holds of others that have stopped.
+	// HandoffBytes bounds the answers that a process hands over when it stops, and
+	// HeldBytes the answers that it holds for processes that have stopped.
 	HandoffBytes int64 `toml:"handoff_bytes"`
 	HeldBytes    int64 `toml:"held_bytes"`
-	// PendingKeys bounds the callers' own keys that wait for the log. KeySkew
-	// is by how much the clocks of callers and of the log may differ; it must
-	// be the same in all dispatchers.
+	// PendingKeys is the maximum number of callers' own keys that wait for the log.
+	// KeySkew is the maximum difference between the clocks of callers and of the
+	// log; it must be the same in all dispatchers.
 	PendingKeys int      `toml:"pending_keys"`
 	KeySkew     Duration `toml:"key_skew"`
 }
 
-// Tables sets how the tables are followed.
+// Tables configures how the routes and pools tables are read from the log.
 type Tables struct {
-	// Settle is the bound in which a change is in force everywhere.
+	// Settle is the maximum time until a change is in force in all dispatchers.
 	Settle Duration `toml:"settle"`
-	// Snapshot is how often a snapshot is put on the log.
+	// Snapshot is the interval between two snapshots that are appended to the log.
 	Snapshot Duration `toml:"snapshot"`
-	// Poll is how long one read of the log waits for new records. The tables
-	// are confirmed once in this time, so it must be well below Settle.
+	// Poll is how long one read of the log waits for new records. The tables are
+	// confirmed once per poll, so it must be at most a third of Settle.
 	Poll Duration `toml:"poll"`
 }
 
-// Dispatch sets how tasks are placed.
+// Dispatch configures how tasks are placed on backend servers.
 type Dispatch struct {
 	Policy string `toml:"policy"`
-	// JobSlots is how many jobs are partly started at once; 0 means no limit.
+	// JobSlots is the maximum number of partly started jobs; 0 means no limit.
 	JobSlots    int      `toml:"job_slots"`
 	Connections int      `toml:"connections"`
 	TaskTimeout Duration `toml:"task_timeout"`
-	// RetryBudget is the share of first attempts that may be repeated.
+	// RetryBudget is the maximum number of retries as a share of first attempts.
 	RetryBudget float64  `toml:"retry_budget"`
 	MaxWait     Duration `toml:"max_wait"`
-	// AsideShare is the largest part of a pool that is set aside as failing.
+	// AsideShare is the maximum share of a pool that may be ejected as failing.
 	AsideShare float64 `toml:"aside_share"`
-	// Attempts bounds the attempts of one task.
+	// Attempts is the maximum number of attempts of one task.
 	Attempts int `toml:"attempts"`
-	// HandAfter is the expected wait beyond which tasks are handed to peers,
-	// HandLeast the fewest tasks that are worth a message.
+	// HandAfter is the expected wait beyond which tasks are handed over to other
+	// dispatchers, and HandLeast the minimum number of tasks in one such message.
 	HandAfter Duration `toml:"hand_after"`
 	HandLeast int      `toml:"hand_least"`
 }
 
-// Log sets the process's own log lines.
+// Log configures the process's own log output.
 type Log struct {
 	Level  string `toml:"level"`
 	Format string `toml:"format"`
 }
 
-// Default returns the settings that hold where the file is silent.
+// Default returns the default settings, which apply to keys that the file does not set.
 func Default() Config {
 	return Config{
 		TLS:      TLS{Refresh: Duration(10 * time.Second)},
@@ -267,10 +267,10 @@
 	}
 }
 
-// Load reads and checks the file at path.
+// Load reads and validates the settings file at path.
 func Load(path string) (Config, error) {
 	if path == "" {
-		return Config{}, errors.New("settings: no file is named")
+		return Config{}, errors.New("settings: no file given")
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -279,15 +279,15 @@
 	return Parse(path, b)
 }
 
-// Parse reads and checks the text b; name stands for the file in errors.
+// Parse parses and validates the TOML text b. Errors begin with name, the name of the file.
 func Parse(name string, b []byte) (Config, error) {
 	cfg := Default()
 	md, err := toml.NewDecoder(bytes.NewReader(b)).Decode(&cfg)
 	if err != nil {
 		return Config{}, errors.Errorf("%s: %v", name, err)
 	}
-	if extra := md.Undecoded(); len(extra) > 0 {
-		return Config{}, errors.Errorf("%s: %s: unknown key", name, extra[0])
+	if unknown := md.Undecoded(); len(unknown) > 0 {
+		return Config{}, errors.Errorf("%s: %s: unknown key", name, unknown[0])
 	}
 	if !cfg.Platform.VMs.IsValid() {
 		cfg.Platform.VMs = cfg.Platform.Log
@@ -299,13 +299,13 @@
 }
 
 func (c *Config) check() error {
-	if err := c.checkKeys(); err != nil {
+	if err := c.checkValues(); err != nil {
 		return err
 	}
-	return c.checkTogether()
+	return c.checkConsistency()
 }
 
-// Encode writes the settings as TOML.
+// Encode returns the settings as TOML.
 func Encode(c Config) ([]byte, error) {
 	var b bytes.Buffer
 	err := toml.NewEncoder(&b).Encode(c)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"snipehub.example/internal/page"
 )
 
-// least is the shortest file that can be used.
-const least = `
+// minimalConfig is the shortest valid file.
+const minimalConfig = `
 [process]
 data_center = "dc1"
 vm = "vm0"
@@ -27,9 +27,9 @@
 open = true
 `
 
-const hash = "a70bf50e531ce1a817561f2f5d5b6645d4e806becf58ccc5e8cf6b8045a090a8"
+const tokenHash = "a70bf50e531ce1a817561f2f5d5b6645d4e806becf58ccc5e8cf6b8045a090a8"
 
-// TestErrors has one line of text put into the least file, and the error.
+// TestErrors replaces text in minimalConfig and checks the error of Parse.
 func TestErrors(t *testing.T) {
 	token := func(caller, team, sha string) string {
 		return `{ caller = "` + caller + `", team = "` + team + `", sha256 = "` + sha + `" },`
@@ -59,12 +59,12 @@
 		{"peer port 0", `open = true`, "open = true\n[peers]\nports = [0]", `peers.ports: must be a list`},
 		{"suspicion too soon", `open = true`, "open = true\n[peers]\nheartbeat = \"2s\"\nsuspect_after = \"3s\"", `peers.suspect_after: must be at least twice peers.heartbeat`},
 		{"nobody may call", `open = true`, ``, `callers.tokens: is empty`},
-		{"open with tokens", `open = true`, "open = true\ntokens = [" + token("a", "", hash) + "]", `callers.open: contradicts`},
-		{"caller's name", `open = true`, "tokens = [" + token("a b", "", hash) + "]", `callers.tokens[0].caller: must be letters`},
-		{"team's name", `open = true`, "tokens = [" + token("a", "a/b", hash) + "]", `callers.tokens[0].team: must be empty`},
+		{"open with tokens", `open = true`, "open = true\ntokens = [" + token("a", "", tokenHash) + "]", `callers.open: contradicts`},
+		{"caller's name", `open = true`, "tokens = [" + token("a b", "", tokenHash) + "]", `callers.tokens[0].caller: must be letters`},
+		{"team's name", `open = true`, "tokens = [" + token("a", "a/b", tokenHash) + "]", `callers.tokens[0].team: must be empty`},
 		{"short hash", `open = true`, "tokens = [" + token("a", "", "ab") + "]", `callers.tokens[0].sha256: must be 64`},
-		{"token twice", `open = true`, "tokens = [" + token("a", "", hash) + token("b", "", strings.ToUpper(hash)) + "]", `callers.tokens[1].sha256: stands twice`},
-		{"two teams", `open = true`, "tokens = [" + token("a", "x", hash) + token("a", "y", strings.Repeat("ab", 32)) + "]", `callers.tokens[1].team: is "y", but`},
+		{"token twice", `open = true`, "tokens = [" + token("a", "", tokenHash) + token("b", "", strings.ToUpper(tokenHash)) + "]", `callers.tokens[1].sha256: stands twice`},
+		{"two teams", `open = true`, "tokens = [" + token("a", "x", tokenHash) + token("a", "y", strings.Repeat("ab", 32)) + "]", `callers.tokens[1].team: is "y", but`},
 		{"negative limit", `open = true`, "open = true\n[limits]\nbody_bytes = -1", `limits.body_bytes: must be from 1 to`},
 		{"endless wait", `open = true`, "open = true\n[limits]\nread_timeout = \"0s\"", `limits.read_timeout: must be from 10ms to 10m`},
 		{"window over range", `open = true`, "open = true\n[limits]\nticket_range = 10", `limits.ticket_window: must not be above limits.ticket_range`},
@@ -79,12 +79,12 @@
 		{"level", `open = true`, "open = true\n[log]\nlevel = \"loud\"", `log.level: must be one of debug`},
 		{"format", `open = true`, "open = true\n[log]\nformat = \"xml\"", `log.format: must be one of text`},
 	}
-	if _, err := Parse("x.toml", []byte(least)); err != nil {
+	if _, err := Parse("x.toml", []byte(minimalConfig)); err != nil {
 		t.Fatal(err)
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := Parse("x.toml", []byte(strings.Replace(least, tt.old, tt.new, 1)))
+			_, err := Parse("x.toml", []byte(strings.Replace(minimalConfig, tt.old, tt.new, 1)))
 			if err == nil || !strings.HasPrefix(err.Error(), "x.toml: ") || !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("have %v, want x.toml: ... %s", err, tt.want)
 			}
@@ -101,13 +101,13 @@
 	}
 }
 
-// TestTable holds the table of keys equal to the fields of Config.
+// TestTable checks that the table of keys lists each field of Config exactly once.
 func TestTable(t *testing.T) {
 	cfg := Default()
-	fields := leaves(&cfg)
+	fields := valuesByKey(&cfg)
 	for _, k := range Keys() {
 		if _, ok := fields[k.Name]; !ok {
-			t.Errorf("%s stands in the table twice, or is no field", k.Name)
+			t.Errorf("%s is in the table in keys.go twice, or is no field of Config", k.Name)
 		}
 		delete(fields, k.Name)
 	}
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestPrintDefaults reads the printed defaults back, with the examples in place
-// of what has no default.
+// TestPrintDefaults parses the printed defaults, with the examples uncommented for
+// keys without a default.
 func TestPrintDefaults(t *testing.T) {
 	var b bytes.Buffer
 	if err := PrintDefaults(&b); err != nil {
@@ -136,13 +136,13 @@
 	}
 }
 
-// TestPage holds docs/SETTINGS.md equal to the table. Run it with UPDATE_DOCS=1
-// to write the page.
+// TestPage checks that docs/SETTINGS.md matches the table. With UPDATE_DOCS=1 it
+// writes the page.
 func TestPage(t *testing.T) {
 	page.Hold(t, "../docs/SETTINGS.md", string(Page()))
 }
 
-// TestExamples holds the files that people start from usable.
+// TestExamples checks that the example settings files are valid.
 func TestExamples(t *testing.T) {
 	files, _ := filepath.Glob("../examples/*.toml")
 	for _, f := range files {
@@ -159,10 +159,10 @@
 	}
 }
 
-// FuzzParse looks for text that makes Parse panic, or that is accepted but
-// can't be written and read back.
+// FuzzParse searches for text that makes Parse panic, or that Parse accepts but that
+// doesn't survive encoding and parsing again.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(least))
+	f.Add([]byte(minimalConfig))
 	var b bytes.Buffer
 	_ = PrintDefaults(&b)
 	f.Add(b.Bytes())
@@ -175,12 +175,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Parse("again", out)
+		reparsed, err := Parse("again", out)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, out)
 		}
-		if len(again.Callers.Tokens) != len(cfg.Callers.Tokens) || again.Limits != cfg.Limits || again.Dispatch != cfg.Dispatch {
-			t.Errorf("have %+v\nwant %+v", again, cfg)
+		if len(reparsed.Callers.Tokens) != len(cfg.Callers.Tokens) || reparsed.Limits != cfg.Limits || reparsed.Dispatch != cfg.Dispatch {
+			t.Errorf("have %+v\nwant %+v", reparsed, cfg)
 		}
 	})
 }
--- a/settings/walk.go
+++ b/settings/walk.go
@@ -4,18 +4,18 @@
 	"reflect"
 )
 
-// tag is the struct tag that names a key in the file.
-const tag = "toml"
+// tomlTag is the struct tag that holds the name of a section or key.
+const tomlTag = "toml"
 
-// leaves returns the value of every key, by the name that Keys has for it.
-func leaves(c *Config) map[string]reflect.Value {
+// valuesByKey returns the value of each key in c, indexed by Key.Name.
+func valuesByKey(c *Config) map[string]reflect.Value {
 	out := make(map[string]reflect.Value)
 	root := reflect.ValueOf(c).Elem()
 	for i := range root.NumField() {
 		section := root.Field(i)
-		name := root.Type().Field(i).Tag.Get(tag)
+		sectionName := root.Type().Field(i).Tag.Get(tomlTag)
 		for j := range section.NumField() {
-			out[name+"."+section.Type().Field(j).Tag.Get(tag)] = section.Field(j)
+			out[sectionName+"."+section.Type().Field(j).Tag.Get(tomlTag)] = section.Field(j)
 		}
 	}
 	return out
