--- a/counter/answer.go
+++ b/counter/answer.go
@@ -16,16 +16,16 @@
 	"snipehub.example/refusal"
 )
 
-// HeaderRefusal carries the code of a refusal. It tells a refusal of the
-// system's own from a backend server's answer that was passed through.
+// HeaderRefusal carries the code of a refusal. It distinguishes a refusal of the
+// dispatcher from a backend server's answer that is passed through.
 const HeaderRefusal = "Snipe-Refusal"
 
-// decode reads one JSON value with no unknown fields and nothing behind it.
+// decode reads the body as a single JSON value. Unknown fields and trailing data are errors.
 func (c *Counter) decode(r *http.Request, v any) error {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return unread(err)
+		return bodyRefusal(err)
 	}
 	if _, err := d.Token(); err != io.EOF {
 		return refusal.New(refusal.BadRequest, "something follows the JSON value")
@@ -33,14 +33,14 @@
 	return nil
 }
 
-// unread turns an error of reading or decoding a body into a refusal.
-func unread(err error) error {
+// bodyRefusal converts an error of reading or decoding a body to a refusal.
+func bodyRefusal(err error) error {
 	var tooLarge *http.MaxBytesError
-	var slow net.Error
+	var netErr net.Error
 	switch {
 	case errors.As(err, &tooLarge):
 		return refusal.New(refusal.TooLarge, "the body")
-	case errors.As(err, &slow) && slow.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return refusal.New(refusal.TooSlow, "")
 	}
 	return refusal.New(refusal.BadRequest, err.Error())
@@ -55,10 +55,10 @@
 	writeJSON(w, status, a)
 }
 
-// beginWrite gives the answer its own time. The server's WriteTimeout counts
-// from the request's header on and would cut a caller who waits for a long job;
-// without any, a caller who reads a byte now and then holds the answer, the
-// connection and a goroutine for ever.
+// beginWrite sets the write deadline of the answer. The server's WriteTimeout starts
+// with the request's header and would cut off a caller who waits for a long job.
+// Without any deadline, a caller who reads a byte now and then would hold the answer,
+// the connection and a goroutine forever.
 func (c *Counter) beginWrite(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(c.cfg.Limits.WriteTimeout.D()))
 }
@@ -84,9 +84,8 @@
 	writeJSON(w, f.Status(), f)
 }
 
-// writeJSON writes the value whole. The Content-Length before it makes sure
-// that an answer that is cut off in the middle does not look whole: the client
-// misses bytes.
+// writeJSON writes the value with a Content-Length, so that the client detects a
+// truncated answer.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -100,59 +99,60 @@
 	_, _ = w.Write(append(b, '\n'))
 }
 
-// noSuchPath turns the text answers of the mux into refusals.
-func noSuchPath(w http.ResponseWriter, r *http.Request, h http.Handler) error {
-	p := probe{header: make(http.Header)}
-	h.ServeHTTP(&p, r)
-	if p.status != http.StatusMethodNotAllowed {
+// muxRefusal converts the plain text error of the mux, 404 or 405, to a refusal.
+func muxRefusal(w http.ResponseWriter, r *http.Request, h http.Handler) error {
+	rec := headerRecorder{header: make(http.Header)}
+	h.ServeHTTP(&rec, r)
+	if rec.status != http.StatusMethodNotAllowed {
 		return refusal.New(refusal.NoPath, "")
 	}
-	allow := p.header.Get("Allow")
+	allow := rec.header.Get("Allow")
 	w.Header().Set("Allow", allow)
 	return refusal.New(refusal.NoMethod, "allowed: "+allow)
 }
 
-// probe takes an answer of the mux and drops its text.
-type probe struct {
+// headerRecorder is an http.ResponseWriter that records status and header of an answer
+// and discards its body.
+type headerRecorder struct {
 	header http.Header
 	status int
 }
 
-// Header returns the header.
-func (p *probe) Header() http.Header { return p.header }
+// Header returns the recorded header.
+func (rec *headerRecorder) Header() http.Header { return rec.header }
 
-// WriteHeader notes the status.
-func (p *probe) WriteHeader(status int) { p.status = status }
+// WriteHeader records the status.
+func (rec *headerRecorder) WriteHeader(status int) { rec.status = status }
 
-// Write drops the text.
-func (p *probe) Write(b []byte) (int, error) { return len(b), nil }
+// Write discards b.
+func (rec *headerRecorder) Write(b []byte) (int, error) { return len(b), nil }
 
-// tracked notes what has become of an answer.
-type tracked struct {
+// responseTracker records the status of an answer and the first error of writing it.
+type responseTracker struct {
 	http.ResponseWriter
-	status int
-	failed error
+	status   int
+	writeErr error
 }
 
-// Unwrap lets http.ResponseController find the connection.
-func (t *tracked) Unwrap() http.ResponseWriter { return t.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (t *responseTracker) Unwrap() http.ResponseWriter { return t.ResponseWriter }
 
-// WriteHeader notes the status.
-func (t *tracked) WriteHeader(status int) {
+// WriteHeader records the first status.
+func (t *responseTracker) WriteHeader(status int) {
 	if t.status == 0 {
 		t.status = status
 	}
 	t.ResponseWriter.WriteHeader(status)
 }
 
-// Write notes the first error.
-func (t *tracked) Write(b []byte) (int, error) {
+// Write records the first error, and the status 200 if none has been set.
+func (t *responseTracker) Write(b []byte) (int, error) {
 	if t.status == 0 {
 		t.status = http.StatusOK
 	}
 	n, err := t.ResponseWriter.Write(b)
-	if err != nil && t.failed == nil {
-		t.failed = err
+	if err != nil && t.writeErr == nil {
+		t.writeErr = err
 	}
 	return n, err
 }
--- a/counter/auth.go
+++ b/counter/auth.go
@@ -15,21 +15,21 @@
 	"snipehub.example/settings"
 )
 
-// anyone is the caller that all are when the settings leave callers open.
-const anyone = "anyone"
+// anonymousName is the name of every caller if callers.open is set.
+const anonymousName = "anyone"
 
 type digest [sha256.Size]byte
 
-// keyring knows callers by the hashes of their tokens.
+// tokenStore maps the hashes of tokens to callers.
 //
-// It finds them under a hash with a random key of this process. With the plain
-// hash as the map's key, the time of a lookup would depend on how much of a
-// guessed hash agrees with a stored one, and over many tries would tell it to
-// a caller with a clock. Under a key that nobody knows, guesses can't be aimed.
-type keyring struct {
-	open    bool
-	secret  []byte
-	callers map[digest]credential
+// The map is indexed by an HMAC of the hash, under a random key of this process. With the
+// plain hash as the index, the time of a lookup would depend on how much of a guessed
+// hash matches a stored one, and a caller could recover the stored hash from the timing of
+// many guesses. A secret HMAC key rules out such a timing attack.
+type tokenStore struct {
+	allowAll bool
+	hmacKey  []byte
+	byHMAC   map[digest]credential
 }
 
 type credential struct {
@@ -37,46 +37,46 @@
 	caller job.Caller
 }
 
-func newKeyring(cfg settings.Callers) *keyring {
-	k := &keyring{open: cfg.Open, secret: make([]byte, sha256.Size), callers: make(map[digest]credential, len(cfg.Tokens))}
-	_, _ = rand.Read(k.secret)
+func newTokenStore(cfg settings.Callers) *tokenStore {
+	s := &tokenStore{allowAll: cfg.Open, hmacKey: make([]byte, sha256.Size), byHMAC: make(map[digest]credential, len(cfg.Tokens))}
+	_, _ = rand.Read(s.hmacKey)
 	for _, t := range cfg.Tokens {
 		var d digest
 		if n, err := hex.Decode(d[:], []byte(t.SHA256)); err != nil || n != len(d) {
 			continue
 		}
-		k.callers[k.place(d)] = credential{d, job.Caller{Name: t.Caller, Team: t.Team}}
+		s.byHMAC[s.hmacOf(d)] = credential{d, job.Caller{Name: t.Caller, Team: t.Team}}
 	}
-	return k
+	return s
 }
 
-func (k *keyring) place(d digest) digest {
-	h := hmac.New(sha256.New, k.secret)
+func (s *tokenStore) hmacOf(d digest) digest {
+	h := hmac.New(sha256.New, s.hmacKey)
 	_, _ = h.Write(d[:])
 	return digest(h.Sum(nil))
 }
 
-func (k *keyring) find(token string) (job.Caller, bool) {
+func (s *tokenStore) lookup(token string) (job.Caller, bool) {
 	d := digest(sha256.Sum256([]byte(token)))
-	c, ok := k.callers[k.place(d)]
+	c, ok := s.byHMAC[s.hmacOf(d)]
 	if !ok || subtle.ConstantTimeCompare(c.hash[:], d[:]) != 1 {
 		return job.Caller{}, false
 	}
 	return c.caller, true
 }
 
-const bearer = "bearer "
+const bearerPrefix = "bearer "
 
 func (c *Counter) caller(r *http.Request) (job.Caller, error) {
-	if c.keys.open {
-		return job.Caller{Name: anyone}, nil
+	if c.tokens.allowAll {
+		return job.Caller{Name: anonymousName}, nil
 	}
 	h := r.Header.Get("Authorization")
-	if len(h) >= len(bearer) && strings.EqualFold(h[:len(bearer)], bearer) {
-		if caller, ok := c.keys.find(h[len(bearer):]); ok {
+	if len(h) >= len(bearerPrefix) && strings.EqualFold(h[:len(bearerPrefix)], bearerPrefix) {
+		if caller, ok := c.tokens.lookup(h[len(bearerPrefix):]); ok {
 			return caller, nil
 		}
 	}
-	c.strangers.Do(func() { event.TokenRefused.Log(c.log, "from", r.RemoteAddr, "path", r.URL.Path) })
+	c.tokenLogLimit.Do(func() { event.TokenRefused.Log(c.log, "from", r.RemoteAddr, "path", r.URL.Path) })
 	return job.Caller{}, refusal.New(refusal.Unauthorized, "")
 }
--- a/counter/counter.go
+++ b/counter/counter.go
@@ -1,12 +1,12 @@
-// Package counter is the HTTP interface towards callers.
+// Package counter is the HTTP interface for callers.
 //
-// It knows callers by their tokens, bounds what they send and for how long, and
-// turns answers and refusals into HTTP. What happens to a job is decided behind
-// the Service interface.
+// It authenticates callers by their tokens, limits the size and duration of their
+// requests, and converts answers and refusals to HTTP. The Service interface decides
+// what happens to a job.
 //
-// The counter does not own any identity. What it refuses by itself about a
-// request that names one is therefore "unknown", never "not run": an earlier
-// copy of the same submission may have come over another process and run.
+// The counter does not own any identity. If it refuses a request that names one, the
+// refusal therefore says that the outcome is unknown, never "not run": an earlier copy of
+// the same submission may have arrived through another process and run.
 package counter
 
 import (
@@ -25,68 +25,68 @@
 	"snipehub.example/ticket"
 )
 
-// Service is what stands behind the counter.
+// Service processes the calls that the counter accepts.
 type Service interface {
-	// Mint makes a ticket for the caller.
+	// Mint issues a ticket to the caller.
 	Mint(ctx context.Context, c job.Caller) (job.Grant, error)
-	// Submit starts the job or attaches to the one of the same identity. With
-	// Wait it answers when the job has ended, or after WaitFor with the state
-	// that the job then has.
+	// Submit starts the job, or attaches to the job with the same identity. If Wait is
+	// set, it returns when the job has ended, or after WaitFor with the job's state
+	// at that time.
 	Submit(ctx context.Context, s job.Submission) (job.Answer, error)
 	// Request runs one request and returns the backend server's answer.
 	Request(ctx context.Context, r job.Request) (job.Reply, error)
-	// Lookup tells where a job stands.
+	// Lookup returns the state of a job.
 	Lookup(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error)
-	// Await is Lookup, but waits up to d for the job's end.
+	// Await is like Lookup, but waits up to d for the job to end.
 	Await(ctx context.Context, c job.Caller, id ticket.JobID, d time.Duration) (job.Answer, error)
-	// Cancel asks that no more tasks of the job start.
+	// Cancel requests that no more tasks of the job start.
 	Cancel(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error)
-	// Ready tells whether the balancer should send callers here.
+	// Ready reports whether the load balancer should send callers to this process.
 	Ready() bool
 	Inspector
 }
 
-// Inspector tells operators how things stand.
+// Inspector provides status reports for operators.
 type Inspector interface {
-	// Status is what operators see of this process.
+	// Status returns the status of this process.
 	Status() any
-	// StatusAll asks every dispatcher in the roster for its status.
+	// StatusAll requests the status of every dispatcher in the roster.
 	StatusAll(ctx context.Context) any
 }
 
 // Counter is the HTTP handler for callers.
 type Counter struct {
-	log   *slog.Logger
-	cfg   settings.Config
-	svc   Service
-	meter *meter.Meter
-	keys  *keyring
-	open  *gate
-	mux   *http.ServeMux
-	// strangers thins out the events about wrong tokens, which anybody can
+	log     *slog.Logger
+	cfg     settings.Config
+	svc     Service
+	meter   *meter.Meter
+	tokens  *tokenStore
+	limiter *requestLimiter
+	mux     *http.ServeMux
+	// tokenLogLimit limits the rate of events about wrong tokens, which anyone can
 	// cause at any rate.
-	strangers rate.Sometimes
+	tokenLogLimit rate.Sometimes
 }
 
-// New makes the handler.
+// New returns a handler for callers that passes their calls to svc.
 func New(log *slog.Logger, cfg settings.Config, svc Service, m *meter.Meter) *Counter {
 	c := &Counter{
-		log:       log,
-		cfg:       cfg,
-		svc:       svc,
-		meter:     m,
-		keys:      newKeyring(cfg.Callers),
-		open:      &gate{requests: cfg.Limits.OpenRequests, bytes: cfg.Limits.OpenBytes},
-		mux:       http.NewServeMux(),
-		strangers: rate.Sometimes{Interval: time.Second},
+		log:           log,
+		cfg:           cfg,
+		svc:           svc,
+		meter:         m,
+		tokens:        newTokenStore(cfg.Callers),
+		limiter:       &requestLimiter{maxRequests: cfg.Limits.OpenRequests, maxBytes: cfg.Limits.OpenBytes},
+		mux:           http.NewServeMux(),
+		tokenLogLimit: rate.Sometimes{Interval: time.Second},
 	}
-	c.mux.HandleFunc("POST /v1/tickets", c.call(c.mint))
-	c.mux.HandleFunc("POST /v1/jobs", c.call(c.submitByKey))
-	c.mux.HandleFunc("PUT /v1/jobs/{id}", c.call(c.submitByID))
-	c.mux.HandleFunc("GET /v1/jobs/{id}", c.call(c.lookup))
-	c.mux.HandleFunc("DELETE /v1/jobs/{id}", c.call(c.cancel))
-	c.mux.HandleFunc("POST /v1/requests/{kind}", c.call(c.request))
-	c.health()
+	c.mux.HandleFunc("POST /v1/tickets", c.wrap(c.mint))
+	c.mux.HandleFunc("POST /v1/jobs", c.wrap(c.submitByKey))
+	c.mux.HandleFunc("PUT /v1/jobs/{id}", c.wrap(c.submitByID))
+	c.mux.HandleFunc("GET /v1/jobs/{id}", c.wrap(c.lookup))
+	c.mux.HandleFunc("DELETE /v1/jobs/{id}", c.wrap(c.cancel))
+	c.mux.HandleFunc("POST /v1/requests/{kind}", c.wrap(c.request))
+	c.handleHealth()
 	if !cfg.Listen.Operators.IsValid() {
 		c.mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, svc.Status()) })
 		c.mux.HandleFunc("GET /metrics", m.ServePublic)
@@ -94,26 +94,27 @@
 	return c
 }
 
-// ServeHTTP makes Counter an http.Handler.
+// ServeHTTP implements http.Handler.
 func (c *Counter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	t := &tracked{ResponseWriter: w}
-	began := time.Now()
-	defer c.finish(t, r, began)
+	t := &responseTracker{ResponseWriter: w}
+	start := time.Now()
+	defer c.finish(t, r, start)
 	r.Body = http.MaxBytesReader(w, r.Body, c.cfg.Limits.BodyBytes)
 	h, pattern := c.mux.Handler(r)
 	if pattern == "" {
-		c.refuse(t, r, own(r, noSuchPath(t, r, h)))
+		c.refuse(t, r, qualifyRefusal(r, muxRefusal(t, r, h)))
 		return
 	}
 	c.mux.ServeHTTP(t, r)
 }
 
-// finish ends every request: it turns a panic into a refusal, and logs.
+// finish runs at the end of every request. It converts a panic to a refusal, and logs the
+// request.
 //
-// When the panic comes after the answer has begun, a refusal written behind it
-// would look like a part of the answer. The connection is cut instead, which
-// the client sees as an answer that is not whole.
-func (c *Counter) finish(t *tracked, r *http.Request, began time.Time) {
+// If the panic occurs after the answer has begun, a refusal written after it would look
+// like a part of the answer. The connection is aborted instead, which the client sees as a
+// truncated answer.
+func (c *Counter) finish(t *responseTracker, r *http.Request, start time.Time) {
 	p := recover()
 	if p != nil {
 		event.RequestPanicked.Log(c.log, "panic", p, "path", r.URL.Path)
@@ -122,17 +123,19 @@
 		}
 		c.refuse(t, r, refusal.New(refusal.Internal, ""))
 	}
-	if t.failed != nil {
-		event.AnswerCut.Log(c.log, "path", r.URL.Path, "error", t.failed)
+	if t.writeErr != nil {
+		event.AnswerCut.Log(c.log, "path", r.URL.Path, "error", t.writeErr)
 	}
-	event.RequestAnswered.Log(c.log, "method", r.Method, "path", r.URL.Path, "status", t.status, "took", time.Since(began))
+	event.RequestAnswered.Log(c.log, "method", r.Method, "path", r.URL.Path, "status", t.status, "took", time.Since(start))
 }
 
-// handler serves one call of a known caller. An error becomes a refusal.
-type handler func(w http.ResponseWriter, r *http.Request, caller job.Caller) error
+// callHandler serves one call of an authenticated caller. A returned error becomes a
+// refusal.
+type callHandler func(w http.ResponseWriter, r *http.Request, caller job.Caller) error
 
-// call wraps a handler with what all calls have in common.
-func (c *Counter) call(h handler) http.HandlerFunc {
+// wrap adds to a handler what all calls have in common: authentication, limits, the count
+// of requests, and refusals for errors.
+func (c *Counter) wrap(h callHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c.meter.Count(meter.Requests, 1)
 		if err := c.serve(w, r, h); err != nil {
@@ -141,25 +144,25 @@
 	}
 }
 
-func (c *Counter) serve(w http.ResponseWriter, r *http.Request, h handler) error {
+func (c *Counter) serve(w http.ResponseWriter, r *http.Request, h callHandler) error {
 	caller, err := c.caller(r)
 	if err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
 	if err := c.checkHeader(r.Header); err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
-	size := c.held(r)
-	n, ok := c.open.enter(size)
+	size := c.maxBodySize(r)
+	open, ok := c.limiter.acquire(size)
 	if !ok {
 		event.CounterFull.Log(c.log, "caller", caller.Name)
-		return own(r, refusal.New(refusal.Busy, "").After(busyRetryAfter))
+		return qualifyRefusal(r, refusal.New(refusal.Busy, "").After(busyRetryAfter))
 	}
-	c.meter.Gauge(meter.OpenRequests, float64(n))
-	defer func() { c.meter.Gauge(meter.OpenRequests, float64(c.open.leave(size))) }()
+	c.meter.Gauge(meter.OpenRequests, float64(open))
+	defer func() { c.meter.Gauge(meter.OpenRequests, float64(c.limiter.release(size))) }()
 	return h(w, r, caller)
 }
 
-// busyRetryAfter is when a caller should come back after too many requests
-// were open at once.
+// busyRetryAfter is the Retry-After of a request that is refused because too many
+// requests are open.
 const busyRetryAfter = time.Second
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -21,49 +21,49 @@
 	"snipehub.example/ticket"
 )
 
-// fake answers every call at once, or as its functions say.
-type fake struct {
-	last   job.Submission
-	req    job.Request
-	caller job.Caller
-	submit func(ctx context.Context, s job.Submission) (job.Answer, error)
-	reply  job.Reply
-	waited time.Duration
+// fakeService is a Service that records its calls. It answers at once, or calls submit.
+type fakeService struct {
+	submission   job.Submission
+	request      job.Request
+	caller       job.Caller
+	submit       func(ctx context.Context, s job.Submission) (job.Answer, error)
+	reply        job.Reply
+	awaitTimeout time.Duration
 }
 
-func (f *fake) Mint(_ context.Context, c job.Caller) (job.Grant, error) {
+func (f *fakeService) Mint(_ context.Context, c job.Caller) (job.Grant, error) {
 	f.caller = c
 	return job.Grant{Ticket: "t"}, nil
 }
 
-func (f *fake) Submit(ctx context.Context, s job.Submission) (job.Answer, error) {
-	f.last = s
+func (f *fakeService) Submit(ctx context.Context, s job.Submission) (job.Answer, error) {
+	f.submission = s
 	if f.submit != nil {
 		return f.submit(ctx, s)
 	}
 	return job.Answer{Job: s.ID.String(), State: job.Done}, nil
 }
 
-func (f *fake) Request(_ context.Context, r job.Request) (job.Reply, error) {
-	f.req = r
+func (f *fakeService) Request(_ context.Context, r job.Request) (job.Reply, error) {
+	f.request = r
 	return f.reply, nil
 }
 
-func (f *fake) Lookup(context.Context, job.Caller, ticket.JobID) (job.Answer, error) {
+func (f *fakeService) Lookup(context.Context, job.Caller, ticket.JobID) (job.Answer, error) {
 	return job.Answer{State: job.Queued}, nil
 }
 
-func (f *fake) Await(_ context.Context, _ job.Caller, _ ticket.JobID, d time.Duration) (job.Answer, error) {
-	f.waited = d
+func (f *fakeService) Await(_ context.Context, _ job.Caller, _ ticket.JobID, d time.Duration) (job.Answer, error) {
+	f.awaitTimeout = d
 	return job.Answer{State: job.Done}, nil
 }
 
-func (f *fake) Cancel(context.Context, job.Caller, ticket.JobID) (job.Answer, error) {
+func (f *fakeService) Cancel(context.Context, job.Caller, ticket.JobID) (job.Answer, error) {
 	return job.Answer{State: job.Queued}, nil
 }
-func (f *fake) Ready() bool                   { return true }
-func (f *fake) Status() any                   { return struct{}{} }
-func (f *fake) StatusAll(context.Context) any { return struct{}{} }
+func (f *fakeService) Ready() bool                   { return true }
+func (f *fakeService) Status() any                   { return struct{}{} }
+func (f *fakeService) StatusAll(context.Context) any { return struct{}{} }
 
 const (
 	jobPath = "/v1/jobs/dc1.vm0.hub0.1.1.0"
@@ -71,7 +71,7 @@
 	key     = "01890a5d-ac96-774b-bcce-b302099a8057"
 )
 
-func config() settings.Config {
+func testConfig() settings.Config {
 	cfg := settings.Default()
 	h := sha256.Sum256([]byte("secret"))
 	cfg.Callers.Tokens = []settings.Token{{Caller: "shop", Team: "north", SHA256: hex.EncodeToString(h[:])}}
@@ -81,7 +81,7 @@
 	return cfg
 }
 
-func serve(t *testing.T, cfg settings.Config, f *fake, r *http.Request) *httptest.ResponseRecorder {
+func serve(t *testing.T, cfg settings.Config, f *fakeService, r *http.Request) *httptest.ResponseRecorder {
 	t.Helper()
 	m := meter.New(10, nil)
 	defer m.Close()
@@ -90,12 +90,12 @@
 	return w
 }
 
-// Whatever a caller does wrong, it gets a refusal as JSON that says whether
-// anything ran. About a request that names an identity the counter can't say
-// "not run": an earlier copy may have run. A caller who was told so would send
-// the same order under a new identity, and two vans would drive out.
+// Every invalid request is answered by a refusal in JSON that says whether anything ran.
+// For a request that names an identity it must not be "not run", because an earlier copy
+// may have run: the caller would submit the same order under a new identity, and two vans
+// would drive out.
 func TestRefusals(t *testing.T) {
-	long := strings.Repeat("a", 300)
+	longText := strings.Repeat("a", 300)
 	tests := []struct {
 		name, method, path, body string
 		header                   []string
@@ -118,24 +118,24 @@
 		{"too many tasks", "PUT", jobPath, `{"kind":"price","tasks":[1,2,3,4]}`, nil, 413, refusal.TooLarge, refusal.RanUnknown},
 		{"negative time", "PUT", jobPath, `{"kind":"price","tasks":[1],"timeout_ms":-1}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
 		{"too long a time", "PUT", jobPath, `{"kind":"price","tasks":[1],"timeout_ms":9000000}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
-		{"large body", "PUT", jobPath, `{"kind":"` + long + `","tasks":[1]}`, nil, 413, refusal.TooLarge, refusal.RanUnknown},
-		{"large header", "PUT", jobPath, goodJob, []string{"X-Long", strings.Repeat(long, 10)}, 413, refusal.TooLarge, refusal.RanUnknown},
+		{"large body", "PUT", jobPath, `{"kind":"` + longText + `","tasks":[1]}`, nil, 413, refusal.TooLarge, refusal.RanUnknown},
+		{"large header", "PUT", jobPath, goodJob, []string{"X-Long", strings.Repeat(longText, 10)}, 413, refusal.TooLarge, refusal.RanUnknown},
 		{"malformed wait", "PUT", jobPath, goodJob, []string{"Prefer", "wait=soon"}, 400, refusal.BadRequest, refusal.RanUnknown},
 		{"id and key", "PUT", jobPath, goodJob, []string{"Idempotency-Key", key}, 400, refusal.BadRequest, refusal.RanUnknown},
 		{"no key", "POST", "/v1/jobs", goodJob, nil, 400, refusal.BadRequest, refusal.RanNo},
 		{"malformed key", "POST", "/v1/jobs", goodJob, []string{"Idempotency-Key", "order-7"}, 400, refusal.BadKey, refusal.RanNo},
 		{"key of version 4", "POST", "/v1/jobs", goodJob, []string{"Idempotency-Key", "9b2d6ad0-91d2-4c5c-a3a8-d1b2c9f0a111"}, 400, refusal.BadKey, refusal.RanNo},
 		{"two keys", "POST", "/v1/jobs", goodJob, []string{"Idempotency-Key", key, "Idempotency-Key", key}, 400, refusal.BadRequest, refusal.RanUnknown},
-		{"large request", "POST", "/v1/requests/price", long, nil, 413, refusal.TooLarge, refusal.RanNo},
-		{"large request with key", "POST", "/v1/requests/price", long, []string{"Idempotency-Key", key}, 413, refusal.TooLarge, refusal.RanUnknown},
+		{"large request", "POST", "/v1/requests/price", longText, nil, 413, refusal.TooLarge, refusal.RanNo},
+		{"large request with key", "POST", "/v1/requests/price", longText, []string{"Idempotency-Key", key}, 413, refusal.TooLarge, refusal.RanUnknown},
 		{"request with malformed id", "POST", "/v1/requests/price", "1", []string{"Snipe-Job", "x"}, 404, refusal.NotFound, refusal.RanUnknown},
 		{"request with id and key", "POST", "/v1/requests/price", "1", []string{"Snipe-Job", "a.b.c.1.1.0", "Idempotency-Key", key}, 400, refusal.BadRequest, refusal.RanUnknown},
-		{"status of nothing", "POST", "/v1/requests/price", "1", nil, 500, refusal.Internal, refusal.RanUnknown},
+		{"invalid status of the backend server", "POST", "/v1/requests/price", "1", nil, 500, refusal.Internal, refusal.RanUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := request(tt.method, tt.path, tt.body, tt.header...)
-			w := serve(t, config(), &fake{}, r)
+			w := serve(t, testConfig(), &fakeService{}, r)
 			var have refusal.Refusal
 			if err := json.Unmarshal(w.Body.Bytes(), &have); err != nil {
 				t.Fatalf("%v: %s", err, w.Body)
@@ -144,7 +144,7 @@
 				t.Errorf("have %d %s ran %s, want %d %s ran %s", w.Code, have.Code, have.Ran, tt.status, tt.code, tt.ran)
 			}
 			if have.Ran == refusal.RanUnknown && have.Again == refusal.AgainNew {
-				t.Error("a new identity is asked for although the old one may have run")
+				t.Error("the refusal asks for a new identity although the old one may have run")
 			}
 			if h := w.Header().Get(counter.HeaderRefusal); h != string(tt.code) {
 				t.Errorf("header %q", h)
@@ -183,75 +183,75 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := &fake{}
-			w := serve(t, config(), f, request("PUT", jobPath, tt.body, "Prefer", tt.prefer))
-			if w.Code != http.StatusOK || f.last.Wait != tt.wait || f.last.WaitFor != tt.waitFor {
-				t.Errorf("status %d, wait %v for %v; want %v for %v", w.Code, f.last.Wait, f.last.WaitFor, tt.wait, tt.waitFor)
+			f := &fakeService{}
+			w := serve(t, testConfig(), f, request("PUT", jobPath, tt.body, "Prefer", tt.prefer))
+			if w.Code != http.StatusOK || f.submission.Wait != tt.wait || f.submission.WaitFor != tt.waitFor {
+				t.Errorf("status %d, wait %v for %v; want %v for %v", w.Code, f.submission.Wait, f.submission.WaitFor, tt.wait, tt.waitFor)
 			}
-			if f.last.Caller != (job.Caller{Name: "shop", Team: "north"}) || f.last.ID.String() != strings.TrimPrefix(jobPath, "/v1/jobs/") {
-				t.Errorf("submission %+v", f.last)
+			if f.submission.Caller != (job.Caller{Name: "shop", Team: "north"}) || f.submission.ID.String() != strings.TrimPrefix(jobPath, "/v1/jobs/") {
+				t.Errorf("submission %+v", f.submission)
 			}
 		})
 	}
 }
 
 func TestKeyAndWait(t *testing.T) {
-	f := &fake{}
-	serve(t, config(), f, request("POST", "/v1/jobs", goodJob, "Idempotency-Key", `"`+strings.ToUpper(key)+`"`))
-	if f.last.Key != key {
-		t.Errorf("key %q, want %q", f.last.Key, key)
+	f := &fakeService{}
+	serve(t, testConfig(), f, request("POST", "/v1/jobs", goodJob, "Idempotency-Key", `"`+strings.ToUpper(key)+`"`))
+	if f.submission.Key != key {
+		t.Errorf("key %q, want %q", f.submission.Key, key)
 	}
-	if w := serve(t, config(), f, request("GET", jobPath, "")); w.Code != http.StatusAccepted {
+	if w := serve(t, testConfig(), f, request("GET", jobPath, "")); w.Code != http.StatusAccepted {
 		t.Errorf("a running job: status %d", w.Code)
 	}
-	serve(t, config(), f, request("GET", jobPath, "", "Prefer", "wait=7"))
-	if f.waited != 7*time.Second {
-		t.Errorf("waited %v", f.waited)
+	serve(t, testConfig(), f, request("GET", jobPath, "", "Prefer", "wait=7"))
+	if f.awaitTimeout != 7*time.Second {
+		t.Errorf("waited %v", f.awaitTimeout)
 	}
 }
 
-// A caller names the type of its request in Latin-1 and hears nothing; it sends the request
-// again over another dispatcher, which forwards it to the owner of its identity. On the way
-// between dispatchers a type is text in JSON, in which bytes that are not UTF-8 come out as
-// others: the owner takes the copy for another request and refuses it, and the caller does
-// not get the answer that is there.
+// A caller sends a request with a Content-Type in Latin-1, gets no answer, and retries over
+// another dispatcher, which forwards the request to the owner of its identity. Dispatchers
+// forward the type as a JSON string, which replaces bytes that are not UTF-8: the owner would
+// take the copy for a different request and refuse it, and the caller would not get the
+// answer that exists. Such a type is therefore refused at the first dispatcher.
 func TestTypeThatCannotBeForwarded(t *testing.T) {
-	f := &fake{}
-	w := serve(t, config(), f, request("POST", "/v1/requests/price", "1", "Content-Type", "text/plain; name=\"caf\xe9\"", counter.HeaderKey, key))
+	f := &fakeService{}
+	w := serve(t, testConfig(), f, request("POST", "/v1/requests/price", "1", "Content-Type", "text/plain; name=\"caf\xe9\"", counter.HeaderKey, key))
 	if w.Code != http.StatusBadRequest || w.Header().Get(counter.HeaderRefusal) != string(refusal.BadRequest) {
 		t.Errorf("status %d, %s", w.Code, w.Body)
 	}
-	if f.req.Type != "" {
-		t.Errorf("passed on %q", f.req.Type)
+	if f.request.Type != "" {
+		t.Errorf("forwarded type %q", f.request.Type)
 	}
-	serve(t, config(), f, request("POST", "/v1/requests/price", "1", "Content-Type", "text/plain; name=\"caf\u00e9\"", counter.HeaderKey, key))
-	if f.req.Type != "text/plain; name=\"caf\u00e9\"" {
-		t.Errorf("passed on %q", f.req.Type)
+	serve(t, testConfig(), f, request("POST", "/v1/requests/price", "1", "Content-Type", "text/plain; name=\"caf\u00e9\"", counter.HeaderKey, key))
+	if f.request.Type != "text/plain; name=\"caf\u00e9\"" {
+		t.Errorf("forwarded type %q", f.request.Type)
 	}
 }
 
 func TestRequestPassesThrough(t *testing.T) {
-	f := &fake{reply: job.Reply{Status: 418, Type: "text/x-menu", Body: []byte("rice")}}
-	w := serve(t, config(), f, request("POST", "/v1/requests/menu", "fish", "Content-Type", "text/x-list", "Snipe-Job", "a.b.c.1.1.5", "Prefer", "wait=3"))
+	f := &fakeService{reply: job.Reply{Status: 418, Type: "text/x-menu", Body: []byte("rice")}}
+	w := serve(t, testConfig(), f, request("POST", "/v1/requests/menu", "fish", "Content-Type", "text/x-list", "Snipe-Job", "a.b.c.1.1.5", "Prefer", "wait=3"))
 	if w.Code != 418 || w.Body.String() != "rice" || w.Header().Get("Content-Type") != "text/x-menu" || w.Header().Get(counter.HeaderRefusal) != "" {
 		t.Errorf("have %d %q %v", w.Code, w.Body, w.Header())
 	}
-	if string(f.req.Body) != "fish" || f.req.Type != "text/x-list" || f.req.Kind != "menu" || f.req.ID.Seq != 5 || f.req.Timeout != 3*time.Second {
-		t.Errorf("passed on %+v", f.req)
+	if string(f.request.Body) != "fish" || f.request.Type != "text/x-list" || f.request.Kind != "menu" || f.request.ID.Seq != 5 || f.request.Timeout != 3*time.Second {
+		t.Errorf("forwarded %+v", f.request)
 	}
 }
 
-// A shop looks at the metrics of the address that it calls. It must not read
-// there who the other callers are.
+// The metrics and status at the callers' address must not show one caller the names of the
+// others.
 func TestCallersDoNotSeeEachOther(t *testing.T) {
-	cfg := config()
-	if w := serve(t, cfg, &fake{}, request("GET", "/metrics", "")); w.Code != http.StatusOK {
+	cfg := testConfig()
+	if w := serve(t, cfg, &fakeService{}, request("GET", "/metrics", "")); w.Code != http.StatusOK {
 		t.Errorf("status %d", w.Code)
 	}
 	cfg.Listen.Operators = netip.MustParseAddrPort("127.0.0.1:1")
 	for _, p := range []string{"/metrics", "/status"} {
-		if w := serve(t, cfg, &fake{}, request("GET", p, "")); w.Code != http.StatusNotFound {
-			t.Errorf("%s: status %d although operators have an address of their own", p, w.Code)
+		if w := serve(t, cfg, &fakeService{}, request("GET", p, "")); w.Code != http.StatusNotFound {
+			t.Errorf("%s: status %d, want 404: operators have their own address", p, w.Code)
 		}
 	}
 }
--- a/counter/fuzz_test.go
+++ b/counter/fuzz_test.go
@@ -12,9 +12,9 @@
 	"snipehub.example/refusal"
 )
 
-// FuzzSubmit looks for a submission that makes the handler panic, that is
-// answered with something other than whole JSON, or that is told "not run" by a
-// process that does not own its identity. For a long run:
+// FuzzSubmit searches for a submission that makes the handler panic, that is answered by
+// anything but complete JSON, or that is answered "not run" by a process that does not own
+// its identity. For a long run:
 // go test -run xxx -fuzz FuzzSubmit -fuzztime 10m ./counter
 func FuzzSubmit(f *testing.F) {
 	f.Add("dc1.vm0.hub0.1.1.0", goodJob, "wait=5", "")
@@ -22,7 +22,7 @@
 	f.Add("dc1.vm0.hub0.1.1.0", goodJob, "wait=soon", "")
 	f.Add("x", `{"kind":"price","tasks":[1,{}],"timeout_ms":-1}`, `respond-async, wait="a"`, key)
 	f.Add("a.b.c.1.1.99999999999999999999", `{"tasks":null}{}`, "", "\"")
-	h := counter.New(slog.New(slog.DiscardHandler), config(), &fake{}, nil)
+	h := counter.New(slog.New(slog.DiscardHandler), testConfig(), &fakeService{}, nil)
 	f.Fuzz(func(t *testing.T, id, body, prefer, key string) {
 		if strings.ContainsAny(id, "/?#%") || id == "" || id == "." || id == ".." {
 			return
--- a/counter/gate.go
+++ b/counter/gate.go
@@ -7,51 +7,50 @@
 	"snipehub.example/refusal"
 )
 
-// gate bounds how many requests are open and how many bytes their bodies may
-// take together. Without it, callers who send large bodies slowly, or who wait
-// in their thousands, fill the memory of the process, and the kernel ends it
-// with everything that runs.
-type gate struct {
-	requests int
-	bytes    int64
+// requestLimiter bounds the number of open requests and the total size of their bodies.
+// Without it, callers who send large bodies slowly, or thousands of waiting callers, would
+// exhaust the memory of the process, and the kernel would kill it with all running jobs.
+type requestLimiter struct {
+	maxRequests int
+	maxBytes    int64
 
-	mu   sync.Mutex
-	open int
-	used int64
+	mu            sync.Mutex
+	openRequests  int
+	reservedBytes int64
 }
 
-// enter takes a place for a request with a body of up to size bytes. It returns
-// how many requests are open.
-func (g *gate) enter(size int64) (int, bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.open >= g.requests || g.used+size > g.bytes {
-		return g.open, false
+// acquire reserves a request with a body of up to size bytes. It returns the number of
+// open requests, and whether the reservation was within the limits.
+func (l *requestLimiter) acquire(size int64) (int, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.openRequests >= l.maxRequests || l.reservedBytes+size > l.maxBytes {
+		return l.openRequests, false
 	}
-	g.open++
-	g.used += size
-	return g.open, true
+	l.openRequests++
+	l.reservedBytes += size
+	return l.openRequests, true
 }
 
-// leave gives the place back.
-func (g *gate) leave(size int64) int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.open--
-	g.used -= size
-	return g.open
+// release ends a reservation of size bytes. It returns the number of open requests.
+func (l *requestLimiter) release(size int64) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.openRequests--
+	l.reservedBytes -= size
+	return l.openRequests
 }
 
-// held is the most that the body of the request can take in memory.
-func (c *Counter) held(r *http.Request) int64 {
+// maxBodySize returns the maximum memory that the body of the request can take.
+func (c *Counter) maxBodySize(r *http.Request) int64 {
 	if r.ContentLength < 0 || r.ContentLength > c.cfg.Limits.BodyBytes {
 		return c.cfg.Limits.BodyBytes
 	}
 	return r.ContentLength
 }
 
-// checkHeader bounds the header. The server's own limit lies higher and answers
-// without a refusal in the body.
+// checkHeader checks the size of the header. The limit of http.Server is higher, and its
+// answer has no refusal in the body.
 func (c *Counter) checkHeader(h http.Header) error {
 	n := 0
 	for name, values := range h {
--- a/counter/identity.go
+++ b/counter/identity.go
@@ -11,38 +11,38 @@
 	"snipehub.example/ticket"
 )
 
-// The headers by which a caller names its work.
+// The headers that carry the identity of a job or request.
 const (
-	// HeaderKey carries a key of the caller's own, a UUID of version 7.
+	// HeaderKey carries the caller's own key, a UUID of version 7.
 	HeaderKey = "Idempotency-Key"
-	// HeaderJob carries a job id of a ticket.
+	// HeaderJob carries a job id, which belongs to a ticket.
 	HeaderJob = "Snipe-Job"
 )
 
-// keyVersion is the version of UUID that a key must have: its time stamp tells
-// whether the platform's log still remembers the key's first use.
-const keyVersion = 7
+// keyUUIDVersion is the required UUID version of a key. The time stamp in a UUID of version
+// 7 shows whether the platform's log still holds the key's first use.
+const keyUUIDVersion = 7
 
-// named tells whether the request names an identity under which work may have
+// namesIdentity reports whether the request names an identity under which work may have
 // been started before.
-func named(r *http.Request) bool {
+func namesIdentity(r *http.Request) bool {
 	return r.Header.Get(HeaderKey) != "" || r.Header.Get(HeaderJob) != "" ||
 		strings.HasPrefix(r.URL.Path, "/v1/jobs/")
 }
 
-// own marks a refusal as the counter's own. "Not run" would be false for a
-// request that names an identity: a copy of it may have come over another
-// process, or earlier, and run. The caller would take a new identity for the
-// same order, and two vans drive out.
-func own(r *http.Request, err error) error {
+// qualifyRefusal adapts a refusal that the counter itself gives to a request that names an
+// identity. "Not run" could be false for it: a copy of the request may have arrived earlier
+// or through another process and run. The caller would submit the same order under a new
+// identity, and two vans would drive out.
+func qualifyRefusal(r *http.Request, err error) error {
 	var f *refusal.Refusal
-	if !named(r) || !errors.As(err, &f) {
+	if !namesIdentity(r) || !errors.As(err, &f) {
 		return err
 	}
 	return f.AboutIdentity()
 }
 
-// pathID reads the job id of the path.
+// pathID returns the job id in the path.
 func pathID(r *http.Request) (ticket.JobID, error) {
 	id, err := ticket.ParseJobID(r.PathValue("id"))
 	if err != nil {
@@ -54,7 +54,7 @@
 	return id, nil
 }
 
-// headerID reads the job id of the header, nil when there is none.
+// headerID returns the job id in the header Snipe-Job, nil if there is none.
 func headerID(r *http.Request) (*ticket.JobID, error) {
 	h := r.Header.Get(HeaderJob)
 	if h == "" {
@@ -67,8 +67,8 @@
 	return &id, nil
 }
 
-// headerKey reads the caller's own key, "" when there is none. Two spellings of
-// one UUID are one key.
+// headerKey returns the caller's own key in canonical form, "" if there is none. Different
+// spellings of one UUID are the same key.
 func headerKey(r *http.Request) (string, error) {
 	h := r.Header.Values(HeaderKey)
 	if len(h) == 0 {
@@ -79,7 +79,7 @@
 	}
 	text := strings.Trim(h[0], `"`)
 	id, err := uuid.Parse(text)
-	if err != nil || len(text) != len(uuid.Nil.String()) || id.Version() != keyVersion {
+	if err != nil || len(text) != len(uuid.Nil.String()) || id.Version() != keyUUIDVersion {
 		return "", refusal.New(refusal.BadKey, HeaderKey+" must be a UUID of version 7")
 	}
 	return id.String(), nil
--- a/counter/jobs.go
+++ b/counter/jobs.go
@@ -11,8 +11,8 @@
 	"snipehub.example/refusal"
 )
 
-// answerGrace is how much longer the counter waits for the answer of another
-// process than that process waits for the job.
+// answerGrace is added to a job's or request's wait, so that the answer of another
+// process, which waits for the job itself, still arrives in time.
 const answerGrace = 2 * time.Second
 
 func (c *Counter) mint(w http.ResponseWriter, r *http.Request, caller job.Caller) error {
@@ -27,7 +27,7 @@
 func (c *Counter) submitByID(w http.ResponseWriter, r *http.Request, caller job.Caller) error {
 	id, err := pathID(r)
 	if err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
 	return c.submit(w, r, job.Submission{Caller: caller, ID: id})
 }
@@ -36,7 +36,7 @@
 	key, err := headerKey(r)
 	switch {
 	case err != nil:
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	case key == "":
 		return refusal.New(refusal.BadRequest, HeaderKey+" is missing")
 	}
@@ -44,9 +44,9 @@
 }
 
 func (c *Counter) submit(w http.ResponseWriter, r *http.Request, s job.Submission) error {
-	began := time.Now()
+	start := time.Now()
 	if err := c.readSubmission(r, &s); err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), s.WaitFor+c.cfg.Peers.Timeout.D()+answerGrace)
 	defer cancel()
@@ -61,22 +61,22 @@
 		c.meter.Count(meter.JobsFailed, 1)
 	}
 	if s.Wait {
-		c.meter.Time(meter.JobSeconds, s.Caller.Name, s.Spec.Kind, time.Since(began))
+		c.meter.Time(meter.JobSeconds, s.Caller.Name, s.Spec.Kind, time.Since(start))
 	}
 	c.writeAnswer(w, a)
 	return nil
 }
 
-// readSubmission reads body and preference and checks them.
+// readSubmission reads and validates the body and the header Prefer.
 func (c *Counter) readSubmission(r *http.Request, s *job.Submission) error {
-	p, err := prefer(r.Header)
+	p, err := parsePrefer(r.Header)
 	if err != nil {
 		return err
 	}
 	if err := c.decode(r, &s.Spec); err != nil {
 		return err
 	}
-	longest := c.cfg.Limits.JobTimeout.D()
+	maxTimeout := c.cfg.Limits.JobTimeout.D()
 	switch n := len(s.Spec.Tasks); {
 	case s.Spec.Kind == "":
 		return refusal.New(refusal.BadRequest, "kind is missing")
@@ -84,10 +84,10 @@
 		return refusal.New(refusal.BadRequest, "tasks is empty")
 	case n > c.cfg.Limits.JobTasks:
 		return refusal.New(refusal.TooLarge, "more than "+strconv.Itoa(c.cfg.Limits.JobTasks)+" tasks")
-	case s.Spec.TimeoutMS < 0 || s.Spec.TimeoutMS > longest.Milliseconds():
-		return refusal.New(refusal.BadRequest, "timeout_ms must be from 0 to "+strconv.FormatInt(longest.Milliseconds(), 10))
+	case s.Spec.TimeoutMS < 0 || s.Spec.TimeoutMS > maxTimeout.Milliseconds():
+		return refusal.New(refusal.BadRequest, "timeout_ms must be from 0 to "+strconv.FormatInt(maxTimeout.Milliseconds(), 10))
 	}
-	s.WaitFor = p.bound(s.Spec.Timeout(longest) + answerGrace)
+	s.WaitFor = p.waitTime(s.Spec.Timeout(maxTimeout) + answerGrace)
 	s.Wait = s.WaitFor > 0
 	return nil
 }
@@ -95,15 +95,15 @@
 func (c *Counter) lookup(w http.ResponseWriter, r *http.Request, caller job.Caller) error {
 	id, err := pathID(r)
 	if err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
-	p, err := prefer(r.Header)
+	p, err := parsePrefer(r.Header)
 	if err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
 	var wait time.Duration
-	if p.given {
-		wait = p.bound(c.cfg.Limits.JobTimeout.D())
+	if p.hasWait {
+		wait = p.waitTime(c.cfg.Limits.JobTimeout.D())
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait+c.cfg.Peers.Timeout.D()+answerGrace)
 	defer cancel()
@@ -123,7 +123,7 @@
 func (c *Counter) cancel(w http.ResponseWriter, r *http.Request, caller job.Caller) error {
 	id, err := pathID(r)
 	if err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.cfg.Peers.Timeout.D()+answerGrace)
 	defer cancel()
--- a/counter/ops.go
+++ b/counter/ops.go
@@ -7,14 +7,15 @@
 	"snipehub.example/meter"
 )
 
-func (c *Counter) health() {
+func (c *Counter) handleHealth() {
 	c.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	c.mux.HandleFunc("GET /readyz", c.ready)
+	c.mux.HandleFunc("GET /readyz", c.readyz)
 }
 
-// ready is false as soon as a planned stop begins, so that the balancer sends
-// callers elsewhere while what is in flight still ends here.
-func (c *Counter) ready(w http.ResponseWriter, _ *http.Request) {
+// readyz answers 503 if the process is not ready. Ready turns false when a planned stop
+// begins, so that the load balancer sends callers to other processes while the requests in
+// flight end here.
+func (c *Counter) readyz(w http.ResponseWriter, _ *http.Request) {
 	if !c.svc.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, "not ready\n")
@@ -23,8 +24,8 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// Operators is the HTTP handler of the operators' own address. It shows the
-// names of callers, so the address must be one that only operators reach.
+// Operators returns the HTTP handler of the operators' address. It shows the names of
+// callers, so only operators must be able to reach the address.
 func Operators(svc Inspector, m *meter.Meter) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
--- a/counter/prefer.go
+++ b/counter/prefer.go
@@ -9,18 +9,18 @@
 	"snipehub.example/refusal"
 )
 
-// preference is what a caller asks for in the header Prefer (RFC 7240).
+// preference is the parsed header Prefer (RFC 7240).
 type preference struct {
 	async bool
-	// wait is how long the caller wants to wait; it counts if given is set.
-	wait  time.Duration
-	given bool
+	// wait is how long the caller wants to wait. It is valid if hasWait is set.
+	wait    time.Duration
+	hasWait bool
 }
 
-// maxWaitSeconds keeps wait=N inside a time.Duration.
+// maxWaitSeconds prevents an overflow of time.Duration by wait=N.
 const maxWaitSeconds = 24 * 60 * 60
 
-func prefer(h http.Header) (preference, error) {
+func parsePrefer(h http.Header) (preference, error) {
 	var p preference
 	for _, part := range strings.Split(strings.Join(h.Values("Prefer"), ","), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -32,19 +32,19 @@
 			if err != nil || n < 0 || n > maxWaitSeconds {
 				return p, refusal.New(refusal.BadRequest, "Prefer: wait must be a number of seconds")
 			}
-			p.wait, p.given = time.Duration(n)*time.Second, true
+			p.wait, p.hasWait = time.Duration(n)*time.Second, true
 		}
 	}
 	return p, nil
 }
 
-// bound returns how long to wait for something that takes at most longest.
-func (p preference) bound(longest time.Duration) time.Duration {
+// waitTime returns how long to wait for a result that is expected within maxWait.
+func (p preference) waitTime(maxWait time.Duration) time.Duration {
 	switch {
-	case p.async && !p.given:
+	case p.async && !p.hasWait:
 		return 0
-	case p.given:
-		return min(p.wait, longest)
+	case p.hasWait:
+		return min(p.wait, maxWait)
 	}
-	return longest
+	return maxWait
 }
--- a/counter/requests.go
+++ b/counter/requests.go
@@ -13,12 +13,12 @@
 	"snipehub.example/refusal"
 )
 
-// request passes one request through to a backend server.
+// request forwards one request to a backend server and writes its answer.
 func (c *Counter) request(w http.ResponseWriter, r *http.Request, caller job.Caller) error {
-	began := time.Now()
+	start := time.Now()
 	in, err := c.readRequest(r, caller)
 	if err != nil {
-		return own(r, err)
+		return qualifyRefusal(r, err)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), in.Timeout+c.cfg.Peers.Timeout.D()+answerGrace)
 	defer cancel()
@@ -26,13 +26,13 @@
 	if err != nil {
 		return err
 	}
-	c.meter.Time(meter.RequestSeconds, caller.Name, in.Kind, time.Since(began))
+	c.meter.Time(meter.RequestSeconds, caller.Name, in.Kind, time.Since(start))
 	return c.writeReply(w, out)
 }
 
 func (c *Counter) readRequest(r *http.Request, caller job.Caller) (job.Request, error) {
 	in := job.Request{Caller: caller, Kind: r.PathValue("kind"), Type: r.Header.Get("Content-Type")}
-	p, err := prefer(r.Header)
+	p, err := parsePrefer(r.Header)
 	if err != nil {
 		return in, err
 	}
@@ -43,24 +43,24 @@
 		return in, err
 	}
 	if !utf8.ValidString(in.Type) {
-		// Between dispatchers a type is text in JSON, which would change it: a copy over
-		// another dispatcher would be taken for another request.
+		// Dispatchers forward the type as a JSON string, which would replace the invalid
+		// bytes: a copy over another dispatcher would look like a different request.
 		return in, refusal.New(refusal.BadRequest, "Content-Type is not UTF-8")
 	}
 	if in.ID != nil && in.Key != "" {
 		return in, refusal.New(refusal.BadRequest, HeaderKey+" does not go with "+HeaderJob)
 	}
 	if in.Body, err = io.ReadAll(r.Body); err != nil {
-		return in, unread(err)
+		return in, bodyRefusal(err)
 	}
 	in.Timeout = c.cfg.Limits.JobTimeout.D()
-	if p.given && p.wait > 0 {
+	if p.hasWait && p.wait > 0 {
 		in.Timeout = min(p.wait, in.Timeout)
 	}
 	return in, nil
 }
 
-// writeReply writes the backend server's answer as it came.
+// writeReply writes the backend server's answer unchanged.
 func (c *Counter) writeReply(w http.ResponseWriter, out job.Reply) error {
 	if out.Status < http.StatusOK || out.Status > 599 {
 		return refusal.New(refusal.Internal, "status "+strconv.Itoa(out.Status)+" of the backend server")
--- a/counter/server.go
+++ b/counter/server.go
@@ -6,15 +6,14 @@
 	"snipehub.example/settings"
 )
 
-// headerSlack is how far the server's own limit on headers lies above the
-// counter's, so that it is the counter that refuses, with a body that says what
-// is wrong.
-const headerSlack = 4
+// headerLimitFactor is the ratio of http.Server's header limit to the counter's. The
+// server's limit is higher, so that the counter refuses large headers, with a refusal in
+// the body.
+const headerLimitFactor = 4
 
-// NewServer makes the HTTP server of the handler, with the time-outs of the
-// limits. WriteTimeout is only the last bound here: it counts from the header of
-// the request on, so it must leave room for the longest job. The handler sets a
-// deadline of its own when it begins to write.
+// NewServer returns an HTTP server for the handler, with the timeouts of the limits.
+// WriteTimeout starts with the header of the request, so it must allow for the longest job;
+// it is only the upper bound. The handler sets its own deadline when it begins to write.
 func NewServer(l settings.Limits, h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -22,6 +21,6 @@
 		ReadTimeout:       l.ReadTimeout.D(),
 		WriteTimeout:      l.ReadTimeout.D() + l.JobTimeout.D() + 2*answerGrace + l.WriteTimeout.D(),
 		IdleTimeout:       l.IdleTimeout.D(),
-		MaxHeaderBytes:    headerSlack * l.HeaderBytes,
+		MaxHeaderBytes:    headerLimitFactor * l.HeaderBytes,
 	}
 }
--- a/counter/timeout_test.go
+++ b/counter/timeout_test.go
@@ -24,41 +24,42 @@
 	"snipehub.example/settings"
 )
 
-// pipes is a listener whose connections are in memory, so that the fake clock
-// of a test moves their deadlines.
-type pipes chan net.Conn
+// pipeListener is a listener for in-memory connections, whose deadlines follow the fake
+// clock of synctest.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
-	c, ok := <-p
+func (l pipeListener) Accept() (net.Conn, error) {
+	c, ok := <-l
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (l pipeListener) Close() error   { return nil }
+func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// withServer runs the test on a fake clock, with a connection to a server.
-func withServer(t *testing.T, cfg settings.Config, f *fake, run func(c net.Conn)) {
+// withServer runs the test with a fake clock and a connection to a server.
+func withServer(t *testing.T, cfg settings.Config, f *fakeService, test func(c net.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		m := meter.New(10, nil)
 		defer m.Close()
 		srv := counter.NewServer(cfg.Limits, counter.New(slog.New(slog.DiscardHandler), cfg, f, m))
-		p := make(pipes, 1)
-		go func() { _ = srv.Serve(p) }()
+		ln := make(pipeListener, 1)
+		go func() { _ = srv.Serve(ln) }()
 		client, server := net.Pipe()
-		p <- server
-		run(client)
+		ln <- server
+		test(client)
 		_ = client.Close()
-		close(p)
+		close(ln)
 		_ = srv.Close()
 		synctest.Wait()
 	})
 }
 
-func send(c net.Conn, body, rest string) {
+// send writes a submission whose Content-Length also counts the part that is not sent.
+func send(c net.Conn, body, unsent string) {
 	text := "PUT " + jobPath + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: "
-	_, _ = io.WriteString(c, text+strconv.Itoa(len(body)+len(rest))+"\r\n\r\n"+body)
+	_, _ = io.WriteString(c, text+strconv.Itoa(len(body)+len(unsent))+"\r\n\r\n"+body)
 }
 
 func receive(c io.Reader) (*http.Response, []byte, error) {
@@ -70,12 +71,12 @@
 	return resp, b, err
 }
 
-// A job takes two minutes, longer than the time-outs for reading and writing. A
-// time-out that counts from the request's start cuts the waiting caller off,
-// who then sees a lost connection in place of its answer.
+// A job takes two minutes, longer than the read and write timeouts. A timeout that starts
+// with the request would cut off the waiting caller, who would see a lost connection
+// instead of its answer.
 func TestLongWaitIsNotCut(t *testing.T) {
-	cfg := config()
-	f := &fake{submit: func(ctx context.Context, s job.Submission) (job.Answer, error) {
+	cfg := testConfig()
+	f := &fakeService{submit: func(ctx context.Context, s job.Submission) (job.Answer, error) {
 		select {
 		case <-time.After(2 * time.Minute):
 			return job.Answer{State: job.Done}, nil
@@ -92,89 +93,89 @@
 	})
 }
 
-// A caller sends a byte of its body now and then. Without a time-out, some
-// thousands of these hold all connections.
+// A caller sends the body slowly or not at all. Without a read timeout, a few thousand
+// such callers would hold all connections.
 func TestSlowBody(t *testing.T) {
-	f := &fake{}
-	withServer(t, config(), f, func(c net.Conn) {
-		began := time.Now()
+	f := &fakeService{}
+	withServer(t, testConfig(), f, func(c net.Conn) {
+		start := time.Now()
 		send(c, goodJob[:5], goodJob[5:])
 		resp, b, err := receive(c)
 		if err != nil || resp.StatusCode != http.StatusRequestTimeout || !strings.Contains(string(b), string(refusal.TooSlow)) {
 			t.Errorf("have %v %s", err, b)
 		}
-		if d := time.Since(began); d > 11*time.Second {
+		if d := time.Since(start); d > 11*time.Second {
 			t.Errorf("refused after %v", d)
 		}
 	})
 }
 
-// A caller reads the first bytes of its answer and stops. The write gives up
-// after the time-out, and what the caller has must not look whole.
+// A caller reads the first bytes of its answer and stops. The write fails after the write
+// timeout, and the truncated answer must not look complete.
 func TestSlowReader(t *testing.T) {
-	cfg := config()
-	f := &fake{submit: func(context.Context, job.Submission) (job.Answer, error) {
+	cfg := testConfig()
+	f := &fakeService{submit: func(context.Context, job.Submission) (job.Answer, error) {
 		return job.Answer{State: job.Done, Error: strings.Repeat("x", 100_000)}, nil
 	}}
 	withServer(t, cfg, f, func(c net.Conn) {
 		send(c, goodJob, "")
-		first := make([]byte, 100)
-		_, _ = io.ReadFull(c, first)
+		beginning := make([]byte, 100)
+		_, _ = io.ReadFull(c, beginning)
 		time.Sleep(cfg.Limits.WriteTimeout.D() + time.Second)
-		_, b, err := receive(io.MultiReader(bytes.NewReader(first), c))
+		_, b, err := receive(io.MultiReader(bytes.NewReader(beginning), c))
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("the answer looks whole: %v, %d bytes", err, len(b))
+			t.Errorf("the truncated answer looks complete: %v, %d bytes", err, len(b))
 		}
 	})
 }
 
-// The handler fails after the answer has begun. A refusal behind it would be
-// taken for a part of the answer; the caller must see a cut connection.
+// The handler panics after the answer has begun. A refusal after it would be taken for a
+// part of the answer, so the connection must be aborted.
 func TestPanicInMidAnswer(t *testing.T) {
 	m := meter.New(10, nil)
 	defer m.Close()
-	h := counter.New(slog.New(slog.DiscardHandler), config(), &fake{}, m)
+	h := counter.New(slog.New(slog.DiscardHandler), testConfig(), &fakeService{}, m)
 	defer func() {
 		if p := recover(); p != http.ErrAbortHandler {
 			t.Errorf("panic %v, want ErrAbortHandler", p)
 		}
 	}()
-	h.ServeHTTP(&failing{header: make(http.Header)}, request("PUT", jobPath, goodJob))
+	h.ServeHTTP(&panickingWriter{header: make(http.Header)}, request("PUT", jobPath, goodJob))
 	t.Error("no panic")
 }
 
-// failing panics in the middle of the body.
-type failing struct{ header http.Header }
+// panickingWriter is an http.ResponseWriter that panics in Write.
+type panickingWriter struct{ header http.Header }
 
-func (f *failing) Header() http.Header       { return f.header }
-func (f *failing) WriteHeader(int)           {}
-func (f *failing) Write([]byte) (int, error) { panic("disk") }
+func (w *panickingWriter) Header() http.Header       { return w.header }
+func (w *panickingWriter) WriteHeader(int)           {}
+func (w *panickingWriter) Write([]byte) (int, error) { panic("disk") }
 
-// Callers wait by the thousand. Beyond the limit they are told to come back,
-// in place of filling the memory until the kernel ends the process with all
-// the jobs that it runs.
+// Requests beyond the limit of open requests are refused with a Retry-After. Without the
+// limit, thousands of waiting callers would exhaust the memory until the kernel kills the
+// process with all its running jobs.
 func TestOpenRequestsAreBounded(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Limits.OpenRequests = 1
 	m := meter.New(10, nil)
 	defer m.Close()
 	var h http.Handler
-	var inner *http.Response
-	f := &fake{submit: func(_ context.Context, s job.Submission) (job.Answer, error) {
+	var nested *http.Response
+	f := &fakeService{submit: func(_ context.Context, s job.Submission) (job.Answer, error) {
 		if s.Spec.Kind != "price" {
 			return job.Answer{State: job.Done}, nil
 		}
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, request("PUT", jobPath, `{"kind":"inner","tasks":[1]}`))
-		inner = w.Result()
+		nested = w.Result()
 		return job.Answer{State: job.Done}, nil
 	}}
 	h = counter.New(slog.New(slog.DiscardHandler), cfg, f, m)
 	for range 2 {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, request("PUT", jobPath, goodJob))
-		if w.Code != http.StatusOK || inner.StatusCode != http.StatusTooManyRequests || inner.Header.Get("Retry-After") != "1" {
-			t.Errorf("first %d, second %d", w.Code, inner.StatusCode)
+		if w.Code != http.StatusOK || nested.StatusCode != http.StatusTooManyRequests || nested.Header.Get("Retry-After") != "1" {
+			t.Errorf("first %d, second %d", w.Code, nested.StatusCode)
 		}
 	}
 }
