--- a/client/client.go
+++ b/client/client.go
@@ -1,5 +1,5 @@
-// Package client is the library for callers: tickets, jobs, and coming back
-// with the right identity after a refusal.
+// Package client is the library for callers. It obtains tickets, submits jobs and
+// requests, and retries them with the right identity after a refusal.
 package client
 
 import (
@@ -24,39 +24,39 @@
 	"snipehub.example/ticket"
 )
 
-// ErrTransport means that no whole answer came: the outcome is open, and the
+// ErrTransport means that no complete answer has arrived: the outcome is unknown, and the
 // same identity may be sent again.
-var ErrTransport = errors.New("client: no whole answer")
+var ErrTransport = errors.New("client: no complete answer")
 
 // ErrGaveUp means that ctx ended before the job had an answer.
 var ErrGaveUp = errors.New("client: gave up")
 
-// Config sets a client.
+// Config configures a Client.
 type Config struct {
-	// Entries are the addresses of entry VMs or of the balancer.
+	// Entries are the addresses of entry VMs or of the load balancer.
 	Entries []netip.AddrPort
 	Token   string
-	// Backoff is the first pause before a repetition; it doubles up to
-	// MaxBackoff, with jitter.
+	// Backoff is the pause before the first retry. It doubles with each further retry, up
+	// to MaxBackoff, and has jitter. The defaults are 50 ms and 2 s.
 	Backoff, MaxBackoff time.Duration
-	// TLS, when set, is how entries are reached over HTTPS.
+	// TLS is the configuration for HTTPS; nil means plain HTTP.
 	TLS *tls.Config
-	// Transport carries the requests; nil takes one of its own.
+	// Transport sends the requests. If it is nil, the client creates one.
 	Transport http.RoundTripper
 }
 
-// Client submits jobs. It may be used from many goroutines.
+// Client submits jobs and requests. It is safe for concurrent use.
 type Client struct {
 	cfg Config
 	hc  *http.Client
 
-	mu    sync.Mutex
-	grant job.Grant
-	id    ticket.ID
-	next  uint64
+	mu       sync.Mutex
+	grant    job.Grant
+	ticketID ticket.ID
+	nextSeq  uint64
 }
 
-// New makes a client.
+// New returns a client for the given configuration.
 func New(cfg Config) *Client {
 	if cfg.Backoff <= 0 {
 		cfg.Backoff = 50 * time.Millisecond
@@ -70,34 +70,33 @@
 	return &Client{cfg: cfg, hc: &http.Client{Transport: cfg.Transport}}
 }
 
-// Do submits the job under identities of its own until it has an answer, a
-// refusal that a repetition can't change, or ctx ends. It comes back with the
-// same identity as long as the outcome is open, and takes a new one only when
-// the old one is certain never to run.
+// Do submits the job until it gets an answer or a final refusal, or ctx ends. It takes the
+// job's identity from the client's ticket, retries with the same identity while the outcome
+// is unknown, and takes a new one only if the old one is certain never to run.
 func (c *Client) Do(ctx context.Context, s job.Spec) (job.Answer, error) {
 	var a job.Answer
-	err := c.repeat(ctx, func(id ticket.JobID) error {
+	err := c.retry(ctx, func(id ticket.JobID) error {
 		var err error
-		a, err = c.Put(ctx, c.entry(), id, s)
+		a, err = c.Put(ctx, c.randomEntry(), id, s)
 		return err
 	})
 	return a, err
 }
 
-// Request passes one request through to a backend server, under identities of
-// its own as Do does, and returns the backend server's whole answer.
+// Request sends one request to a backend server and returns the backend server's complete
+// answer. It chooses identities and retries as Do does.
 func (c *Client) Request(ctx context.Context, kind, contentType string, body []byte) (job.Reply, error) {
 	var out job.Reply
-	err := c.repeat(ctx, func(id ticket.JobID) error {
+	err := c.retry(ctx, func(id ticket.JobID) error {
 		h := http.Header{headerJob: {id.String()}}
 		if contentType != "" {
 			h.Set("Content-Type", contentType)
 		}
-		resp, b, err := c.send(ctx, http.MethodPost, c.entry(), "/v1/requests/"+url.PathEscape(kind), h, body)
+		resp, b, err := c.send(ctx, http.MethodPost, c.randomEntry(), "/v1/requests/"+url.PathEscape(kind), h, body)
 		if err != nil {
 			return err
 		}
-		if r := refused(resp, b); r != nil {
+		if r := parseRefusal(resp, b); r != nil {
 			return r
 		}
 		out = job.Reply{Status: resp.StatusCode, Type: resp.Header.Get("Content-Type"), Body: b}
@@ -106,12 +105,13 @@
 	return out, err
 }
 
-// headerJob carries the identity of a request.
+// headerJob is the header that carries the identity of a request.
 const headerJob = "Snipe-Job"
 
-// refused tells a refusal of the system from a backend server's own answer with
-// an error status. Both may be JSON; only a refusal has a code of the table.
-func refused(resp *http.Response, b []byte) error {
+// parseRefusal returns the refusal in an answer, nil if there is none. A backend server's
+// answer with an error status may be JSON as well; only a refusal has a code of the
+// refusal table together with the status of that code.
+func parseRefusal(resp *http.Response, b []byte) error {
 	if resp.StatusCode < http.StatusBadRequest {
 		return nil
 	}
@@ -125,36 +125,37 @@
 	return &r
 }
 
-// repeat calls submit until it succeeds, is refused for good, or ctx ends.
-func (c *Client) repeat(ctx context.Context, submit func(id ticket.JobID) error) error {
+// retry calls submit until it succeeds, a refusal is final, or ctx ends.
+func (c *Client) retry(ctx context.Context, submit func(id ticket.JobID) error) error {
 	var id ticket.JobID
-	fresh := true
-	pause := c.cfg.Backoff
+	needNewID := true
+	backoff := c.cfg.Backoff
 	for {
-		err := c.try(ctx, &id, fresh, submit)
+		err := c.attempt(ctx, &id, needNewID, submit)
 		if err == nil {
 			return nil
 		}
 		var r *refusal.Refusal
 		if errors.As(err, &r) {
-			if final(r) {
+			if isFinal(r) {
 				return err
 			}
-			fresh = fresh && id == (ticket.JobID{}) || r.Again == refusal.AgainNew
-			c.drop(id.ID, r)
+			needNewID = needNewID && id == (ticket.JobID{}) || r.Again == refusal.AgainNew
+			c.dropTicket(id.ID, r)
 		} else if id != (ticket.JobID{}) {
-			fresh = false
+			needNewID = false
 		}
-		if !wait(ctx, pause, err) {
+		if !sleepBeforeRetry(ctx, backoff, err) {
 			return errors.Wrapf(ErrGaveUp, "last: %v", err)
 		}
-		pause = min(pause*2, c.cfg.MaxBackoff)
+		backoff = min(backoff*2, c.cfg.MaxBackoff)
 	}
 }
 
-// try submits once, under a new identity when fresh.
-func (c *Client) try(ctx context.Context, id *ticket.JobID, fresh bool, submit func(id ticket.JobID) error) error {
-	if fresh {
+// attempt calls submit once. If needNewID is set, it takes a new identity first and stores
+// it in id.
+func (c *Client) attempt(ctx context.Context, id *ticket.JobID, needNewID bool, submit func(id ticket.JobID) error) error {
+	if needNewID {
 		next, err := c.Next(ctx)
 		if err != nil {
 			*id = ticket.JobID{}
@@ -165,9 +166,9 @@
 	return submit(*id)
 }
 
-// final tells whether coming back can't change anything: by the refusal's own
-// word, or because a new identity would fare no better.
-func final(r *refusal.Refusal) bool {
+// isFinal reports whether a retry is useless, either because the refusal says so, or because
+// a new identity would be refused for the same reason.
+func isFinal(r *refusal.Refusal) bool {
 	switch r.Code {
 	case refusal.NoRoute, refusal.NeedsID, refusal.Hopeless:
 		return true
@@ -175,10 +176,10 @@
 	return r.Again == refusal.AgainNever
 }
 
-// drop gives up a ticket that is of no use for further jobs: its owner stops or
-// can't be reached, or it is used up. The job that was refused keeps its
-// identity where the refusal says so.
-func (c *Client) drop(id ticket.ID, r *refusal.Refusal) {
+// dropTicket discards the current ticket if it is the one with this id and the refusal makes
+// it useless for further jobs: its owner is stopping, gone or unreachable, or the sequence
+// is out of range. The refused job keeps its identity if the refusal says so.
+func (c *Client) dropTicket(id ticket.ID, r *refusal.Refusal) {
 	switch r.Code {
 	case refusal.Stopping, refusal.OwnerGone, refusal.OwnerUnreachable, refusal.OutOfRange:
 	default:
@@ -186,108 +187,108 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.id == id {
-		c.renew()
+	if c.ticketID == id {
+		c.dropCurrentTicket()
 	}
 }
 
-// wait pauses before a repetition: at least as long as the refusal asks for,
-// and with jitter, so that callers who were refused together don't come back
-// together.
-func wait(ctx context.Context, pause time.Duration, err error) bool {
-	return clock.Sleep(ctx, retryAfter(err)+pause/2+rand.N(pause))
+// sleepBeforeRetry waits for at least the Retry-After of the refusal, plus the backoff with
+// jitter, so that callers who were refused at the same time don't retry at the same time. It
+// reports whether it waited to the end.
+func sleepBeforeRetry(ctx context.Context, backoff time.Duration, err error) bool {
+	return clock.Sleep(ctx, retryAfter(err)+backoff/2+rand.N(backoff))
 }
 
 func retryAfter(err error) time.Duration {
 	var r *refusal.Refusal
-	var b *busyError
+	var b *statusError
 	switch {
 	case errors.As(err, &r):
 		return time.Duration(r.RetryAfterMS) * time.Millisecond
 	case errors.As(err, &b):
-		return b.after
+		return b.retryAfter
 	}
 	return 0
 }
 
-// busyError is an answer that is no refusal of ours: a balancer's, or one that
-// was cut off.
-type busyError struct {
-	status int
-	after  time.Duration
+// statusError is an error answer that is not a refusal of a dispatcher, for example one of
+// the load balancer.
+type statusError struct {
+	status     int
+	retryAfter time.Duration
 }
 
 // Error makes busyError an error.
-func (b *busyError) Error() string { return "status " + strconv.Itoa(b.status) }
+func (e *statusError) Error() string { return "status " + strconv.Itoa(e.status) }
 
-// Unwrap tells that the outcome is open.
-func (b *busyError) Unwrap() error { return ErrTransport }
+// Unwrap returns ErrTransport, because the outcome is unknown.
+func (e *statusError) Unwrap() error { return ErrTransport }
 
-// Next takes the next identity, with a new ticket when the old one is used up
-// or when its owner refuses new work.
+// Next returns the next identity. It obtains a new ticket if the current one is used up or
+// was dropped.
 func (c *Client) Next(ctx context.Context) (ticket.JobID, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.next >= c.grant.Limit {
+	if c.nextSeq >= c.grant.Limit {
 		if err := c.mint(ctx); err != nil {
 			return ticket.JobID{}, err
 		}
 	}
-	id := c.id.Job(c.next)
-	c.next++
+	id := c.ticketID.Job(c.nextSeq)
+	c.nextSeq++
 	return id, nil
 }
 
 func (c *Client) mint(ctx context.Context) error {
 	var g job.Grant
-	if err := c.call(ctx, http.MethodPost, c.entry(), "/v1/tickets", nil, &g); err != nil {
+	if err := c.call(ctx, http.MethodPost, c.randomEntry(), "/v1/tickets", nil, &g); err != nil {
 		return err
 	}
 	id, err := ticket.ParseID(g.Ticket)
 	if err != nil {
 		return errors.Wrap(err, "client: ticket")
 	}
-	c.grant, c.id, c.next = g, id, g.First
+	c.grant, c.ticketID, c.nextSeq = g, id, g.First
 	return nil
 }
 
-// Renew drops the current ticket, so that the next identity is of a new one.
+// Renew drops the current ticket, so that the next identity belongs to a new one.
 func (c *Client) Renew() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.renew()
+	c.dropCurrentTicket()
 }
 
-func (c *Client) renew() {
-	c.grant, c.id, c.next = job.Grant{}, ticket.ID{}, 0
+func (c *Client) dropCurrentTicket() {
+	c.grant, c.ticketID, c.nextSeq = job.Grant{}, ticket.ID{}, 0
 }
 
-// Put submits the job once under the id, over the given entry.
+// Put submits the job once with the given id to the entry.
 func (c *Client) Put(ctx context.Context, entry netip.AddrPort, id ticket.JobID, s job.Spec) (job.Answer, error) {
 	var a job.Answer
 	err := c.call(ctx, http.MethodPut, entry, "/v1/jobs/"+id.String(), s, &a)
 	return a, err
 }
 
-// Get asks for a job's answer.
+// Get requests the answer of a job from the entry.
 func (c *Client) Get(ctx context.Context, entry netip.AddrPort, id ticket.JobID) (job.Answer, error) {
 	var a job.Answer
 	err := c.call(ctx, http.MethodGet, entry, "/v1/jobs/"+id.String(), nil, &a)
 	return a, err
 }
 
-// Cancel asks that no more tasks of the job start.
+// Cancel requests that no more tasks of the job start.
 func (c *Client) Cancel(ctx context.Context, entry netip.AddrPort, id ticket.JobID) (job.Answer, error) {
 	var a job.Answer
 	err := c.call(ctx, http.MethodDelete, entry, "/v1/jobs/"+id.String(), nil, &a)
 	return a, err
 }
 
-func (c *Client) entry() netip.AddrPort {
+func (c *Client) randomEntry() netip.AddrPort {
 	return c.cfg.Entries[rand.IntN(len(c.cfg.Entries))]
 }
 
-// call exchanges JSON with an entry.
+// call sends in to the entry as JSON and decodes the answer into out.
 func (c *Client) call(ctx context.Context, method string, entry netip.AddrPort, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -306,14 +307,14 @@
 		}
 		return nil
 	}
-	if r := refused(resp, b); r != nil {
+	if r := parseRefusal(resp, b); r != nil {
 		return r
 	}
 	seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	return &busyError{resp.StatusCode, time.Duration(max(seconds, 0)) * time.Second}
+	return &statusError{resp.StatusCode, time.Duration(max(seconds, 0)) * time.Second}
 }
 
-// send makes one HTTP request and reads the whole answer.
+// send sends one HTTP request and reads the complete answer.
 func (c *Client) send(ctx context.Context, method string, entry netip.AddrPort, path string, h http.Header, body []byte) (*http.Response, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.scheme()+entry.String()+path, bytes.NewReader(body))
 	if err != nil {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,26 +16,27 @@
 	"snipehub.example/refusal"
 )
 
-// entry is an entry VM that refuses the first submissions, one after the other,
-// and then answers. It mints tickets of streams 1, 2, ...
-type entry struct {
-	refusals []*refusal.Refusal
-	balancer bool
-	minted   int
-	puts     []string
-	times    []time.Time
+// fakeEntry is the transport to an entry VM that answers the first submissions with the
+// given refusals and all later ones with success. The tickets that it mints are of the
+// incarnations 1, 11, 111, ...
+type fakeEntry struct {
+	refusals        []*refusal.Refusal
+	balancerRefuses bool
+	mintedTickets   int
+	submittedIDs    []string
+	submittedAt     []time.Time
 }
 
-func (e *entry) RoundTrip(r *http.Request) (*http.Response, error) {
+func (e *fakeEntry) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.Method == http.MethodPost {
-		e.minted++
-		g := job.Grant{Ticket: "dc1.vm0.hub." + strings.Repeat("1", e.minted) + ".1", Limit: 100}
+		e.mintedTickets++
+		g := job.Grant{Ticket: "dc1.vm0.hub." + strings.Repeat("1", e.mintedTickets) + ".1", Limit: 100}
 		return respond(http.StatusCreated, g), nil
 	}
-	e.puts = append(e.puts, strings.TrimPrefix(r.URL.Path, "/v1/jobs/dc1.vm0.hub."))
-	e.times = append(e.times, time.Now())
-	if e.balancer {
-		e.balancer = false
+	e.submittedIDs = append(e.submittedIDs, strings.TrimPrefix(r.URL.Path, "/v1/jobs/dc1.vm0.hub."))
+	e.submittedAt = append(e.submittedAt, time.Now())
+	if e.balancerRefuses {
+		e.balancerRefuses = false
 		resp := respond(http.StatusServiceUnavailable, "busy")
 		resp.Header.Set("Retry-After", "7")
 		return resp, nil
@@ -53,62 +54,61 @@
 	return &http.Response{StatusCode: status, Header: make(http.Header), Body: io.NopCloser(strings.NewReader(string(b)))}
 }
 
-// A job is refused. With an open outcome the caller must come back with the
-// same identity: under a new one the order could go out twice. After a "not
-// run" it must take a new one, since the old one never runs. And a ticket whose
-// owner stops or is lost is of no use for the next job.
+// The client must retry a job whose outcome is unknown with the same identity: with a new
+// one, the order could run twice. After "not run" it must take a new identity, since the old
+// one never runs. A ticket whose owner is stopping or unreachable must not be used for the
+// next job.
 func TestComesBackWithTheRightIdentity(t *testing.T) {
 	for _, e := range refusal.All() {
 		t.Run(string(e.Code), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				in := &entry{refusals: []*refusal.Refusal{refusal.New(e.Code, "")}}
-				c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: in})
+				server := &fakeEntry{refusals: []*refusal.Refusal{refusal.New(e.Code, "")}}
+				c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: server})
 				_, err := c.Do(context.Background(), job.Spec{Kind: "price"})
-				switch puts := strings.Join(in.puts, " "); {
-				case len(in.puts) == 1:
+				switch submitted := strings.Join(server.submittedIDs, " "); {
+				case len(server.submittedIDs) == 1:
 					if err == nil || e.Again == refusal.AgainSame {
 						t.Errorf("gave up: %v", err)
 					}
-				case e.Again == refusal.AgainSame && puts != "1.1.0 1.1.0":
-					t.Errorf("came back as %s", puts)
-				case e.Again == refusal.AgainNew && in.puts[0] == in.puts[1]:
-					t.Errorf("came back as %s", puts)
+				case e.Again == refusal.AgainSame && submitted != "1.1.0 1.1.0":
+					t.Errorf("submitted as %s", submitted)
+				case e.Again == refusal.AgainNew && server.submittedIDs[0] == server.submittedIDs[1]:
+					t.Errorf("submitted as %s", submitted)
 				case e.Again == refusal.AgainNever:
-					t.Errorf("came back after a final refusal")
+					t.Errorf("retried after a final refusal")
 				}
-				lost := e.Code == refusal.Stopping || e.Code == refusal.OwnerUnreachable
-				if _, _ = c.Do(context.Background(), job.Spec{}); lost && in.minted != 2 {
-					t.Errorf("%d tickets", in.minted)
+				ticketUseless := e.Code == refusal.Stopping || e.Code == refusal.OwnerUnreachable
+				if _, _ = c.Do(context.Background(), job.Spec{}); ticketUseless && server.mintedTickets != 2 {
+					t.Errorf("%d tickets", server.mintedTickets)
 				}
 			})
 		})
 	}
 }
 
-// The system asks callers to stay away for a while, by its own refusal or by the
-// balancer's. A caller that comes back sooner makes the overload worse.
+// The client must wait for the Retry-After of a refusal or of the load balancer. A caller
+// that retries sooner makes an overload worse.
 func TestHonoursRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in := &entry{balancer: true, refusals: []*refusal.Refusal{refusal.New(refusal.Overloaded, "").After(5 * time.Second)}}
-		c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: in})
+		server := &fakeEntry{balancerRefuses: true, refusals: []*refusal.Refusal{refusal.New(refusal.Overloaded, "").After(5 * time.Second)}}
+		c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: server})
 		if _, err := c.Do(context.Background(), job.Spec{}); err != nil {
 			t.Fatal(err)
 		}
-		if d := in.times[1].Sub(in.times[0]); d < 7*time.Second || d > 8*time.Second {
-			t.Errorf("came back after %v, want 7 s", d)
+		if d := server.submittedAt[1].Sub(server.submittedAt[0]); d < 7*time.Second || d > 8*time.Second {
+			t.Errorf("retried after %v, want 7 s", d)
 		}
-		if d := in.times[2].Sub(in.times[1]); d < 5*time.Second || d > 6*time.Second {
-			t.Errorf("came back after %v, want 5 s", d)
+		if d := server.submittedAt[2].Sub(server.submittedAt[1]); d < 5*time.Second || d > 6*time.Second {
+			t.Errorf("retried after %v, want 5 s", d)
 		}
-		if in.puts[0] != in.puts[1] || in.puts[1] == in.puts[2] {
-			t.Errorf("submitted as %v", in.puts)
+		if server.submittedIDs[0] != server.submittedIDs[1] || server.submittedIDs[1] == server.submittedIDs[2] {
+			t.Errorf("submitted as %v", server.submittedIDs)
 		}
 	})
 }
 
-// A charge is sent under an identity of its own; when its outcome is open it is
-// sent again under the same one, and an error of the backend server is its answer
-// and no reason to come back.
+// A request whose outcome is unknown is retried with the same identity. An error answer of
+// the backend server is the answer to the request and is not retried.
 func TestRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var jobs []string
@@ -116,7 +116,7 @@
 			respond(http.StatusServiceUnavailable, refusal.New(refusal.OwnerUnreachable, "")),
 			respond(http.StatusConflict, map[string]string{"code": "sold_out"}),
 		}
-		carry := roundTrip(func(r *http.Request) (*http.Response, error) {
+		transport := roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			if r.URL.Path == "/v1/tickets" {
 				return respond(http.StatusCreated, job.Grant{Ticket: "dc1.vm0.hub.1.1", Limit: 100}), nil
 			}
@@ -125,7 +125,7 @@
 			answers = answers[1:]
 			return a, nil
 		})
-		c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: carry})
+		c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: transport})
 		out, err := c.Request(context.Background(), "charge", "application/json", []byte("1"))
 		if err != nil || out.Status != http.StatusConflict {
 			t.Errorf("%+v %v", out, err)
@@ -136,6 +136,6 @@
 	})
 }
 
-type roundTrip func(r *http.Request) (*http.Response, error)
+type roundTripFunc func(r *http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
