--- a/certificate/certificate.go
+++ b/certificate/certificate.go
@@ -1,11 +1,10 @@
-// Package certificate holds the certificates of a process, and reads them again when
-// their files change.
+// Package certificate loads the certificates of a process, and reloads them when their
+// files change.
 //
-// Callers see a server certificate. Between dispatchers both sides show one
-// (mutual TLS): whoever holds a certificate with the name PeerName, signed by
-// the authority of the settings, is a dispatcher. The certificates of
-// dispatchers don't name addresses, because VMs are replaced at any time and
-// addresses used again.
+// The server for callers presents a server certificate. Connections between dispatchers use
+// mutual TLS: a peer is a dispatcher if its certificate has the name PeerName and is signed
+// by the certificate authority of the settings. The certificates of dispatchers don't contain
+// addresses, because VMs are replaced at any time and their addresses are reused.
 package certificate
 
 import (
@@ -21,36 +20,36 @@
 	"snipehub.example/settings"
 )
 
-// PeerName is the DNS name in the certificates of dispatchers. It tells them
-// from other certificates of the same authority, such as callers'.
+// PeerName is the DNS name in the certificates of dispatchers. It distinguishes them from
+// other certificates of the same authority, such as the server certificate for callers.
 const PeerName = "dispatcher.snipehub"
 
-// ErrNotPeer means that the other side of a connection is no dispatcher.
+// ErrNotPeer means that the other side of a connection is not a dispatcher.
 var ErrNotPeer = errors.New("certificate: not a dispatcher's certificate")
 
-// Set is all certificates of a process.
+// Set holds all certificates of a process.
 type Set struct {
-	callers *pair
-	peers   *pair
+	callers *keyPair
+	peers   *keyPair
 	ca      *authority
 }
 
-// Load reads the files of the settings.
+// Load reads the files that the settings name.
 func Load(cfg settings.TLS) (*Set, error) {
 	s := &Set{}
 	if cfg.CallerCert != "" {
-		s.callers = &pair{cert: cfg.CallerCert, key: cfg.CallerKey}
+		s.callers = &keyPair{certFile: cfg.CallerCert, keyFile: cfg.CallerKey}
 	}
 	if cfg.PeerCert != "" {
-		s.peers = &pair{cert: cfg.PeerCert, key: cfg.PeerKey}
+		s.peers = &keyPair{certFile: cfg.PeerCert, keyFile: cfg.PeerKey}
 		s.ca = &authority{file: cfg.PeerCA}
 	}
 	_, err := s.Refresh()
 	return s, err
 }
 
-// Refresh reads the files again and tells whether anything has changed. What
-// can't be used changes nothing: the certificates of before stay in force.
+// Refresh reads the files again and reports whether any certificate has changed. If a file
+// can't be used, the certificates that were loaded before stay in use.
 func (s *Set) Refresh() (bool, error) {
 	changed := false
 	for _, refresh := range []func() (bool, error){s.callers.refresh, s.peers.refresh, s.ca.refresh} {
@@ -63,55 +62,51 @@
 	return changed, nil
 }
 
-// Expires returns the time at which the first certificate expires, zero when
-// there is none.
+// Expires returns the earliest expiry time of the certificates, zero if there are none.
 func (s *Set) Expires() time.Time {
-	var first time.Time
-	for _, p := range []*pair{s.callers, s.peers} {
+	var earliest time.Time
+	for _, p := range []*keyPair{s.callers, s.peers} {
 		if p == nil {
 			continue
 		}
-		if t := p.now.Load().Leaf.NotAfter; first.IsZero() || t.Before(first) {
-			first = t
+		if t := p.current.Load().Leaf.NotAfter; earliest.IsZero() || t.Before(earliest) {
+			earliest = t
 		}
 	}
-	return first
+	return earliest
 }
 
-// Callers returns the configuration of the server for callers, nil for plain
-// HTTP.
+// Callers returns the TLS configuration of the server for callers, nil for plain HTTP.
 func (s *Set) Callers() *tls.Config {
 	if s.callers == nil {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.callers.now.Load(), nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.callers.current.Load(), nil },
 	}
 }
 
-// PeerServer returns the configuration towards dispatchers that connect, nil
-// for plain TCP. It asks for any certificate and checks it itself, against the
-// authority that is in force at that moment.
+// PeerServer returns the TLS configuration for accepting connections of dispatchers, nil for
+// plain TCP. It requires a certificate and verifies it in VerifyConnection, against the
+// authority that is loaded at that moment.
 func (s *Set) PeerServer() *tls.Config {
 	if s.peers == nil {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
-		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.peers.now.Load(), nil },
+		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.peers.current.Load(), nil },
 		ClientAuth:             tls.RequireAnyClientCert,
 		VerifyConnection:       s.verify(x509.ExtKeyUsageClientAuth),
 		SessionTicketsDisabled: true,
 	}
 }
 
-// PeerClient returns the configuration for connecting to dispatchers, nil for
-// plain TCP.
+// PeerClient returns the TLS configuration for connecting to dispatchers, nil for plain TCP.
 //
-// InsecureSkipVerify turns off the standard check only, which holds a fixed set
-// of authorities and wants the address in the certificate. VerifyConnection
-// checks in its place, and is called for every connection.
+// InsecureSkipVerify only disables the standard verification, which uses a fixed set of
+// authorities. VerifyConnection verifies the certificate in its place, on every connection.
 func (s *Set) PeerClient() *tls.Config {
 	if s.peers == nil {
 		return nil
@@ -119,26 +114,27 @@
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		ServerName:           PeerName,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.peers.now.Load(), nil },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.peers.current.Load(), nil },
 		InsecureSkipVerify:   true,
 		VerifyConnection:     s.verify(x509.ExtKeyUsageServerAuth),
 	}
 }
 
-// verify checks that the other side is a dispatcher. Without it, whoever
-// reaches the port could submit jobs in any caller's name.
+// verify returns a function that verifies that the other side of a connection is a
+// dispatcher. Without it, anyone who can reach the port could submit jobs in the name of any
+// caller.
 func (s *Set) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(c tls.ConnectionState) error {
 		if len(c.PeerCertificates) == 0 {
 			return ErrNotPeer
 		}
-		rest := x509.NewCertPool()
+		intermediates := x509.NewCertPool()
 		for _, cert := range c.PeerCertificates[1:] {
-			rest.AddCert(cert)
+			intermediates.AddCert(cert)
 		}
 		_, err := c.PeerCertificates[0].Verify(x509.VerifyOptions{
-			Roots:         s.ca.now.Load(),
-			Intermediates: rest,
+			Roots:         s.ca.current.Load(),
+			Intermediates: intermediates,
 			DNSName:       PeerName,
 			KeyUsages:     []x509.ExtKeyUsage{usage},
 		})
@@ -149,64 +145,64 @@
 	}
 }
 
-// pair is a certificate with its key. A nil pair has no files.
-type pair struct {
-	cert, key string
-	text      [2][]byte
-	now       atomic.Pointer[tls.Certificate]
+// keyPair is a certificate with its key. A nil keyPair means that none is configured.
+type keyPair struct {
+	certFile, keyFile string
+	content           [2][]byte
+	current           atomic.Pointer[tls.Certificate]
 }
 
-// refresh compares the content and not the time of the files, which a copy may
-// keep. A certificate whose key is not there yet does not fit the old key; the
-// pair is then left as it is and tried again at the next refresh.
-func (p *pair) refresh() (bool, error) {
+// refresh reloads the pair if its files have changed. It compares their content, because a
+// copy may preserve the modification time. A new certificate whose key has not been replaced
+// yet does not match the old key; the loaded pair then stays in use until the next refresh.
+func (p *keyPair) refresh() (bool, error) {
 	if p == nil {
 		return false, nil
 	}
-	cert, err := os.ReadFile(p.cert)
+	cert, err := os.ReadFile(p.certFile)
 	if err != nil {
 		return false, errors.Wrap(err, "certificate")
 	}
-	key, err := os.ReadFile(p.key)
+	key, err := os.ReadFile(p.keyFile)
 	if err != nil {
 		return false, errors.Wrap(err, "certificate")
 	}
-	if bytes.Equal(cert, p.text[0]) && bytes.Equal(key, p.text[1]) {
+	if bytes.Equal(cert, p.content[0]) && bytes.Equal(key, p.content[1]) {
 		return false, nil
 	}
 	c, err := tls.X509KeyPair(cert, key)
 	if err != nil {
-		return false, errors.Wrapf(err, "certificate: %s with %s", p.cert, p.key)
+		return false, errors.Wrapf(err, "certificate: %s with %s", p.certFile, p.keyFile)
 	}
-	p.text = [2][]byte{cert, key}
-	p.now.Store(&c)
+	p.content = [2][]byte{cert, key}
+	p.current.Store(&c)
 	return true, nil
 }
 
-// authority is the certificates that sign those of dispatchers. A nil
-// authority has no file.
+// authority holds the CA certificates that sign the certificates of dispatchers. A nil
+// authority means that none is configured.
 type authority struct {
-	file string
-	text []byte
-	now  atomic.Pointer[x509.CertPool]
+	file    string
+	content []byte
+	current atomic.Pointer[x509.CertPool]
 }
 
 func (a *authority) refresh() (bool, error) {
 	if a == nil {
 		return false, nil
 	}
-	text, err := os.ReadFile(a.file)
+	content, err := os.ReadFile(a.file)
 	if err != nil {
 		return false, errors.Wrap(err, "certificate")
 	}
-	if bytes.Equal(text, a.text) {
+	if bytes.Equal(content, a.content) {
 		return false, nil
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return false, errors.Errorf("certificate: %s: no certificate in it", a.file)
+	if !pool.AppendCertsFromPEM(content) {
+		return false, errors.Errorf("certificate: %s: no PEM certificate found", a.file)
 	}
-	a.text = text
-	a.now.Store(pool)
+	a.content = content
+	a.current.Store(pool)
 	return true, nil
 }
--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -14,15 +14,15 @@
 	"snipehub.example/settings"
 )
 
-func files(t *testing.T, dir string) settings.TLS {
+func makeFiles(t *testing.T, dir string) settings.TLS {
 	t.Helper()
 	if err := certificate.Make(dir, time.Now(), time.Hour, nil); err != nil {
 		t.Fatal(err)
 	}
-	in := func(name string) string { return filepath.Join(dir, name) }
+	path := func(name string) string { return filepath.Join(dir, name) }
 	return settings.TLS{
-		CallerCert: in(certificate.FileCaller), CallerKey: in(certificate.FileCallerKey),
-		PeerCert: in(certificate.FilePeer), PeerKey: in(certificate.FilePeerKey), PeerCA: in(certificate.FileCA),
+		CallerCert: path(certificate.FileCaller), CallerKey: path(certificate.FileCallerKey),
+		PeerCert: path(certificate.FilePeer), PeerKey: path(certificate.FilePeerKey), PeerCA: path(certificate.FileCA),
 	}
 }
 
@@ -35,7 +35,8 @@
 	return s
 }
 
-// connect makes a connection and returns what either side says.
+// connect opens a connection from client to server. It returns the server's error if that is
+// ErrNotPeer, otherwise the client's.
 func connect(t *testing.T, client, server *tls.Config) error {
 	t.Helper()
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -63,23 +64,23 @@
 	return err
 }
 
-// Somebody reaches the port of dispatchers, with no certificate, with one of
-// another authority, or with a caller's. If it were let in, it could submit
-// and cancel jobs in any caller's name.
+// A client without a certificate, with one of another authority, or with the server
+// certificate for callers must not connect as a dispatcher: it could submit and cancel jobs
+// in the name of any caller. Nor may a dispatcher connect to such a server.
 func TestOnlyDispatchersConnect(t *testing.T) {
 	dir := t.TempDir()
-	own := files(t, dir)
-	asCaller := own
-	asCaller.PeerCert, asCaller.PeerKey = own.CallerCert, own.CallerKey
-	server := load(t, own)
+	files := makeFiles(t, dir)
+	callerAsPeer := files
+	callerAsPeer.PeerCert, callerAsPeer.PeerKey = files.CallerCert, files.CallerKey
+	server := load(t, files)
 	tests := []struct {
 		name   string
 		client *tls.Config
 		ok     bool
 	}{
-		{"dispatcher", load(t, own).PeerClient(), true},
-		{"other authority", load(t, files(t, t.TempDir())).PeerClient(), false},
-		{"caller's certificate", load(t, asCaller).PeerClient(), false},
+		{"dispatcher", load(t, files).PeerClient(), true},
+		{"other authority", load(t, makeFiles(t, t.TempDir())).PeerClient(), false},
+		{"caller's certificate", load(t, callerAsPeer).PeerClient(), false},
 		{"no certificate", &tls.Config{InsecureSkipVerify: true}, false},
 	}
 	for _, tt := range tests {
@@ -90,9 +91,9 @@
 		})
 	}
 	for _, tt := range tests[1:3] {
-		cfg := load(t, files(t, t.TempDir())).PeerServer()
+		cfg := load(t, makeFiles(t, t.TempDir())).PeerServer()
 		if tt.name == "caller's certificate" {
-			cfg = load(t, asCaller).PeerServer()
+			cfg = load(t, callerAsPeer).PeerServer()
 		}
 		if err := connect(t, server.PeerClient(), cfg); !errors.Is(err, certificate.ErrNotPeer) {
 			t.Errorf("a dispatcher connects to %s: %v", tt.name, err)
@@ -100,41 +101,41 @@
 	}
 }
 
-// An operator replaces the files of a running process, the certificate a
-// moment before its key. Connections go on with the old pair until the new one
-// is whole; a restart, which would hand over all jobs, is not needed.
+// An operator replaces the files of a running process, the certificate shortly before its
+// key. The old pair must stay in use until both files are replaced, and the new pair must
+// then be used without a restart, which would hand over all jobs.
 func TestRefresh(t *testing.T) {
 	dir := t.TempDir()
-	cfg := files(t, dir)
+	cfg := makeFiles(t, dir)
 	s := load(t, cfg)
 	before, _ := s.Callers().GetCertificate(nil)
-	key, err := os.ReadFile(cfg.CallerKey)
+	oldKey, err := os.ReadFile(cfg.CallerKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files(t, dir)
+	makeFiles(t, dir)
 	newKey, err := os.ReadFile(cfg.CallerKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(b []byte) {
+	writeKey := func(b []byte) {
 		if err := os.WriteFile(cfg.CallerKey, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(key)
+	writeKey(oldKey)
 	if _, err := s.Refresh(); err == nil {
 		t.Error("no error for a certificate without its key")
 	}
 	if now, _ := s.Callers().GetCertificate(nil); now != before {
-		t.Error("the old pair is not in force")
+		t.Error("the old pair is not in use")
 	}
-	put(newKey)
+	writeKey(newKey)
 	if changed, err := s.Refresh(); err != nil || !changed {
 		t.Errorf("changed %v, %v", changed, err)
 	}
 	if now, _ := s.Callers().GetCertificate(nil); now == before {
-		t.Error("the new pair is not in force")
+		t.Error("the new pair is not in use")
 	}
 	if err := connect(t, load(t, cfg).PeerClient(), s.PeerServer()); err != nil {
 		t.Error(err)
