--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,13 +1,12 @@
-// Package refusal holds every answer by which the system turns a caller away.
+// Package refusal defines all refusals, the error answers of dispatchers to callers.
 //
-// The one thing that a caller must be able to trust in a refusal is whether
-// its work has run. The table in table.go says so for each code, together with
-// the identity to come back with. A refusal that says "not run" about an
-// identity may be given only by the process that owns the identity, and burns
-// it: see package ticket.
+// A caller must be able to rely on what a refusal says about whether its work has run. The
+// table in table.go defines this for each code, together with the identity to retry with.
+// Only the process that owns an identity may give a refusal that says "not run" about it,
+// and thereby burns the identity: see package ticket.
 //
-// Some codes are given before it is known who owns the identity that the
-// request names: see AboutIdentity.
+// Some refusals are given before the owner of the identity that the request names is known:
+// see AboutIdentity.
 package refusal
 
 import (
@@ -15,33 +14,33 @@
 	"time"
 )
 
-// Ran tells whether any of the caller's work was started.
+// Ran says whether any of the caller's work was started.
 type Ran string
 
-// The three values of Ran.
+// The values of Ran.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Again tells the caller which identity to come back with.
+// Again tells the caller which identity to retry with.
 type Again string
 
 // The values of Again.
 const (
-	// AgainSame means the same job id or key: the outcome is open.
+	// AgainSame means the same job id or key: the outcome is unknown.
 	AgainSame Again = "same"
 	// AgainNew means a new sequence or key: the old one never runs.
 	AgainNew Again = "new"
-	// AgainNever means that a repetition has the same result.
+	// AgainNever means that a retry would have the same result.
 	AgainNever Again = "never"
 )
 
-// Code is the stable name of a refusal on the wire.
+// Code is the stable identifier of a refusal on the wire.
 type Code string
 
-// Entry describes one refusal to callers.
+// Entry documents one refusal for callers.
 type Entry struct {
 	Number int
 	Code   Code
@@ -53,21 +52,21 @@
 	Since  string
 }
 
-// Refusal is a caller's request turned away. It is an error, and the body of
-// the answer.
+// Refusal is the answer to a request that is refused. It is an error, and is encoded as the
+// body of the HTTP answer.
 type Refusal struct {
 	Code     Code   `json:"code"`
 	Sentence string `json:"sentence"`
 	Ran      Ran    `json:"ran"`
 	Again    Again  `json:"again"`
-	// RetryAfterMS is the time after which to come back, 0 when it does not
-	// apply.
+	// RetryAfterMS is the minimum time before a retry, 0 if none is given.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// New makes the refusal with the given code; detail ends its sentence.
+// New returns the refusal with the given code. A detail that is not empty is appended to
+// its sentence.
 func New(code Code, detail string) *Refusal {
-	e := index[code]
+	e := entryByCode[code]
 	s := e.Title
 	if detail != "" {
 		s += ": " + detail
@@ -75,17 +74,17 @@
 	return &Refusal{Code: code, Sentence: s, Ran: e.Ran, Again: e.Again}
 }
 
-// After returns a copy of r that asks the caller to come back after d.
+// After returns a copy of r that asks the caller to retry after d.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	c := *r
 	c.RetryAfterMS = max(d.Milliseconds(), 1)
 	return &c
 }
 
-// AboutIdentity returns r as it has to read when the request named an identity
-// and was turned away before the identity's owner was asked. "Not run" is then
-// true of this copy of the submission only; an earlier copy may be running, and
-// a caller that took "not run" for the identity would order a second time.
+// AboutIdentity returns r as it must read if the request names an identity and was refused
+// before the identity's owner was asked. "Not run" would then hold only for this copy of the
+// submission. An earlier copy may be running, and a caller that took "not run" to hold for
+// the identity would order a second time.
 func (r *Refusal) AboutIdentity() *Refusal {
 	switch r.Code {
 	case BadRequest, Unauthorized, TooLarge:
@@ -103,32 +102,32 @@
 	return r
 }
 
-// Error makes Refusal an error.
+// Error implements error.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s (ran: %s): %s", r.Code, r.Ran, r.Sentence)
 }
 
-// Status returns the HTTP status of the refusal.
+// Status returns the HTTP status of the refusal, 500 for an unknown code.
 func (r *Refusal) Status() int {
-	e, ok := index[r.Code]
+	e, ok := entryByCode[r.Code]
 	if !ok {
 		return 500
 	}
 	return e.Status
 }
 
-// Find returns the entry of a code.
+// Find returns the table entry of a code, and whether there is one.
 func Find(code Code) (Entry, bool) {
-	e, ok := index[code]
+	e, ok := entryByCode[code]
 	return e, ok
 }
 
-// All returns the whole table, in the order of the numbers.
+// All returns a copy of the table, in the order of the numbers.
 func All() []Entry {
 	return append([]Entry(nil), table...)
 }
 
-var index = func() map[Code]Entry {
+var entryByCode = func() map[Code]Entry {
 	m := make(map[Code]Entry, len(table))
 	for _, e := range table {
 		m[e.Code] = e
--- a/refusal/refusal_test.go
+++ b/refusal/refusal_test.go
@@ -9,7 +9,7 @@
 	"snipehub.example/refusal"
 )
 
-const head = `# Refusals
+const pageHead = `# Refusals
 
 Every answer that turns a caller away is a JSON body with these fields: ` + "`code`" + `
 (as below), ` + "`sentence`" + `, ` + "`ran`" + ` (was any of the work started: ` + "`no`, `yes`, `unknown`" + `),
@@ -21,11 +21,11 @@
 | --- | --- | --- | --- | --- | --- |
 `
 
-// TestCatalogue holds docs/REFUSALS.md equal to the table. Run it with
-// UPDATE_DOCS=1 to write the page.
+// TestCatalogue checks that docs/REFUSALS.md matches the table. With UPDATE_DOCS=1 it
+// writes the page.
 func TestCatalogue(t *testing.T) {
 	var b strings.Builder
-	b.WriteString(head)
+	b.WriteString(pageHead)
 	last := 0
 	for _, e := range refusal.All() {
 		if e.Number <= last {
@@ -37,20 +37,21 @@
 	page.Hold(t, "../docs/REFUSALS.md", b.String())
 }
 
-// Whoever says "not run" must also say which identity comes next, and an open
-// outcome must never send a caller to a new one: it would order twice.
+// A refusal that says "not run" must not ask for a retry with the same identity, which never
+// runs. A refusal with an unknown outcome must not ask for a new identity: the caller would
+// order twice.
 func TestTableIsConsistent(t *testing.T) {
 	for _, e := range refusal.All() {
 		if e.Ran != refusal.RanNo && e.Again == refusal.AgainNew {
-			t.Errorf("%s: outcome %s, but a new identity", e.Code, e.Ran)
+			t.Errorf("%s: ran is %s, but again asks for a new identity", e.Code, e.Ran)
 		}
 		if e.Ran == refusal.RanNo && e.Again == refusal.AgainSame {
-			t.Errorf("%s: it never runs, but is to come back the same", e.Code)
+			t.Errorf("%s: the identity never runs, but again asks for the same one", e.Code)
 		}
 	}
 	for _, code := range []refusal.Code{refusal.BadRequest, refusal.Unauthorized, refusal.TooLarge} {
 		if r := refusal.New(code, "").AboutIdentity(); r.Ran != refusal.RanUnknown || r.Again == refusal.AgainNew {
-			t.Errorf("%s: says %s, %s about an identity", code, r.Ran, r.Again)
+			t.Errorf("%s: ran is %s and again is %s for a request with an identity", code, r.Ran, r.Again)
 		}
 	}
 }
--- a/refusal/table.go
+++ b/refusal/table.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// The codes. Those in the hundreds from 100 are about the request itself, from
-// 200 about the identity, from 300 about load, from 400 about other processes.
+// The codes. Numbers from 100 are about the request itself, from 200 about the identity, from
+// 300 about load, from 400 about other processes, and 500 is the internal error.
 const (
 	BadRequest   Code = "bad_request"
 	Unauthorized Code = "unauthorized"
@@ -24,7 +24,7 @@
 	OutOfRange Code = "out_of_range"
 	Cancelled  Code = "cancelled"
 	WindowFull Code = "window_full"
-	// NotSubmitted is the answer of GET before the PUT has come.
+	// NotSubmitted is the answer to a GET before the PUT has arrived.
 	NotSubmitted Code = "not_submitted"
 	Failed       Code = "failed"
 	KeyEarly     Code = "key_early"
