--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -11,36 +11,35 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A process is stopped for a while and goes on. Whoever holds a promise that
-// depends on time must learn of it, also a part that was busy just then; a slow
-// tick, as on a loaded machine, is no freeze.
+// The process is suspended and resumes. Subscribers must receive the gap even if they were
+// busy at that time. A delayed tick, as on a loaded machine, is not a gap.
 func TestGaps(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
-		silence time.Duration
-		want    int
+		pause time.Duration
+		want  int
 	}{
 		{Resolution, 0},
-		{GapAfter - 1, 0},
-		{GapAfter, 1},
+		{GapThreshold - 1, 0},
+		{GapThreshold, 1},
 		{time.Hour, 1},
 	}
 	for _, tt := range tests {
 		s := New()
 		gaps := s.Gaps()
-		s.tick(now, now.Add(tt.silence))
-		s.tick(now.Add(tt.silence), now.Add(tt.silence+Resolution))
+		s.tick(now, now.Add(tt.pause))
+		s.tick(now.Add(tt.pause), now.Add(tt.pause+Resolution))
 		if len(gaps) != tt.want {
-			t.Errorf("%d gaps after a silence of %v, want %d", len(gaps), tt.silence, tt.want)
+			t.Errorf("%d gaps after a pause of %v, want %d", len(gaps), tt.pause, tt.want)
 		}
-		if tt.want == len(gaps) && tt.want > 0 && <-gaps != (Gap{From: now, To: now.Add(tt.silence)}) {
-			t.Errorf("the gap of %v has other bounds", tt.silence)
+		if tt.want == len(gaps) && tt.want > 0 && <-gaps != (Gap{From: now, To: now.Add(tt.pause)}) {
+			t.Errorf("the gap of %v has wrong bounds", tt.pause)
 		}
 	}
 }
 
-// A part that is slow to take its ticks must not hold up those of the others,
-// nor get all that it missed at once.
+// A subscriber that is slow to receive its ticks must not delay those of others, nor receive
+// all missed ticks at once.
 func TestSlowSubscriber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New()
@@ -62,7 +61,7 @@
 		<-slow.C
 		<-quick.C
 		if len(slow.C) != 0 {
-			t.Error("a tick after the subscription ended")
+			t.Error("received a tick after Stop")
 		}
 		cancel()
 		<-ended
--- a/clock/periods_test.go
+++ b/clock/periods_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// TestPeriods counts the ticks of periods at and above the resolution.
+// TestPeriods counts the ticks of subscriptions with periods at and above the resolution.
 func TestPeriods(t *testing.T) {
 	tests := []struct {
-		every time.Duration
-		want  int
+		period time.Duration
+		want   int
 	}{
 		{Resolution, 200},
 		{2 * Resolution, 100},
 		{time.Second, 10},
 	}
 	for _, tt := range tests {
-		t.Run(tt.every.String(), func(t *testing.T) {
+		t.Run(tt.period.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := New()
-				sub := s.Subscribe(tt.every)
+				sub := s.Subscribe(tt.period)
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second+Resolution/2)
 				defer cancel()
 				go func() { _ = s.Serve(ctx) }()
