--- a/certificate/certificate.go
+++ b/certificate/certificate.go
@@ -48,8 +48,8 @@
 	return s, err
 }
 
-// Refresh reads the files again and reports whether any certificate has changed. If a file
-// can't be used, the certificates that were loaded before stay in use.
+// Refresh reads the files again and reports whether any certificate has changed. It stops at
+// the first file that can't be used; the certificates that it has not reloaded stay in use.
 func (s *Set) Refresh() (bool, error) {
 	changed := false
 	for _, refresh := range []func() (bool, error){s.callers.refresh, s.peers.refresh, s.ca.refresh} {
--- a/client/client.go
+++ b/client/client.go
@@ -218,7 +218,7 @@
 	retryAfter time.Duration
 }
 
-// Error makes busyError an error.
+// Error implements error.
 func (e *statusError) Error() string { return "status " + strconv.Itoa(e.status) }
 
 // Unwrap returns ErrTransport, because the outcome is unknown.
--- a/counter/auth.go
+++ b/counter/auth.go
@@ -67,6 +67,7 @@
 
 const bearerPrefix = "bearer "
 
+// caller authenticates the caller of a request by its bearer token.
 func (c *Counter) caller(r *http.Request) (job.Caller, error) {
 	if c.tokens.allowAll {
 		return job.Caller{Name: anonymousName}, nil
--- a/counter/counter.go
+++ b/counter/counter.go
@@ -86,7 +86,7 @@
 	c.mux.HandleFunc("GET /v1/jobs/{id}", c.wrap(c.lookup))
 	c.mux.HandleFunc("DELETE /v1/jobs/{id}", c.wrap(c.cancel))
 	c.mux.HandleFunc("POST /v1/requests/{kind}", c.wrap(c.request))
-	c.handleHealth()
+	c.registerHealth()
 	if !cfg.Listen.Operators.IsValid() {
 		c.mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, svc.Status()) })
 		c.mux.HandleFunc("GET /metrics", m.ServePublic)
--- a/counter/ops.go
+++ b/counter/ops.go
@@ -7,7 +7,7 @@
 	"snipehub.example/meter"
 )
 
-func (c *Counter) handleHealth() {
+func (c *Counter) registerHealth() {
 	c.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	c.mux.HandleFunc("GET /readyz", c.readyz)
 }
