--- a/settings/settings.go
+++ b/settings/settings.go
@@ -270,7 +270,7 @@
 // Load reads and validates the settings file at path.
 func Load(path string) (Config, error) {
 	if path == "" {
-		return Config{}, errors.New("settings: no file given")
+		return Config{}, errors.New("settings: no file is named")
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
