--- a/clock/clock.go
+++ b/clock/clock.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// Resolution is the shortest period of a subscription. These ticks are half of the
-	// CPU time of an idle process: at 10 ms it used 1.4% of a core, above the 1.2% that
+	// Resolution is the interval between two ticks, and the shortest period of a
+	// subscription. The ticks take half of the CPU time of an idle process: with a
+	// resolution of 10 ms, the idle process used 1.4% of a core, above the 1.2% that
 	// control work may use.
 	Resolution = 50 * time.Millisecond
 	// GapThreshold is the minimum time between two ticks that counts as a suspension.
@@ -39,7 +40,7 @@
 	// C receives the time of each tick. A tick is dropped if the previous one has not been
 	// received.
 	C        <-chan time.Time
-	ticks    chan time.Time
+	ticks    chan time.Time // the same channel as C
 	period   time.Duration
 	nextTick time.Time
 	service  *Service
@@ -121,7 +122,8 @@
 
 // SinceBoot returns the time since the machine started, including time in which it was
 // suspended. The monotonic clock of package time stops while a VM is suspended, and the wall
-// clock can be set.
+// clock can be set. If the boot clock can't be read, the time since the start of the process is
+// returned.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
--- a/settings/check.go
+++ b/settings/check.go
@@ -24,7 +24,8 @@
 	return nil
 }
 
-// checkConsistency reports the first conflict between keys.
+// checkConsistency reports the first conflict between keys, or the first invalid token of
+// callers.tokens.
 func (c *Config) checkConsistency() error {
 	for _, check := range []func() error{c.checkListen, c.checkTLS, c.checkPeers, c.checkCallers, c.checkLimits} {
 		if err := check(); err != nil {
@@ -101,6 +102,7 @@
 	return nil
 }
 
+// checkLimits compares the limits with each other, and with those of tables and dispatch.
 func (c *Config) checkLimits() error {
 	l := c.Limits
 	switch {
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -11,7 +11,8 @@
 type Key struct {
 	// Name is the section, a dot and the key within the section.
 	Name string
-	// Unit is the unit of a number; it is empty for values that carry their own unit.
+	// Unit is the unit of a number. It is empty for durations, which carry their own
+	// unit, and for values that are not numbers.
 	Unit        string
 	Description string
 	// Example is a sample value in TOML for a key without a default; PrintDefaults
--- a/settings/print.go
+++ b/settings/print.go
@@ -64,12 +64,12 @@
 	values := valuesByKey(&cfg)
 	var b bytes.Buffer
 	b.WriteString("# Settings\n\nThe settings of `snipehubd`, in TOML. `snipehubd --defaults` prints them with\ncomments, `snipehubd --check --config FILE` checks a file. An unknown key, a value\nout of range or a contradiction is one error that names file, key and reason, and\nexit code 2. This page follows the table in `settings/keys.go`.\n")
-	last := ""
+	lastSection := ""
 	for _, k := range keys {
 		section, key, _ := strings.Cut(k.Name, ".")
-		if section != last {
+		if section != lastSection {
 			fmt.Fprintf(&b, "\n## %s\n\n%s\n\n| key | default | meaning |\n| --- | --- | --- |\n", section, sectionTitles[section])
-			last = section
+			lastSection = section
 		}
 		value := "none"
 		if v := values[k.Name]; k.Example == "" || !v.IsZero() {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -2,8 +2,9 @@
 //
 // Parsing is strict: the first unknown key, value out of range or conflict between
 // keys is returned as an error that names the file, the key and the reason. Default is
-// the only place that defines default values. The table in keys.go documents each key
-// and its valid values; docs/SETTINGS.md is generated from it.
+// the only place that defines default values, except for platform.vms, which Parse sets to
+// platform.log. The table in keys.go documents each key and its valid values;
+// docs/SETTINGS.md is generated from it.
 package settings
 
 import (
@@ -37,7 +38,7 @@
 // D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Config holds all settings of a dispatcher.
+// Config holds all settings of a dispatcher. The table in keys.go describes each of them.
 type Config struct {
 	Process  Process  `toml:"process"`
 	Listen   Listen   `toml:"listen"`
@@ -81,6 +82,8 @@
 
 // Platform configures access to the platform's services.
 type Platform struct {
+	// Log is the address of the platform's log, and VMs that of its VM list. The output of
+	// the process itself is configured by the type Log.
 	Log netip.AddrPort `toml:"log"`
 	VMs netip.AddrPort `toml:"vms"`
 	// AppendRate is the number of appends per second to the log that all
@@ -117,7 +120,7 @@
 
 // Callers configures the authentication of callers.
 type Callers struct {
-	// Open admits every request without a token, as the caller "anyone".
+	// Open admits every request as the caller "anyone", without checking tokens.
 	Open   bool    `toml:"open"`
 	Tokens []Token `toml:"tokens"`
 }
@@ -146,7 +149,8 @@
 	ReadTimeout     Duration `toml:"read_timeout"`
 	WriteTimeout    Duration `toml:"write_timeout"`
 	StopDeadline    Duration `toml:"stop_deadline"`
-	// MetricSeries is the maximum number of series of callers, kinds and codes.
+	// MetricSeries is the maximum number of metric series with the labels caller, kind
+	// or code.
 	MetricSeries int `toml:"metric_series"`
 	// JobTimeout is the maximum timeout of a job or request, and the timeout of
 	// those that set none.
@@ -182,7 +186,8 @@
 // Dispatch configures how tasks are placed on backend servers.
 type Dispatch struct {
 	Policy string `toml:"policy"`
-	// JobSlots is the maximum number of partly started jobs; 0 means no limit.
+	// JobSlots is the maximum number of partly started jobs; 0 means no limit. Above
+	// it, a further job starts only if none of these can go on.
 	JobSlots    int      `toml:"job_slots"`
 	Connections int      `toml:"connections"`
 	TaskTimeout Duration `toml:"task_timeout"`
