--- a/certificate/certificate.go
+++ b/certificate/certificate.go
@@ -29,9 +29,12 @@
 
 // Set holds all certificates of a process.
 type Set struct {
+	// callers is the key pair that this process presents to callers, and peers the one that
+	// it presents to other dispatchers.
 	callers *keyPair
 	peers   *keyPair
-	ca      *authority
+	// ca verifies the certificates of other dispatchers.
+	ca *authority
 }
 
 // Load reads the files that the settings name.
@@ -98,7 +101,7 @@
 		MinVersion:             tls.VersionTLS13,
 		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.peers.current.Load(), nil },
 		ClientAuth:             tls.RequireAnyClientCert,
-		VerifyConnection:       s.verify(x509.ExtKeyUsageClientAuth),
+		VerifyConnection:       s.peerVerifier(x509.ExtKeyUsageClientAuth),
 		SessionTicketsDisabled: true,
 	}
 }
@@ -116,14 +119,14 @@
 		ServerName:           PeerName,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.peers.current.Load(), nil },
 		InsecureSkipVerify:   true,
-		VerifyConnection:     s.verify(x509.ExtKeyUsageServerAuth),
+		VerifyConnection:     s.peerVerifier(x509.ExtKeyUsageServerAuth),
 	}
 }
 
-// verify returns a function that verifies that the other side of a connection is a
+// peerVerifier returns a function that verifies that the other side of a connection is a
 // dispatcher. Without it, anyone who can reach the port could submit jobs in the name of any
 // caller.
-func (s *Set) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
+func (s *Set) peerVerifier(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(c tls.ConnectionState) error {
 		if len(c.PeerCertificates) == 0 {
 			return ErrNotPeer
@@ -148,7 +151,7 @@
 // keyPair is a certificate with its key. A nil keyPair means that none is configured.
 type keyPair struct {
 	certFile, keyFile string
-	content           [2][]byte
+	content           [2][]byte // of certFile and keyFile, as loaded
 	current           atomic.Pointer[tls.Certificate]
 }
 
--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -80,7 +80,7 @@
 	}{
 		{"dispatcher", load(t, files).PeerClient(), true},
 		{"other authority", load(t, makeFiles(t, t.TempDir())).PeerClient(), false},
-		{"caller's certificate", load(t, callerAsPeer).PeerClient(), false},
+		{"server certificate for callers", load(t, callerAsPeer).PeerClient(), false},
 		{"no certificate", &tls.Config{InsecureSkipVerify: true}, false},
 	}
 	for _, tt := range tests {
@@ -90,9 +90,10 @@
 			}
 		})
 	}
+	// The other way around, for the cases that have a certificate but not a dispatcher's.
 	for _, tt := range tests[1:3] {
 		cfg := load(t, makeFiles(t, t.TempDir())).PeerServer()
-		if tt.name == "caller's certificate" {
+		if tt.name == "server certificate for callers" {
 			cfg = load(t, callerAsPeer).PeerServer()
 		}
 		if err := connect(t, server.PeerClient(), cfg); !errors.Is(err, certificate.ErrNotPeer) {
--- a/certificate/make.go
+++ b/certificate/make.go
@@ -41,12 +41,12 @@
 	if err != nil {
 		return err
 	}
-	caller := template("snipehub", now, validity)
-	caller.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
+	server := template("snipehub", now, validity)
+	server.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 	for _, a := range addresses {
-		caller.IPAddresses = append(caller.IPAddresses, net.IP(a.AsSlice()))
+		server.IPAddresses = append(server.IPAddresses, net.IP(a.AsSlice()))
 	}
-	if err := issue(dir, FileCaller, FileCallerKey, caller, ca); err != nil {
+	if err := issue(dir, FileCaller, FileCallerKey, server, ca); err != nil {
 		return err
 	}
 	peer := template(PeerName, now, validity)
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -2,8 +2,8 @@
 //
 // A caller must be able to rely on what a refusal says about whether its work has run. The
 // table in table.go defines this for each code, together with the identity to retry with.
-// Only the process that owns an identity may give a refusal that says "not run" about it,
-// and thereby burns the identity: see package ticket.
+// Only the process that owns an identity may give a refusal that says "not run" about it.
+// The identity is burned by that: it never runs from then on. See package ticket.
 //
 // Some refusals are given before the owner of the identity that the request names is known:
 // see AboutIdentity.
@@ -40,8 +40,9 @@
 // Code is the stable identifier of a refusal on the wire.
 type Code string
 
-// Entry documents one refusal for callers.
-type Entry struct {
+// Definition defines one refusal and documents it for callers. Title is the Sentence of the
+// refusal, to which details may be appended. Text explains it further in docs/REFUSALS.md.
+type Definition struct {
 	Number int
 	Code   Code
 	Status int
@@ -66,7 +67,7 @@
 // New returns the refusal with the given code. A detail that is not empty is appended to
 // its sentence.
 func New(code Code, detail string) *Refusal {
-	e := entryByCode[code]
+	e := definitionByCode[code]
 	s := e.Title
 	if detail != "" {
 		s += ": " + detail
@@ -81,10 +82,10 @@
 	return &c
 }
 
-// AboutIdentity returns r as it must read if the request names an identity and was refused
-// before the identity's owner was asked. "Not run" would then hold only for this copy of the
-// submission. An earlier copy may be running, and a caller that took "not run" to hold for
-// the identity would order a second time.
+// AboutIdentity returns r, or a changed copy, as it must read if the request names an identity
+// and was refused before the identity's owner was asked. "Not run" would then hold only for
+// this copy of the submission. An earlier copy may be running, and a caller that took "not
+// run" to hold for the identity would order a second time.
 func (r *Refusal) AboutIdentity() *Refusal {
 	switch r.Code {
 	case BadRequest, Unauthorized, TooLarge:
@@ -109,26 +110,26 @@
 
 // Status returns the HTTP status of the refusal, 500 for an unknown code.
 func (r *Refusal) Status() int {
-	e, ok := entryByCode[r.Code]
+	e, ok := definitionByCode[r.Code]
 	if !ok {
 		return 500
 	}
 	return e.Status
 }
 
-// Find returns the table entry of a code, and whether there is one.
-func Find(code Code) (Entry, bool) {
-	e, ok := entryByCode[code]
+// Find returns the definition of a code, and whether there is one.
+func Find(code Code) (Definition, bool) {
+	e, ok := definitionByCode[code]
 	return e, ok
 }
 
 // All returns a copy of the table, in the order of the numbers.
-func All() []Entry {
-	return append([]Entry(nil), table...)
+func All() []Definition {
+	return append([]Definition(nil), table...)
 }
 
-var entryByCode = func() map[Code]Entry {
-	m := make(map[Code]Entry, len(table))
+var definitionByCode = func() map[Code]Definition {
+	m := make(map[Code]Definition, len(table))
 	for _, e := range table {
 		m[e.Code] = e
 	}
--- a/refusal/table.go
+++ b/refusal/table.go
@@ -2,8 +2,9 @@
 
 import "net/http"
 
-// The codes. Numbers from 100 are about the request itself, from 200 about the identity, from
-// 300 about load, from 400 about other processes, and 500 is the internal error.
+// The codes, in the order of their numbers in the table. Numbers from 100 are about the request
+// itself, from 200 about the identity, from 300 about load, from 400 about other processes, and
+// 500 is the internal error.
 const (
 	BadRequest   Code = "bad_request"
 	Unauthorized Code = "unauthorized"
@@ -42,7 +43,7 @@
 	Internal         Code = "internal"
 )
 
-var table = []Entry{
+var table = []Definition{
 	{100, BadRequest, http.StatusBadRequest, RanNo, AgainNever, "the request is malformed", "The body, a header or the path could not be understood. Nothing was started by this request. Where the request names an id or key, ran is \"unknown\": an earlier copy may be running.", "0.1"},
 	{101, Unauthorized, http.StatusUnauthorized, RanNo, AgainNever, "the token is missing or wrong", "Send a bearer token that the settings know. Where the request names an id or key, ran is \"unknown\": an earlier copy may be running.", "0.1"},
 	{102, NotFound, http.StatusNotFound, RanUnknown, AgainNever, "no such job or ticket", "The id does not exist, or it belongs to another caller.", "0.1"},
