--- a/client/client.go
+++ b/client/client.go
@@ -24,8 +24,9 @@
 	"snipehub.example/ticket"
 )
 
-// ErrTransport means that no complete answer has arrived: the outcome is unknown, and the
-// same identity may be sent again.
+// ErrTransport means that no complete answer of a dispatcher has arrived, for example because
+// the load balancer answered with an error: the outcome is unknown, and the same identity may
+// be sent again.
 var ErrTransport = errors.New("client: no complete answer")
 
 // ErrGaveUp means that ctx ended before the job had an answer.
@@ -128,6 +129,8 @@
 // retry calls submit until it succeeds, a refusal is final, or ctx ends.
 func (c *Client) retry(ctx context.Context, submit func(id ticket.JobID) error) error {
 	var id ticket.JobID
+	// needNewID stays set until an identity has been obtained. After that, only a refusal
+	// that asks for a new identity sets it again.
 	needNewID := true
 	backoff := c.cfg.Backoff
 	for {
@@ -141,7 +144,7 @@
 				return err
 			}
 			needNewID = needNewID && id == (ticket.JobID{}) || r.Again == refusal.AgainNew
-			c.dropTicket(id.ID, r)
+			c.dropTicketIfUseless(id.ID, r)
 		} else if id != (ticket.JobID{}) {
 			needNewID = false
 		}
@@ -176,10 +179,11 @@
 	return r.Again == refusal.AgainNever
 }
 
-// dropTicket discards the current ticket if it is the one with this id and the refusal makes
-// it useless for further jobs: its owner is stopping, gone or unreachable, or the sequence
-// is out of range. The refused job keeps its identity if the refusal says so.
-func (c *Client) dropTicket(id ticket.ID, r *refusal.Refusal) {
+// dropTicketIfUseless discards the current ticket if it is the one with this id and the
+// refusal makes it useless for further jobs: its owner is stopping, gone or unreachable, or
+// the sequence is out of range. It does not change the identity with which the refused job is
+// retried.
+func (c *Client) dropTicketIfUseless(id ticket.ID, r *refusal.Refusal) {
 	switch r.Code {
 	case refusal.Stopping, refusal.OwnerGone, refusal.OwnerUnreachable, refusal.OutOfRange:
 	default:
@@ -192,7 +196,7 @@
 	}
 }
 
-// sleepBeforeRetry waits for at least the Retry-After of the refusal, plus the backoff with
+// sleepBeforeRetry waits for the Retry-After of the error, if it has one, plus the backoff with
 // jitter, so that callers who were refused at the same time don't retry at the same time. It
 // reports whether it waited to the end.
 func sleepBeforeRetry(ctx context.Context, backoff time.Duration, err error) bool {
@@ -201,12 +205,12 @@
 
 func retryAfter(err error) time.Duration {
 	var r *refusal.Refusal
-	var b *statusError
+	var statusErr *statusError
 	switch {
 	case errors.As(err, &r):
 		return time.Duration(r.RetryAfterMS) * time.Millisecond
-	case errors.As(err, &b):
-		return b.retryAfter
+	case errors.As(err, &statusErr):
+		return statusErr.retryAfter
 	}
 	return 0
 }
@@ -230,7 +234,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nextSeq >= c.grant.Limit {
-		if err := c.mint(ctx); err != nil {
+		if err := c.obtainTicket(ctx); err != nil {
 			return ticket.JobID{}, err
 		}
 	}
@@ -239,7 +243,8 @@
 	return id, nil
 }
 
-func (c *Client) mint(ctx context.Context) error {
+// obtainTicket replaces the current ticket by a new one. c.mu must be held.
+func (c *Client) obtainTicket(ctx context.Context) error {
 	var g job.Grant
 	if err := c.call(ctx, http.MethodPost, c.randomEntry(), "/v1/tickets", nil, &g); err != nil {
 		return err
@@ -259,6 +264,7 @@
 	c.dropCurrentTicket()
 }
 
+// dropCurrentTicket discards the current ticket. c.mu must be held.
 func (c *Client) dropCurrentTicket() {
 	c.grant, c.ticketID, c.nextSeq = job.Grant{}, ticket.ID{}, 0
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -17,14 +17,15 @@
 )
 
 // fakeEntry is the transport to an entry VM that answers the first submissions with the
-// given refusals and all later ones with success. The tickets that it mints are of the
+// given refusals and all later ones with success. If balancerRefusesFirst is set, the load
+// balancer answers the first submission in its place. The tickets that it mints are of the
 // incarnations 1, 11, 111, ...
 type fakeEntry struct {
-	refusals        []*refusal.Refusal
-	balancerRefuses bool
-	mintedTickets   int
-	submittedIDs    []string
-	submittedAt     []time.Time
+	refusals             []*refusal.Refusal
+	balancerRefusesFirst bool
+	mintedTickets        int
+	submittedIDs         []string
+	submittedAt          []time.Time
 }
 
 func (e *fakeEntry) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -35,8 +36,8 @@
 	}
 	e.submittedIDs = append(e.submittedIDs, strings.TrimPrefix(r.URL.Path, "/v1/jobs/dc1.vm0.hub."))
 	e.submittedAt = append(e.submittedAt, time.Now())
-	if e.balancerRefuses {
-		e.balancerRefuses = false
+	if e.balancerRefusesFirst {
+		e.balancerRefusesFirst = false
 		resp := respond(http.StatusServiceUnavailable, "busy")
 		resp.Header.Set("Retry-After", "7")
 		return resp, nil
@@ -55,31 +56,31 @@
 }
 
 // The client must retry a job whose outcome is unknown with the same identity: with a new
-// one, the order could run twice. After "not run" it must take a new identity, since the old
-// one never runs. A ticket whose owner is stopping or unreachable must not be used for the
-// next job.
+// one, the order could run twice. If it retries after "not run", it must take a new identity,
+// since the old one never runs. A ticket whose owner is stopping or unreachable must not be
+// used for the next job.
 func TestComesBackWithTheRightIdentity(t *testing.T) {
 	for _, e := range refusal.All() {
 		t.Run(string(e.Code), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				server := &fakeEntry{refusals: []*refusal.Refusal{refusal.New(e.Code, "")}}
-				c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: server})
+				entry := &fakeEntry{refusals: []*refusal.Refusal{refusal.New(e.Code, "")}}
+				c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: entry})
 				_, err := c.Do(context.Background(), job.Spec{Kind: "price"})
-				switch submitted := strings.Join(server.submittedIDs, " "); {
-				case len(server.submittedIDs) == 1:
+				switch submitted := strings.Join(entry.submittedIDs, " "); {
+				case len(entry.submittedIDs) == 1:
 					if err == nil || e.Again == refusal.AgainSame {
 						t.Errorf("gave up: %v", err)
 					}
 				case e.Again == refusal.AgainSame && submitted != "1.1.0 1.1.0":
 					t.Errorf("submitted as %s", submitted)
-				case e.Again == refusal.AgainNew && server.submittedIDs[0] == server.submittedIDs[1]:
+				case e.Again == refusal.AgainNew && entry.submittedIDs[0] == entry.submittedIDs[1]:
 					t.Errorf("submitted as %s", submitted)
 				case e.Again == refusal.AgainNever:
 					t.Errorf("retried after a final refusal")
 				}
 				ticketUseless := e.Code == refusal.Stopping || e.Code == refusal.OwnerUnreachable
-				if _, _ = c.Do(context.Background(), job.Spec{}); ticketUseless && server.mintedTickets != 2 {
-					t.Errorf("%d tickets", server.mintedTickets)
+				if _, _ = c.Do(context.Background(), job.Spec{}); ticketUseless && entry.mintedTickets != 2 {
+					t.Errorf("%d tickets", entry.mintedTickets)
 				}
 			})
 		})
@@ -90,19 +91,19 @@
 // that retries sooner makes an overload worse.
 func TestHonoursRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := &fakeEntry{balancerRefuses: true, refusals: []*refusal.Refusal{refusal.New(refusal.Overloaded, "").After(5 * time.Second)}}
-		c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: server})
+		entry := &fakeEntry{balancerRefusesFirst: true, refusals: []*refusal.Refusal{refusal.New(refusal.Overloaded, "").After(5 * time.Second)}}
+		c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: entry})
 		if _, err := c.Do(context.Background(), job.Spec{}); err != nil {
 			t.Fatal(err)
 		}
-		if d := server.submittedAt[1].Sub(server.submittedAt[0]); d < 7*time.Second || d > 8*time.Second {
+		if d := entry.submittedAt[1].Sub(entry.submittedAt[0]); d < 7*time.Second || d > 8*time.Second {
 			t.Errorf("retried after %v, want 7 s", d)
 		}
-		if d := server.submittedAt[2].Sub(server.submittedAt[1]); d < 5*time.Second || d > 6*time.Second {
+		if d := entry.submittedAt[2].Sub(entry.submittedAt[1]); d < 5*time.Second || d > 6*time.Second {
 			t.Errorf("retried after %v, want 5 s", d)
 		}
-		if server.submittedIDs[0] != server.submittedIDs[1] || server.submittedIDs[1] == server.submittedIDs[2] {
-			t.Errorf("submitted as %v", server.submittedIDs)
+		if entry.submittedIDs[0] != entry.submittedIDs[1] || entry.submittedIDs[1] == entry.submittedIDs[2] {
+			t.Errorf("submitted as %v", entry.submittedIDs)
 		}
 	})
 }
--- a/counter/answer.go
+++ b/counter/answer.go
@@ -64,24 +64,24 @@
 }
 
 func (c *Counter) refuse(w http.ResponseWriter, r *http.Request, err error) {
-	var f *refusal.Refusal
-	if !errors.As(err, &f) {
-		f = refusal.New(refusal.Internal, "")
+	var ref *refusal.Refusal
+	if !errors.As(err, &ref) {
+		ref = refusal.New(refusal.Internal, "")
 	}
-	c.meter.CountCode(meter.Refusals, string(f.Code), 1)
+	c.meter.CountCode(meter.Refusals, string(ref.Code), 1)
 	c.beginWrite(w)
-	writeRefusal(w, f)
+	writeRefusal(w, ref)
 }
 
-func writeRefusal(w http.ResponseWriter, f *refusal.Refusal) {
-	if f.RetryAfterMS > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(f.RetryAfterMS)/1000))))
+func writeRefusal(w http.ResponseWriter, ref *refusal.Refusal) {
+	if ref.RetryAfterMS > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(ref.RetryAfterMS)/1000))))
 	}
-	if f.Code == refusal.Unauthorized {
+	if ref.Code == refusal.Unauthorized {
 		w.Header().Set("WWW-Authenticate", "Bearer")
 	}
-	w.Header().Set(HeaderRefusal, string(f.Code))
-	writeJSON(w, f.Status(), f)
+	w.Header().Set(HeaderRefusal, string(ref.Code))
+	writeJSON(w, ref.Status(), ref)
 }
 
 // writeJSON writes the value with a Content-Length, so that the client detects a
@@ -89,9 +89,9 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		f := refusal.New(refusal.Internal, "the answer could not be written")
-		status = f.Status()
-		b, _ = json.Marshal(f)
+		ref := refusal.New(refusal.Internal, "the answer could not be written")
+		status = ref.Status()
+		b, _ = json.Marshal(ref)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)+1))
@@ -99,7 +99,8 @@
 	_, _ = w.Write(append(b, '\n'))
 }
 
-// muxRefusal converts the plain text error of the mux, 404 or 405, to a refusal.
+// muxRefusal converts the plain text error of the mux, 404 or 405, to a refusal. h is the
+// mux's handler that writes this error.
 func muxRefusal(w http.ResponseWriter, r *http.Request, h http.Handler) error {
 	rec := headerRecorder{header: make(http.Header)}
 	h.ServeHTTP(&rec, r)
--- a/counter/auth.go
+++ b/counter/auth.go
@@ -43,7 +43,7 @@
 	for _, t := range cfg.Tokens {
 		var d digest
 		if n, err := hex.Decode(d[:], []byte(t.SHA256)); err != nil || n != len(d) {
-			continue
+			continue // settings.Parse rejects such a hash
 		}
 		s.byHMAC[s.hmacOf(d)] = credential{d, job.Caller{Name: t.Caller, Team: t.Team}}
 	}
@@ -67,7 +67,8 @@
 
 const bearerPrefix = "bearer "
 
-// caller authenticates the caller of a request by its bearer token.
+// caller authenticates a request by its bearer token and returns the caller to whom the token
+// belongs.
 func (c *Counter) caller(r *http.Request) (job.Caller, error) {
 	if c.tokens.allowAll {
 		return job.Caller{Name: anonymousName}, nil
--- a/counter/counter.go
+++ b/counter/counter.go
@@ -4,9 +4,11 @@
 // requests, and converts answers and refusals to HTTP. The Service interface decides
 // what happens to a job.
 //
-// The counter does not own any identity. If it refuses a request that names one, the
-// refusal therefore says that the outcome is unknown, never "not run": an earlier copy of
-// the same submission may have arrived through another process and run.
+// The identity of a job or request is a job id or the caller's own key. Only its owner, one
+// dispatcher process, may start anything for it. The counter does not own any identity. If it
+// refuses a request that names one, the refusal therefore says that the outcome is unknown,
+// not "not run": an earlier copy of the same submission may have arrived through another
+// process and run. The exception is a malformed key, which no process accepts.
 package counter
 
 import (
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -92,8 +92,8 @@
 
 // Every invalid request is answered by a refusal in JSON that says whether anything ran.
 // For a request that names an identity it must not be "not run", because an earlier copy
-// may have run: the caller would submit the same order under a new identity, and two vans
-// would drive out.
+// may have run: the caller would submit the same order under a new identity, and the order
+// would be carried out twice. The exception is a malformed key, which no process accepts.
 func TestRefusals(t *testing.T) {
 	longText := strings.Repeat("a", 300)
 	tests := []struct {
@@ -116,8 +116,8 @@
 		{"no kind", "PUT", jobPath, `{"tasks":[1]}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
 		{"no tasks", "PUT", jobPath, `{"kind":"price"}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
 		{"too many tasks", "PUT", jobPath, `{"kind":"price","tasks":[1,2,3,4]}`, nil, 413, refusal.TooLarge, refusal.RanUnknown},
-		{"negative time", "PUT", jobPath, `{"kind":"price","tasks":[1],"timeout_ms":-1}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
-		{"too long a time", "PUT", jobPath, `{"kind":"price","tasks":[1],"timeout_ms":9000000}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
+		{"negative timeout", "PUT", jobPath, `{"kind":"price","tasks":[1],"timeout_ms":-1}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
+		{"timeout over the limit", "PUT", jobPath, `{"kind":"price","tasks":[1],"timeout_ms":9000000}`, nil, 400, refusal.BadRequest, refusal.RanUnknown},
 		{"large body", "PUT", jobPath, `{"kind":"` + longText + `","tasks":[1]}`, nil, 413, refusal.TooLarge, refusal.RanUnknown},
 		{"large header", "PUT", jobPath, goodJob, []string{"X-Long", strings.Repeat(longText, 10)}, 413, refusal.TooLarge, refusal.RanUnknown},
 		{"malformed wait", "PUT", jobPath, goodJob, []string{"Prefer", "wait=soon"}, 400, refusal.BadRequest, refusal.RanUnknown},
@@ -174,11 +174,11 @@
 		waitFor            time.Duration
 	}{
 		{"waits for the longest job", "", goodJob, true, 2*time.Minute + grace},
-		{"waits for its own time", "", `{"kind":"price","tasks":[1],"timeout_ms":3000}`, true, 3*time.Second + grace},
+		{"waits for the job's timeout", "", `{"kind":"price","tasks":[1],"timeout_ms":3000}`, true, 3*time.Second + grace},
 		{"does not wait", "respond-async", goodJob, false, 0},
 		{"waits a little", "wait=5", goodJob, true, 5 * time.Second},
 		{"waits a little, then async", "respond-async, wait=5", goodJob, true, 5 * time.Second},
-		{"never longer than the job", `wait="50"`, `{"kind":"price","tasks":[1],"timeout_ms":3000}`, true, 3*time.Second + grace},
+		{"never longer than the job's timeout", `wait="50"`, `{"kind":"price","tasks":[1],"timeout_ms":3000}`, true, 3*time.Second + grace},
 		{"unknown preferences do not count", "handling=lenient", goodJob, true, 2*time.Minute + grace},
 	}
 	for _, tt := range tests {
@@ -195,6 +195,8 @@
 	}
 }
 
+// TestKeyAndWait checks that a key is passed on in canonical form, that a job that has not
+// ended is answered with 202, and that a lookup waits as long as the caller prefers.
 func TestKeyAndWait(t *testing.T) {
 	f := &fakeService{}
 	serve(t, testConfig(), f, request("POST", "/v1/jobs", goodJob, "Idempotency-Key", `"`+strings.ToUpper(key)+`"`))
@@ -241,8 +243,8 @@
 	}
 }
 
-// The metrics and status at the callers' address must not show one caller the names of the
-// others.
+// The callers' address must not show one caller the names of the others. It serves metrics
+// only without an operators' address; with one, it serves neither metrics nor status.
 func TestCallersDoNotSeeEachOther(t *testing.T) {
 	cfg := testConfig()
 	if w := serve(t, cfg, &fakeService{}, request("GET", "/metrics", "")); w.Code != http.StatusOK {
--- a/counter/identity.go
+++ b/counter/identity.go
@@ -33,16 +33,16 @@
 // qualifyRefusal adapts a refusal that the counter itself gives to a request that names an
 // identity. "Not run" could be false for it: a copy of the request may have arrived earlier
 // or through another process and run. The caller would submit the same order under a new
-// identity, and two vans would drive out.
+// identity, and the order would be carried out twice.
 func qualifyRefusal(r *http.Request, err error) error {
-	var f *refusal.Refusal
-	if !namesIdentity(r) || !errors.As(err, &f) {
+	var ref *refusal.Refusal
+	if !namesIdentity(r) || !errors.As(err, &ref) {
 		return err
 	}
-	return f.AboutIdentity()
+	return ref.AboutIdentity()
 }
 
-// pathID returns the job id in the path.
+// pathID returns the job id in the path. It refuses a request that also has a key.
 func pathID(r *http.Request) (ticket.JobID, error) {
 	id, err := ticket.ParseJobID(r.PathValue("id"))
 	if err != nil {
--- a/counter/prefer.go
+++ b/counter/prefer.go
@@ -38,7 +38,8 @@
 	return p, nil
 }
 
-// waitTime returns how long to wait for a result that is expected within maxWait.
+// waitTime returns how long to wait for a result: the caller's wait, but at most maxWait; if
+// it sets none, 0 for respond-async and maxWait otherwise.
 func (p preference) waitTime(maxWait time.Duration) time.Duration {
 	switch {
 	case p.async && !p.hasWait:
--- a/counter/server.go
+++ b/counter/server.go
@@ -11,7 +11,7 @@
 // the body.
 const headerLimitFactor = 4
 
-// NewServer returns an HTTP server for the handler, with the timeouts of the limits.
+// NewServer returns an HTTP server for the handler, with timeouts derived from l.
 // WriteTimeout starts with the header of the request, so it must allow for the longest job;
 // it is only the upper bound. The handler sets its own deadline when it begins to write.
 func NewServer(l settings.Limits, h http.Handler) *http.Server {
--- a/counter/timeout_test.go
+++ b/counter/timeout_test.go
@@ -153,7 +153,8 @@
 
 // Requests beyond the limit of open requests are refused with a Retry-After. Without the
 // limit, thousands of waiting callers would exhaust the memory until the kernel kills the
-// process with all its running jobs.
+// process with all its running jobs. The second round shows that a request that has ended no
+// longer counts.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.OpenRequests = 1
