--- a/load/arrival.go
+++ b/load/arrival.go
@@ -26,15 +26,15 @@
 // and hide themselves.
 func plan(s Scenario, d Deployment, seed uint64) ([]arrival, error) {
 	rnd := rand.New(rand.NewPCG(seed, 2))
-	spread := s.Service.spread()
+	spread := s.ServiceTimes.spread()
 	perJob := s.JobTasks.mean() * spread.Mean().Seconds()
 	var out []arrival
 	var begin time.Duration
 	tasks := 0
 	for _, p := range s.Phases {
-		rate := p.Load * d.power() / perJob
-		end := begin + p.For.D()
-		for t := begin + gap(rnd, rate); t < end; t += gap(rnd, rate) {
+		rate := p.Load * d.effectiveCores() / perJob
+		end := begin + p.Length.D()
+		for t := begin + interarrivalTime(rnd, rate); t < end; t += interarrivalTime(rnd, rate) {
 			a := arrival{at: t, caller: pickCaller(rnd, s.callers(d)), dispatcher: rnd.IntN(d.Dispatchers)}
 			if rnd.Float64() < s.Skew {
 				a.dispatcher = 0
@@ -45,8 +45,8 @@
 			}
 			// Checked here and not at the end: a scenario of very short tasks
 			// would otherwise fill the machine's memory while it is planned.
-			if tasks += len(a.service); tasks > maxTasks {
-				return nil, errors.Errorf("load: more than %d tasks are planned", maxTasks)
+			if tasks += len(a.service); tasks > maxPlannedTasks {
+				return nil, errors.Errorf("load: more than %d tasks are planned", maxPlannedTasks)
 			}
 			out = append(out, a)
 		}
@@ -55,13 +55,13 @@
 	return out, nil
 }
 
-func gap(rnd *rand.Rand, rate float64) time.Duration {
+func interarrivalTime(rnd *rand.Rand, rate float64) time.Duration {
 	return time.Duration(rnd.ExpFloat64() / rate * float64(time.Second))
 }
 
 // callers returns the deployment's callers with the shares of the scenario.
 func (s Scenario) callers(d Deployment) []Caller {
-	if s.Greedy == 0 || len(d.Callers) < 2 {
+	if s.GreedyShare == 0 || len(d.Callers) < 2 {
 		return d.Callers
 	}
 	out := append([]Caller(nil), d.Callers...)
@@ -69,7 +69,7 @@
 	for _, c := range out[1:] {
 		rest += c.Share
 	}
-	out[0].Share = rest * s.Greedy / (1 - s.Greedy)
+	out[0].Share = rest * s.GreedyShare / (1 - s.GreedyShare)
 	return out
 }
 
@@ -89,12 +89,12 @@
 
 // ideal is the job's response time when each task starts at once on the
 // fastest backend server.
-func (a arrival) ideal(fastest float64) time.Duration {
+func (a arrival) ideal(maxSpeed float64) time.Duration {
 	var longest time.Duration
 	for _, d := range a.service {
 		longest = max(longest, d)
 	}
-	return time.Duration(float64(longest) / fastest)
+	return time.Duration(float64(longest) / maxSpeed)
 }
 
 // spec is what is submitted: each task carries its service time for the
--- a/load/bench.go
+++ b/load/bench.go
@@ -38,25 +38,25 @@
 	}
 	d.cfg.Dispatch.MaxWait = settings.Duration(time.Hour)
 	d.cfg.Dispatch.TaskTimeout = settings.Duration(2 * time.Minute)
-	up, err := Deploy(ctx, d)
+	running, err := Deploy(ctx, d)
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{Running: up}
+	b := &bench{Running: running}
 	for _, c := range d.Callers {
-		b.clients = append(b.clients, client.New(client.Config{Entries: []netip.AddrPort{b.entry()}, Token: c.Token}))
+		b.clients = append(b.clients, client.New(client.Config{Entries: []netip.AddrPort{b.entryAddr()}, Token: c.Token}))
 	}
 	return b, nil
 }
 
 // renew makes every client take a new ticket.
-func (b *bench) renew() {
+func (b *bench) renewTickets() {
 	for _, c := range b.clients {
 		c.Renew()
 	}
 }
 
-func (b *bench) entry() netip.AddrPort { return b.places[0].callers }
+func (b *bench) entryAddr() netip.AddrPort { return b.places[0].callerAddr }
 
 // job is a job of n tasks of the given service time, with the default timeout.
 func (b *bench) job(n int, service time.Duration) job.Spec {
@@ -71,16 +71,16 @@
 
 // repeat runs the job on all clients, each with perClient at a time, until n
 // have been done or the time is over. It returns how many were done.
-func (b *bench) repeat(ctx context.Context, s job.Spec, perClient int, n int64, limit time.Duration) int64 {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (b *bench) runJobs(ctx context.Context, s job.Spec, perClient int, n int64, timeout time.Duration) int64 {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var taken, finished atomic.Int64
+	var started, finished atomic.Int64
 	var wg sync.WaitGroup
 	for _, c := range b.clients {
 		for range perClient {
 			wg.Go(func() {
-				for taken.Add(1) <= n && ctx.Err() == nil {
-					if b.once(ctx, c, s) {
+				for started.Add(1) <= n && ctx.Err() == nil {
+					if b.submitOnce(ctx, c, s) {
 						finished.Add(1)
 					}
 				}
@@ -92,12 +92,12 @@
 }
 
 // once submits the job once; a job that is refused counts as not done.
-func (b *bench) once(ctx context.Context, c *client.Client, s job.Spec) bool {
+func (b *bench) submitOnce(ctx context.Context, c *client.Client, s job.Spec) bool {
 	id, err := c.Next(ctx)
 	if err != nil {
 		return false
 	}
-	a, err := c.Put(ctx, b.entry(), id, s)
+	a, err := c.Put(ctx, b.entryAddr(), id, s)
 	return err == nil && a.State == job.Done
 }
 
--- a/load/bound.go
+++ b/load/bound.go
@@ -31,7 +31,7 @@
 			&cli.StringSliceFlag{Name: "day", Usage: "only these days"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			s, err := boundSiteOf(c.String("site"))
+			s, err := findBoundSite(c.String("site"))
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 }
 
 // boundSiteOf returns one of the model's deployments, or that of a site file.
-func boundSiteOf(name string) (boundSite, error) {
+func findBoundSite(name string) (boundSite, error) {
 	if site, ok := model.Sites[name]; ok {
 		return modelSite(site), nil
 	}
@@ -101,18 +101,18 @@
 	fmt.Fprintln(w, "| day | bound | outages | earned | lost | goal: outages | goal: earned |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, d := range s.days {
-		var most, outages, earned, goal, got []float64
+		var bounds, outages, earned, goal, got []float64
 		broken := 0
 		for seed := range seeds {
 			c := model.Compare(d.config(seed))
-			most = append(most, c.Bound.Whole)
+			bounds = append(bounds, c.Bound.Whole)
 			outages = append(outages, c.Outages.Whole)
 			earned = append(earned, c.Result.Parts.Whole)
 			goal = append(goal, c.Outages.By(s.goal))
 			got = append(got, c.Result.Parts.By(s.goal))
 			broken += len(c.Result.Broken)
 		}
-		fmt.Fprintf(w, "| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |\n", d.name, mean(most), mean(outages), mean(earned), mean(outages)-mean(earned), mean(goal), mean(got))
+		fmt.Fprintf(w, "| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |\n", d.name, mean(bounds), mean(outages), mean(earned), mean(outages)-mean(earned), mean(goal), mean(got))
 		if broken > 0 {
 			fmt.Fprintf(w, "%s: %d promises broken\n", d.name, broken)
 		}
@@ -126,6 +126,6 @@
 }
 
 func mean(v []float64) float64 {
-	m, _ := meanError(v)
+	m, _ := meanAndError(v)
 	return m
 }
--- a/load/call.go
+++ b/load/call.go
@@ -18,14 +18,14 @@
 // ErrCall means that a stand-in or a dispatcher did not answer as it should.
 var ErrCall = errors.New("load: call failed")
 
-var controls = &http.Client{
+var controlClient = &http.Client{
 	Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: 2},
 	Timeout:   20 * time.Second,
 }
 
 // get reads the path; a nil out ignores the body.
 func get(ctx context.Context, at netip.AddrPort, path string, out any) error {
-	b, err := exchange(ctx, http.MethodGet, at, path, nil)
+	b, err := doRequest(ctx, http.MethodGet, at, path, nil)
 	if err != nil || out == nil {
 		return err
 	}
@@ -44,16 +44,16 @@
 	if err != nil {
 		return errors.Wrap(err, "load")
 	}
-	_, err = exchange(ctx, http.MethodPut, at, path, b)
+	_, err = doRequest(ctx, http.MethodPut, at, path, b)
 	return err
 }
 
-func exchange(ctx context.Context, method string, at netip.AddrPort, path string, body []byte) ([]byte, error) {
+func doRequest(ctx context.Context, method string, at netip.AddrPort, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+at.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "load")
 	}
-	resp, err := controls.Do(req)
+	resp, err := controlClient.Do(req)
 	if err != nil {
 		return nil, errors.Wrap(ErrCall, err.Error())
 	}
--- a/load/capacity.go
+++ b/load/capacity.go
@@ -13,18 +13,18 @@
 )
 
 // size is a size of the whole system, and the shape of its load.
-type size struct {
-	workers       float64
-	starts        float64 // tasks a second
-	teams         float64
-	dataCenters   float64
-	changesPerDay float64
+type systemSize struct {
+	workers         float64
+	startsPerSecond float64 // tasks a second
+	teams           float64
+	dataCenters     float64
+	changesPerDay   float64
 	// meanJob is tasks a job, meanService seconds a task.
-	meanJob, meanService float64
+	tasksPerJob, secondsPerTask float64
 	// connections is how many tasks one dispatcher process runs at once.
 	connections float64
 	// keptFor is how long answers are kept, in seconds.
-	keptFor float64
+	answerRetention float64
 	// appendRate is our share of the log's appends a second.
 	appendRate float64
 }
@@ -41,34 +41,38 @@
 // letterSize is the size that the users expect within two years. Jobs and
 // service times are those of the ordinary scenarios: jobs of 1 to 100 tasks
 // cost more for each task than those of 1,300.
-func letterSize() size {
-	return size{
-		workers: 13_000, starts: 510_000, teams: 190, dataCenters: 7, changesPerDay: 14_000,
-		meanJob: ordinaryJobs.mean(), meanService: ordinaryService.spread().Mean().Seconds(),
-		connections: 64, keptFor: 600, appendRate: settings.Default().Platform.AppendRate,
+func expectedSize() systemSize {
+	return systemSize{
+		workers: 13_000, startsPerSecond: 510_000, teams: 190, dataCenters: 7, changesPerDay: 14_000,
+		tasksPerJob: defaultJobTasks.mean(), secondsPerTask: defaultServiceTimes.spread().Mean().Seconds(),
+		connections: 64, answerRetention: 600, appendRate: settings.Default().Platform.AppendRate,
 	}
 }
 
-func (z size) dispatchers() float64 { return math.Ceil(z.starts * z.meanService / z.connections) }
+func (z systemSize) dispatchers() float64 {
+	return math.Ceil(z.startsPerSecond * z.secondsPerTask / z.connections)
+}
 
-func (z size) jobsPerDispatcher() float64 { return z.starts / z.meanJob / z.dispatchers() }
+func (z systemSize) jobsPerDispatcher() float64 {
+	return z.startsPerSecond / z.tasksPerJob / z.dispatchers()
+}
 
-func (z size) changes() float64 { return z.changesPerDay / secondsPerDay }
+func (z systemSize) changes() float64 { return z.changesPerDay / secondsPerDay }
 
 // need is one quantity of a role at a size.
-type need struct {
+type requirement struct {
 	role, quantity string
 	value          float64
 	unit           string
 	// budget is 0 where none is set; breaks is the number of dispatchers (or
 	// rows) at which the budget is reached, 0 where it is not linear in them.
-	budget, breaks float64
-	breaksOf       string
-	from           string
+	budget, budgetReachedAt float64
+	reachedUnit             string
+	source                  string
 }
 
 // needs computes what each role takes at the size.
-func needs(z size, all []Slope) ([]need, error) {
+func requirements(z systemSize, all []Slope) ([]requirement, error) {
 	f := make(map[string]Fit)
 	for _, s := range all {
 		f[s.Name] = s.Fit
@@ -81,59 +85,59 @@
 			return nil, errors.Errorf("capacity: the slopes lack %q", name)
 		}
 	}
-	out := dispatcherNeeds(z, f)
-	out = append(out, readerNeeds(z, f)...)
-	out = append(out, memberNeeds(z, f)...)
-	out = append(out, claimNeeds(z, f)...)
-	return append(out, platformNeeds(z, f)...), nil
+	out := dispatcherRequirements(z, f)
+	out = append(out, readerRequirements(z, f)...)
+	out = append(out, memberRequirements(z, f)...)
+	out = append(out, claimRequirements(z, f)...)
+	return append(out, platformRequirements(z, f)...), nil
 }
 
-func dispatcherNeeds(z size, f map[string]Fit) []need {
+func dispatcherRequirements(z systemSize, f map[string]Fit) []requirement {
 	const role = "dispatcher"
 	jobs := z.jobsPerDispatcher()
-	cpu := jobs * f[slopeCPU].At(z.meanJob)
-	return []need{
-		{role: role, quantity: "processes in all", value: z.dispatchers(), unit: "processes", from: "starts × mean service time / connections"},
-		{role: role, quantity: "task starts, each", value: z.starts / z.dispatchers(), unit: "messages/s", from: "one exchange with a backend server a task"},
-		{role: role, quantity: "jobs, each", value: jobs, unit: "messages/s", from: "starts / mean job"},
-		{role: role, quantity: "processor for tasks and jobs, each", value: cpu / 1e6, unit: "cores", from: slopeCPU},
-		{role: role, quantity: "kept answers, each", value: jobs * z.keptFor * z.answer(f) / (1 << 20), unit: "MB", from: slopeKept + " and of larger ones, at the mean job"},
-		{role: role, quantity: "a ticket of each team", value: z.teams * f[slopeTicket].Slope / (1 << 20), unit: "MB", from: slopeTicket},
-		{role: role, quantity: "100,000 tasks waiting", value: 100_000 * f[slopeQueue].Slope / (1 << 20), unit: "MB", from: slopeQueue},
+	cpu := jobs * f[slopeCPU].At(z.tasksPerJob)
+	return []requirement{
+		{role: role, quantity: "processes in all", value: z.dispatchers(), unit: "processes", source: "starts × mean service time / connections"},
+		{role: role, quantity: "task starts, each", value: z.startsPerSecond / z.dispatchers(), unit: "messages/s", source: "one exchange with a backend server a task"},
+		{role: role, quantity: "jobs, each", value: jobs, unit: "messages/s", source: "starts / mean job"},
+		{role: role, quantity: "processor for tasks and jobs, each", value: cpu / 1e6, unit: "cores", source: slopeCPU},
+		{role: role, quantity: "kept answers, each", value: jobs * z.answerRetention * z.answerBytes(f) / (1 << 20), unit: "MB", source: slopeKept + " and of larger ones, at the mean job"},
+		{role: role, quantity: "a ticket of each team", value: z.teams * f[slopeTicket].Slope / (1 << 20), unit: "MB", source: slopeTicket},
+		{role: role, quantity: "100,000 tasks waiting", value: 100_000 * f[slopeQueue].Slope / (1 << 20), unit: "MB", source: slopeQueue},
 	}
 }
 
 // answer is the memory of a kept answer of the mean job, on the line through
 // the two sizes of answers that are measured.
-func (z size) answer(f map[string]Fit) float64 {
+func (z systemSize) answerBytes(f map[string]Fit) float64 {
 	one, large := f[slopeKept].Slope, f[slopeKeptLarge].Slope
-	return one + (large-one)/(keptTasks-1)*(z.meanJob-1)
+	return one + (large-one)/(largeAnswerTasks-1)*(z.tasksPerJob-1)
 }
 
-func readerNeeds(z size, f map[string]Fit) []need {
+func readerRequirements(z systemSize, f map[string]Fit) []requirement {
 	const role = "table reader"
 	apply := f[slopeApply]
 	cpu := z.changes() * apply.At(z.workers)
-	return []need{
-		{role: role, quantity: "rows of backend servers", value: z.workers * f[slopeRows].Slope / (1 << 20), unit: "MB", budget: budgetRSS >> 20, from: slopeRows},
+	return []requirement{
+		{role: role, quantity: "rows of backend servers", value: z.workers * f[slopeRows].Slope / (1 << 20), unit: "MB", budget: budgetRSS >> 20, source: slopeRows},
 		{
-			role: role, quantity: "processor for edits", value: cpu, unit: "µs/s", budget: budgetCPU, from: slopeApply,
-			breaks: reach(apply, budgetCPU/z.changes()), breaksOf: "rows",
+			role: role, quantity: "processor for edits", value: cpu, unit: "µs/s", budget: budgetCPU, source: slopeApply,
+			budgetReachedAt: sizeAtBudget(apply, budgetCPU/z.changes()), reachedUnit: "rows",
 		},
-		{role: role, quantity: "edits", value: z.changes() * f[slopeEditBytes].At(z.workers), unit: "bytes/s", budget: budgetBytes, from: slopeEditBytes},
+		{role: role, quantity: "edits", value: z.changes() * f[slopeEditBytes].At(z.workers), unit: "bytes/s", budget: budgetBytes, source: slopeEditBytes},
 	}
 }
 
-func memberNeeds(z size, f map[string]Fit) []need {
+func memberRequirements(z systemSize, f map[string]Fit) []requirement {
 	const role = "roster member"
 	n := z.dispatchers()
-	linear := func(quantity, unit, slope string, budget float64) need {
-		return need{
-			role: role, quantity: quantity, value: f[slope].At(n), unit: unit, budget: budget, from: slope,
-			breaks: reach(f[slope], budget), breaksOf: "dispatchers",
+	linear := func(quantity, unit, slope string, budget float64) requirement {
+		return requirement{
+			role: role, quantity: quantity, value: f[slope].At(n), unit: unit, budget: budget, source: slope,
+			budgetReachedAt: sizeAtBudget(f[slope], budget), reachedUnit: "dispatchers",
 		}
 	}
-	return []need{
+	return []requirement{
 		linear("idle processor", "µs/s", slopeIdleCPU, budgetCPU),
 		linear("idle traffic, in and out", "bytes/s", slopeIdleBytes, budgetBytes),
 		linear("idle memory, whole process", "bytes", slopeIdleRSS, budgetRSS),
@@ -144,37 +148,37 @@
 // travel in base64.
 const logOverhead = 4.0 / 3
 
-func claimNeeds(z size, f map[string]Fit) []need {
+func claimRequirements(z systemSize, f map[string]Fit) []requirement {
 	const role = "claim writer"
 	perClaim := f[slopeClaimBytes].Slope * logOverhead
-	return []need{
-		{role: role, quantity: "one claim, at each reader", value: perClaim, unit: "bytes", from: slopeClaimBytes + ", in base64"},
-		{role: role, quantity: "claims that fill the budget of traffic", value: budgetBytes / perClaim, unit: "claims/s", from: "every dispatcher reads all claims"},
-		{role: role, quantity: "time between two appends of a dispatcher", value: z.dispatchers() / z.appendRate, unit: "s", from: "platform.append_rate, divided over all dispatchers"},
+	return []requirement{
+		{role: role, quantity: "one claim, at each reader", value: perClaim, unit: "bytes", source: slopeClaimBytes + ", in base64"},
+		{role: role, quantity: "claims that fill the budget of traffic", value: budgetBytes / perClaim, unit: "claims/s", source: "every dispatcher reads all claims"},
+		{role: role, quantity: "time between two appends of a dispatcher", value: z.dispatchers() / z.appendRate, unit: "s", source: "platform.append_rate, divided over all dispatchers"},
 	}
 }
 
-func platformNeeds(z size, f map[string]Fit) []need {
+func platformRequirements(z systemSize, f map[string]Fit) []requirement {
 	n := z.dispatchers()
-	return []need{
-		{role: "operators' client", quantity: "status of every dispatcher", value: n * f[slopeStatus].At(n) / (1 << 20), unit: "MB", from: slopeStatus},
-		{role: "platform", quantity: "polls of the log and the VM list", value: f[slopeLogReads].At(n), unit: "reads/s", from: slopeLogReads},
-		{role: "platform", quantity: "reads woken by edits", value: z.changes() * n, unit: "reads/s", from: "each edit wakes each reader"},
-		{role: "platform", quantity: "appends of edits", value: z.changes(), unit: "appends/s", from: "14,000 changes a day"},
+	return []requirement{
+		{role: "operators' client", quantity: "status of every dispatcher", value: n * f[slopeStatus].At(n) / (1 << 20), unit: "MB", source: slopeStatus},
+		{role: "platform", quantity: "polls of the log and the VM list", value: f[slopeLogReads].At(n), unit: "reads/s", source: slopeLogReads},
+		{role: "platform", quantity: "reads woken by edits", value: z.changes() * n, unit: "reads/s", source: "each edit wakes each reader"},
+		{role: "platform", quantity: "appends of edits", value: z.changes(), unit: "appends/s", source: "14,000 changes a day"},
 	}
 }
 
 // reach is the x at which the line gets to the budget; 0 when it never does, or
 // when it is flat.
-func reach(f Fit, budget float64) float64 {
-	if f.flat() {
+func sizeAtBudget(f Fit, budget float64) float64 {
+	if f.isFlat() {
 		return 0
 	}
 	return max((budget-f.Intercept)/f.Slope, 0)
 }
 
 // capacityMarkdown writes slopes and needs as tables.
-func capacityMarkdown(f SlopeFile, all []need) string {
+func capacityMarkdown(f SlopeFile, all []requirement) string {
 	var b strings.Builder
 	m := f.Machine
 	fmt.Fprintf(&b, "%s, %d cores, %d GB, %s; commit %s, %s; load average before: %.1f.\n\n",
@@ -187,12 +191,12 @@
 	}
 	b.WriteString("\n| role | quantity | at the letter's size | budget | reached at | from |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, n := range all {
-		fmt.Fprintf(&b, "| %s | %s | %.4g %s | %s | %s | %s |\n", n.role, n.quantity, n.value, n.unit, n.limit(), n.broken(), n.from)
+		fmt.Fprintf(&b, "| %s | %s | %.4g %s | %s | %s | %s |\n", n.role, n.quantity, n.value, n.unit, n.budgetText(), n.reachedText(), n.source)
 	}
 	return b.String()
 }
 
-func (n need) limit() string {
+func (n requirement) budgetText() string {
 	switch {
 	case n.budget == 0:
 		return "none set"
@@ -202,11 +206,11 @@
 	return fmt.Sprintf("within %.4g", n.budget)
 }
 
-func (n need) broken() string {
-	if n.breaks == 0 {
+func (n requirement) reachedText() string {
+	if n.budgetReachedAt == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.0f %s", n.breaks, n.breaksOf)
+	return fmt.Sprintf("%.0f %s", n.budgetReachedAt, n.reachedUnit)
 }
 
 func capacityCommand() *cli.Command {
@@ -220,7 +224,7 @@
 			if err != nil {
 				return err
 			}
-			all, err := needs(letterSize(), f.Slopes)
+			all, err := requirements(expectedSize(), f.Slopes)
 			if err != nil {
 				return err
 			}
--- a/load/capacity_test.go
+++ b/load/capacity_test.go
@@ -5,7 +5,7 @@
 // The needs follow from the lines: with lines whose values are known, each is
 // worked out by hand.
 func TestNeeds(t *testing.T) {
-	z := size{workers: 1000, starts: 6400, teams: 10, changesPerDay: 86400, meanJob: 10, meanService: 1, connections: 64, keptFor: 10, appendRate: 50}
+	z := systemSize{workers: 1000, startsPerSecond: 6400, teams: 10, changesPerDay: 86400, tasksPerJob: 10, secondsPerTask: 1, connections: 64, answerRetention: 10, appendRate: 50}
 	lines := map[string]Fit{
 		slopeCPU: {Slope: 100, Intercept: 500}, slopeKept: {Slope: 1 << 20}, slopeKeptLarge: {Slope: 20 << 20}, slopeTicket: {Slope: 1 << 20}, slopeQueue: {Slope: 1 << 10},
 		slopeRows: {Slope: 1 << 20}, slopeApply: {Slope: 2}, slopeEditBytes: {Mean: 200},
@@ -16,14 +16,14 @@
 	for name, f := range lines {
 		all = append(all, Slope{Name: name, Fit: f})
 	}
-	got, err := needs(z, all)
+	got, err := requirements(z, all)
 	if err != nil {
 		t.Fatal(err)
 	}
 	tests := []struct {
 		quantity       string
 		value, reached float64
-		limit          string
+		budgetText     string
 	}{
 		{"processes in all", 100, 0, "none set"},
 		{"jobs, each", 6.4, 0, "none set"},
@@ -46,15 +46,15 @@
 				continue
 			}
 			found = true
-			if !near(n.value, tt.value, 1e-6) || !near(n.breaks, tt.reached, 1e-6) || n.limit() != tt.limit {
-				t.Errorf("%s: %v, reached at %v, %s; want %+v", n.quantity, n.value, n.breaks, n.limit(), tt)
+			if !near(n.value, tt.value, 1e-6) || !near(n.budgetReachedAt, tt.reached, 1e-6) || n.budgetText() != tt.budgetText {
+				t.Errorf("%s: %v, reached at %v, %s; want %+v", n.quantity, n.value, n.budgetReachedAt, n.budgetText(), tt)
 			}
 		}
 		if !found {
 			t.Errorf("%s: missing", tt.quantity)
 		}
 	}
-	if _, err := needs(z, all[1:]); err == nil {
+	if _, err := requirements(z, all[1:]); err == nil {
 		t.Error("needs were computed without one of the slopes")
 	}
 }
--- a/load/claimslopes.go
+++ b/load/claimslopes.go
@@ -21,7 +21,7 @@
 const (
 	slopeClaims     = "appends by claims"
 	slopeClaimBytes = "bytes on the log by claims"
-	claimsFor       = 3 * time.Second
+	claimsWindow    = 3 * time.Second
 )
 
 // claimSlopes measures how many appends, and bytes on the log, the claims of
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	defer b.Close()
-	if err := b.claimable(ctx); err != nil {
+	if err := b.awaitClaims(ctx); err != nil {
 		return nil, err
 	}
 	var appends, size []Point
@@ -43,7 +43,7 @@
 			return nil, err
 		}
 		began := time.Now()
-		n, err := b.claims(ctx, callers)
+		n, err := b.submitClaims(ctx, callers)
 		if err != nil {
 			return nil, err
 		}
@@ -56,14 +56,14 @@
 		size = append(size, Point{rate, float64(after.AppendBytes-before.AppendBytes) / seconds})
 	}
 	return []Slope{
-		newSlope(slopeClaims, "claims a second", "appends a second", appends, absolute),
-		newSlope(slopeClaimBytes, "claims a second", "bytes a second", size, absolute),
+		newSlope(slopeClaims, "claims a second", "appends a second", appends, absoluteErrors),
+		newSlope(slopeClaimBytes, "claims a second", "bytes a second", size, absoluteErrors),
 	}, nil
 }
 
 // claimable waits until the dispatcher takes keys: it refuses them until it has
 // read the claims stream once.
-func (b *bench) claimable(ctx context.Context) error {
+func (b *bench) awaitClaims(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	body, err := json.Marshal(b.job(1, time.Millisecond))
@@ -71,7 +71,7 @@
 		return errors.Wrap(err, "slopes")
 	}
 	for {
-		err := b.keyed(ctx, http.DefaultClient, body)
+		err := b.submitWithKey(ctx, http.DefaultClient, body)
 		if err == nil || !clock.Sleep(ctx, 200*time.Millisecond) {
 			return err
 		}
@@ -80,21 +80,21 @@
 
 // claims submits jobs of one task under new keys, over so many callers, and
 // returns how many were done.
-func (b *bench) claims(ctx context.Context, callers int) (int64, error) {
+func (b *bench) submitClaims(ctx context.Context, callers int) (int64, error) {
 	body, err := json.Marshal(b.job(1, time.Millisecond))
 	if err != nil {
 		return 0, errors.Wrap(err, "slopes")
 	}
-	hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}, Timeout: patience}
+	hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}, Timeout: callerTimeout}
 	defer hc.CloseIdleConnections()
-	end := time.Now().Add(claimsFor)
+	end := time.Now().Add(claimsWindow)
 	var n atomic.Int64
 	var wg sync.WaitGroup
 	var once sync.Once
 	for range callers {
 		wg.Go(func() {
 			for time.Now().Before(end) {
-				if e := b.keyed(ctx, hc, body); e != nil {
+				if e := b.submitWithKey(ctx, hc, body); e != nil {
 					once.Do(func() { err = e })
 					return
 				}
@@ -107,12 +107,12 @@
 }
 
 // keyed submits the job under a new key of the caller's own.
-func (b *bench) keyed(ctx context.Context, hc *http.Client, body []byte) error {
+func (b *bench) submitWithKey(ctx context.Context, hc *http.Client, body []byte) error {
 	key, err := uuid.NewV7()
 	if err != nil {
 		return errors.Wrap(err, "slopes")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.entry().String()+"/v1/jobs", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.entryAddr().String()+"/v1/jobs", bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "slopes")
 	}
--- a/load/command.go
+++ b/load/command.go
@@ -68,7 +68,7 @@
 	}
 	var all []Report
 	for i := range c.Int("repeat") {
-		r, err := bounded(ctx, d, s, Options{Policy: c.String("policy"), Seed: c.Uint64("seed") + uint64(i)})
+		r, err := runWithTimeout(ctx, d, s, Options{Policy: c.String("policy"), Seed: c.Uint64("seed") + uint64(i)})
 		if err != nil {
 			return err
 		}
@@ -80,19 +80,19 @@
 			return err
 		}
 	}
-	return safe(all)
+	return checkSafety(all)
 }
 
 // bounded runs with a time limit that no run of an allowed scenario reaches.
-func bounded(ctx context.Context, d Deployment, s Scenario, o Options) (Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.length()+2*patience+time.Minute)
+func runWithTimeout(ctx context.Context, d Deployment, s Scenario, o Options) (Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.length()+2*callerTimeout+time.Minute)
 	defer cancel()
 	return Run(ctx, d, s, o)
 }
 
-func safe(all []Report) error {
+func checkSafety(all []Report) error {
 	for _, r := range all {
-		if r.Safety.Broken() {
+		if r.Safety.Violated() {
 			return errors.Wrapf(ErrSafety, "%s, policy %s: %+v", r.Scenario, r.Policy, r.Safety)
 		}
 	}
--- a/load/compare.go
+++ b/load/compare.go
@@ -12,8 +12,8 @@
 
 // quantity is one measure of a report that compare looks at.
 type quantity struct {
-	name string
-	of   func(r Report) float64
+	name    string
+	valueOf func(r Report) float64
 }
 
 var quantities = []quantity{
@@ -37,7 +37,7 @@
 	// Noise tells that the ranges of the repeated runs overlap, so that the
 	// difference may be chance. With a single run on a side nothing is known
 	// of its noise, and Noise is true.
-	Noise bool
+	WithinNoise bool
 }
 
 // Ratio is B over A; 0 when A is 0.
@@ -63,25 +63,25 @@
 	var out []Difference
 	for _, k := range names {
 		for _, q := range quantities {
-			out = append(out, differ(k, q, left[k], right[k]))
+			out = append(out, newDifference(k, q, left[k], right[k]))
 		}
 	}
 	return out
 }
 
-func differ(group string, q quantity, a, b []Report) Difference {
-	lowA, meanA, highA := bounds(a, q.of)
-	lowB, meanB, highB := bounds(b, q.of)
+func newDifference(group string, q quantity, a, b []Report) Difference {
+	lowA, meanA, highA := rangeAndMean(a, q.valueOf)
+	lowB, meanB, highB := rangeAndMean(b, q.valueOf)
 	return Difference{
 		Group: group, Quantity: q.name, A: meanA, B: meanB, RunsA: len(a), RunsB: len(b),
-		Noise: len(a) < 2 || len(b) < 2 || lowA <= highB && lowB <= highA,
+		WithinNoise: len(a) < 2 || len(b) < 2 || lowA <= highB && lowB <= highA,
 	}
 }
 
-func bounds(all []Report, of func(r Report) float64) (low, mean, high float64) {
-	low, high = of(all[0]), of(all[0])
+func rangeAndMean(all []Report, valueOf func(r Report) float64) (low, mean, high float64) {
+	low, high = valueOf(all[0]), valueOf(all[0])
 	for _, r := range all {
-		v := of(r)
+		v := valueOf(r)
 		low, high = min(low, v), max(high, v)
 		mean += v / float64(len(all))
 	}
@@ -148,7 +148,7 @@
 	switch {
 	case d.RunsA < 2 || d.RunsB < 2:
 		return "noise not known: one run"
-	case d.Noise:
+	case d.WithinNoise:
 		return "within the noise"
 	}
 	return "differs"
--- a/load/compare_test.go
+++ b/load/compare_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("%s: %d differences, want %d", tt.name, len(got), tt.n)
 			continue
 		}
-		if tt.n > 0 && (!near(got[0].Ratio(), tt.ratio, 1e-9) || got[0].Noise != tt.noise) {
+		if tt.n > 0 && (!near(got[0].Ratio(), tt.ratio, 1e-9) || got[0].WithinNoise != tt.noise) {
 			t.Errorf("%s: %+v, ratio %v", tt.name, got[0], got[0].Ratio())
 		}
 	}
--- a/load/demo.go
+++ b/load/demo.go
@@ -32,25 +32,25 @@
 func demo(ctx context.Context, c *cli.Command) error {
 	s := Scenario{
 		Name: "demo", Title: "a short steady load", JobTasks: Range{Min: 1, Max: 20},
-		Phases: []Phase{lasting(c.Duration("for"), c.Float("load"))},
-		Service: Service{
+		Phases: []Phase{newPhase(c.Duration("for"), c.Float("load"))},
+		ServiceTimes: ServiceTimes{
 			Min: settings.Duration(20 * time.Millisecond),
 			Max: settings.Duration(60 * time.Millisecond),
 		},
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return err
 	}
 	d, err := demoDeployment(c.Int("dispatchers"), c.Int("workers"), c.Int("cores"))
 	if err != nil {
 		return err
 	}
-	r, err := bounded(ctx, d, s, Options{Seed: 1})
+	r, err := runWithTimeout(ctx, d, s, Options{Seed: 1})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(c.Root().Writer, r)
-	return safe([]Report{r})
+	return checkSafety([]Report{r})
 }
 
 // demoDeployment is one data centre, with a VM for each dispatcher, on ports
@@ -79,9 +79,9 @@
 	for i := range dispatchers {
 		vm := VM{Name: "vm" + itoa(i), Address: rest[0].Addr(), DataCenter: "dc1"}
 		d.VMs = append(d.VMs, vm)
-		d.fixed = append(d.fixed, dispatcher{name: "hub" + itoa(i), vm: vm, callers: rest[2*i], peers: rest[2*i+1]})
+		d.presetPlaces = append(d.presetPlaces, dispatcherPlace{name: "hub" + itoa(i), vm: vm, callerAddr: rest[2*i], peerAddr: rest[2*i+1]})
 	}
-	return d, d.check()
+	return d, d.validate()
 }
 
 // freePorts finds n ports of the loopback address that are free now.
--- a/load/deploy.go
+++ b/load/deploy.go
@@ -24,11 +24,11 @@
 // Running is a deployment whose processes run.
 type Running struct {
 	Deployment
-	dir         string
-	platform    *process
-	farms       []*process
-	dispatchers []*process
-	places      []dispatcher
+	dir            string
+	platform       *process
+	workerStandIns []*process
+	dispatchers    []*process
+	places         []dispatcherPlace
 }
 
 // ErrInUse means that an address of the deployment is taken, by another run most
@@ -46,22 +46,22 @@
 		return nil, errors.Wrap(err, "deploy")
 	}
 	r := &Running{Deployment: d, dir: dir, places: d.places()}
-	if err := r.up(ctx); err != nil {
+	if err := r.startAll(ctx); err != nil {
 		r.Close()
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *Running) up(ctx context.Context) error {
-	if err := r.free(); err != nil {
+func (r *Running) startAll(ctx context.Context) error {
+	if err := r.checkAddressesFree(); err != nil {
 		return err
 	}
 	if err := r.startPlatform(ctx); err != nil {
 		return err
 	}
 	for i := range r.Controls {
-		if err := r.startFarm(i); err != nil {
+		if err := r.startWorkerStandIn(i); err != nil {
 			return err
 		}
 	}
@@ -71,12 +71,12 @@
 		}
 	}
 	for i, at := range r.Controls {
-		if err := r.ready(ctx, r.farms[i], at, "/stand/starts?view=summary"); err != nil {
+		if err := r.ready(ctx, r.workerStandIns[i], at, "/stand/starts?view=summary"); err != nil {
 			return err
 		}
 	}
 	for i, p := range r.places {
-		if err := r.ready(ctx, r.dispatchers[i], p.callers, "/readyz"); err != nil {
+		if err := r.ready(ctx, r.dispatchers[i], p.callerAddr, "/readyz"); err != nil {
 			return err
 		}
 	}
@@ -86,10 +86,10 @@
 // free tells whether all addresses are free. Two runs of a deployment at once
 // would else mix: the processes of the second can't listen and end, while the
 // addresses answer from the first, whose load and records it would measure.
-func (r *Running) free() error {
+func (r *Running) checkAddressesFree() error {
 	all := append([]netip.AddrPort{r.Platform}, r.Controls...)
 	for _, p := range r.places {
-		all = append(all, p.callers, p.peers)
+		all = append(all, p.callerAddr, p.peerAddr)
 	}
 	for _, w := range r.Workers {
 		all = append(all, w.Address)
@@ -123,7 +123,7 @@
 
 // startFarm starts the i-th part of the backend servers: those of a data
 // centre, when there are as many parts as data centres.
-func (r *Running) startFarm(i int) error {
+func (r *Running) startWorkerStandIn(i int) error {
 	byCores := make(map[int][]string)
 	for n, w := range r.Workers {
 		if n*len(r.Controls)/len(r.Workers) == i {
@@ -142,13 +142,13 @@
 	}
 	p, err := r.start("farm"+itoa(i), args...)
 	if err == nil {
-		r.farms = append(r.farms, p)
+		r.workerStandIns = append(r.workerStandIns, p)
 	}
 	return err
 }
 
 func (r *Running) startDispatcher(i int) error {
-	b, err := settings.Encode(r.settingsOf(i))
+	b, err := settings.Encode(r.dispatcherSettings(i))
 	if err != nil {
 		return errors.Wrap(err, "deploy")
 	}
@@ -163,18 +163,18 @@
 	return err
 }
 
-func (r *Running) settingsOf(i int) settings.Config {
+func (r *Running) dispatcherSettings(i int) settings.Config {
 	cfg, p := r.cfg, r.places[i]
 	cfg.Process = settings.Process{DataCenter: p.vm.DataCenter, VM: p.vm.Name, Name: p.name}
-	cfg.Listen.Callers, cfg.Listen.Peers = p.callers, p.peers
+	cfg.Listen.Callers, cfg.Listen.Peers = p.callerAddr, p.peerAddr
 	cfg.Platform.Log, cfg.Platform.VMs = r.Platform, r.Platform
 	cfg.Peers.Seeds, cfg.Peers.Ports = nil, nil
 	for j, o := range r.places {
 		if j < len(r.VMs) {
-			cfg.Peers.Seeds = append(cfg.Peers.Seeds, o.peers)
+			cfg.Peers.Seeds = append(cfg.Peers.Seeds, o.peerAddr)
 		}
-		if !slices.Contains(cfg.Peers.Ports, o.peers.Port()) {
-			cfg.Peers.Ports = append(cfg.Peers.Ports, o.peers.Port())
+		if !slices.Contains(cfg.Peers.Ports, o.peerAddr.Port()) {
+			cfg.Peers.Ports = append(cfg.Peers.Ports, o.peerAddr.Port())
 		}
 	}
 	cfg.Callers.Open, cfg.Callers.Tokens = false, nil
@@ -210,7 +210,7 @@
 	paths, _ := filepath.Glob(filepath.Join(r.dir, "*.log"))
 	var s string
 	for _, p := range paths {
-		if t := tail(p); t != "" {
+		if t := logTail(p); t != "" {
 			s += "\n" + filepath.Base(p) + ": " + t
 		}
 	}
@@ -219,7 +219,7 @@
 
 // Close ends all processes.
 func (r *Running) Close() {
-	all := slices.Concat(r.dispatchers, r.farms)
+	all := slices.Concat(r.dispatchers, r.workerStandIns)
 	if r.platform != nil {
 		all = append(all, r.platform)
 	}
--- a/load/deployment.go
+++ b/load/deployment.go
@@ -37,7 +37,7 @@
 	cfg  settings.Config
 	rows tables.Rows
 	// fixed are the dispatchers' places, when they don't follow from the VMs.
-	fixed []dispatcher
+	presetPlaces []dispatcherPlace
 }
 
 // Caller is one who submits jobs, with its share of all jobs.
@@ -65,14 +65,14 @@
 }
 
 // dispatcher is the place of one dispatcher process.
-type dispatcher struct {
-	name           string
-	vm             VM
-	callers, peers netip.AddrPort
+type dispatcherPlace struct {
+	name                 string
+	vm                   VM
+	callerAddr, peerAddr netip.AddrPort
 }
 
 // strictTOML decodes the file and refuses keys that v does not have.
-func strictTOML(path string, v any) error {
+func readStrictTOML(path string, v any) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Wrap(err, "load")
@@ -94,7 +94,7 @@
 	if filepath.Base(path) == path && filepath.Ext(path) == "" {
 		path = filepath.Join("examples", path, "deployment.toml")
 	}
-	if err := strictTOML(path, &d); err != nil {
+	if err := readStrictTOML(path, &d); err != nil {
 		return d, err
 	}
 	dir := filepath.Dir(path)
@@ -105,13 +105,13 @@
 	if d.rows, err = operator.ReadFiles([]string{filepath.Join(dir, d.Tables)}); err != nil {
 		return d, err
 	}
-	if err := d.check(); err != nil {
+	if err := d.validate(); err != nil {
 		return d, errors.Errorf("%s: %v", path, err)
 	}
 	return d, nil
 }
 
-func (d *Deployment) check() error {
+func (d *Deployment) validate() error {
 	listed := make(map[netip.AddrPort]bool, len(d.rows.Servers))
 	for _, s := range d.rows.Servers {
 		listed[s.Address] = true
@@ -137,19 +137,19 @@
 const maxDispatchers = 100
 
 // places returns where the dispatchers go: one on each VM in turn.
-func (d *Deployment) places() []dispatcher {
-	if d.fixed != nil {
-		return d.fixed
+func (d *Deployment) places() []dispatcherPlace {
+	if d.presetPlaces != nil {
+		return d.presetPlaces
 	}
-	out := make([]dispatcher, d.Dispatchers)
+	out := make([]dispatcherPlace, d.Dispatchers)
 	for i := range out {
 		vm := d.VMs[i%len(d.VMs)]
 		n := uint16(i / len(d.VMs))
-		out[i] = dispatcher{
-			name:    "hub" + itoa(int(n)),
-			vm:      vm,
-			callers: netip.AddrPortFrom(vm.Address, d.CallerPort+n),
-			peers:   netip.AddrPortFrom(vm.Address, d.PeerPort+n),
+		out[i] = dispatcherPlace{
+			name:       "hub" + itoa(int(n)),
+			vm:         vm,
+			callerAddr: netip.AddrPortFrom(vm.Address, d.CallerPort+n),
+			peerAddr:   netip.AddrPortFrom(vm.Address, d.PeerPort+n),
 		}
 	}
 	return out
@@ -158,18 +158,18 @@
 // power is the sum of cores, each weighted by its speed: the tasks' seconds of
 // service, at speed 1, that all backend servers do in a second. A deployment
 // with fewer connections than cores can't use more cores than connections.
-func (d *Deployment) power() float64 {
-	var cores, power float64
+func (d *Deployment) effectiveCores() float64 {
+	var cores, effectiveCores float64
 	for _, w := range d.Workers {
 		cores += float64(w.Cores)
-		power += float64(w.Cores) * w.Speed
+		effectiveCores += float64(w.Cores) * w.Speed
 	}
 	conns := float64(d.Dispatchers * d.cfg.Dispatch.Connections)
-	return power * min(1, conns/cores)
+	return effectiveCores * min(1, conns/cores)
 }
 
 // fastest is the highest speed of a backend server.
-func (d *Deployment) fastest() float64 {
+func (d *Deployment) maxSpeed() float64 {
 	var top float64
 	for _, w := range d.Workers {
 		top = max(top, w.Speed)
--- a/load/drive.go
+++ b/load/drive.go
@@ -11,13 +11,13 @@
 )
 
 // drive is one run of a scenario on a deployment.
-type drive struct {
+type driver struct {
 	*Running
-	clients [][]*client.Client
-	fastest float64
-	began   time.Time
-	flying  *flights
-	waves   sync.WaitGroup
+	clients   [][]*client.Client
+	maxSpeed  float64
+	startTime time.Time
+	inFlight  *inFlightJobs
+	waves     sync.WaitGroup
 
 	mu       sync.Mutex
 	outcomes []outcome
@@ -25,32 +25,32 @@
 	resubmissions int
 }
 
-func newDrive(r *Running) *drive {
-	d := &drive{Running: r, fastest: r.fastest(), flying: newFlights()}
+func newDriver(r *Running) *driver {
+	d := &driver{Running: r, maxSpeed: r.maxSpeed(), inFlight: newInFlightJobs()}
 	for _, c := range r.Callers {
-		var at []*client.Client
+		var byDispatcher []*client.Client
 		for _, p := range r.places {
-			at = append(at, client.New(client.Config{Entries: []netip.AddrPort{p.callers}, Token: c.Token}))
+			byDispatcher = append(byDispatcher, client.New(client.Config{Entries: []netip.AddrPort{p.callerAddr}, Token: c.Token}))
 		}
-		d.clients = append(d.clients, at)
+		d.clients = append(d.clients, byDispatcher)
 	}
 	return d
 }
 
 // run submits the arrivals, each at its time, carries out the actions, and
 // waits for the end of everything.
-func (d *drive) run(ctx context.Context, arrivals []arrival, actions []Action) {
-	d.began = time.Now()
+func (d *driver) run(ctx context.Context, arrivals []arrival, actions []Action) {
+	d.startTime = time.Now()
 	for _, a := range actions {
 		d.waves.Go(func() {
-			if clock.Sleep(ctx, time.Until(d.began.Add(a.At.D()))) {
+			if clock.Sleep(ctx, time.Until(d.startTime.Add(a.At.D()))) {
 				d.act(ctx, a)
 			}
 		})
 	}
 	var jobs sync.WaitGroup
 	for _, a := range arrivals {
-		if !clock.Sleep(ctx, time.Until(d.began.Add(a.at))) {
+		if !clock.Sleep(ctx, time.Until(d.startTime.Add(a.at))) {
 			break
 		}
 		jobs.Go(func() {
--- a/load/fit.go
+++ b/load/fit.go
@@ -21,30 +21,30 @@
 }
 
 // student is Student's t for a two-sided 95% by degrees of freedom, from 1.
-var student = []float64{12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306}
+var studentT95 = []float64{12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306}
 
 // flat tells that the slope can't be told from none with 95%. A line through
 // few scattered points would otherwise be drawn out to any size.
-func (f Fit) flat() bool {
+func (f Fit) isFlat() bool {
 	if f.Freedom < 1 {
 		return f.Slope <= 0
 	}
-	return f.Slope <= student[min(f.Freedom, len(student))-1]*f.SlopeError
+	return f.Slope <= studentT95[min(f.Freedom, len(studentT95))-1]*f.SlopeError
 }
 
 // weight is how much a point counts in a fit.
-type weight func(p Point) float64
+type pointWeight func(p Point) float64
 
 // absolute makes the fit minimise the squares of the errors, relative those of
 // the errors as shares of Y: over sizes of several magnitudes the largest would
 // otherwise decide alone.
 var (
-	absolute weight = func(Point) float64 { return 1 }
-	relative weight = func(p Point) float64 { return 1 / max(p.Y*p.Y, 1e-12) }
+	absoluteErrors pointWeight = func(Point) float64 { return 1 }
+	relativeErrors pointWeight = func(p Point) float64 { return 1 / max(p.Y*p.Y, 1e-12) }
 )
 
 // fit returns the line through the points; there must be two with different X.
-func fit(points []Point, w weight) Fit {
+func fit(points []Point, w pointWeight) Fit {
 	var sum, mx, my float64
 	for _, p := range points {
 		sum += w(p)
@@ -60,19 +60,19 @@
 	}
 	f := Fit{Slope: sxy / sxx, R2: 1, Mean: my, Freedom: len(points) - 2}
 	f.Intercept = my - f.Slope*mx
-	rest := max(syy-f.Slope*sxy, 0)
+	residual := max(syy-f.Slope*sxy, 0)
 	if n := float64(len(points)); n > 2 {
-		f.SlopeError = math.Sqrt(rest / (n - 2) / sxx)
+		f.SlopeError = math.Sqrt(residual / (n - 2) / sxx)
 	}
 	if syy > 0 {
-		f.R2 = 1 - rest/syy
+		f.R2 = 1 - residual/syy
 	}
 	return f
 }
 
 // At is the line's value at x, and the mean where the line is flat.
 func (f Fit) At(x float64) float64 {
-	if f.flat() {
+	if f.isFlat() {
 		return f.Mean
 	}
 	return f.Intercept + f.Slope*x
@@ -93,7 +93,7 @@
 	Fit    Fit     `json:"fit"`
 }
 
-func newSlope(name, x, y string, points []Point, w weight) Slope {
+func newSlope(name, x, y string, points []Point, w pointWeight) Slope {
 	s := Slope{Name: name, X: x, Y: y, Points: points}
 	if len(points) > 1 {
 		s.Fit = fit(points, w)
--- a/load/fit_test.go
+++ b/load/fit_test.go
@@ -6,18 +6,18 @@
 	tests := []struct {
 		name   string
 		points []Point
-		w      weight
+		w      pointWeight
 		want   Fit
 		at10   float64
 	}{
-		{"two points", []Point{{0, 1}, {2, 5}}, absolute, Fit{Slope: 2, Intercept: 1, R2: 1}, 21},
-		{"on a line", []Point{{1, 3}, {2, 5}, {3, 7}}, absolute, Fit{Slope: 2, Intercept: 1, R2: 1}, 21},
-		{"flat", []Point{{1, 4}, {2, 4}, {3, 4}}, absolute, Fit{Intercept: 4, R2: 1}, 4},
+		{"two points", []Point{{0, 1}, {2, 5}}, absoluteErrors, Fit{Slope: 2, Intercept: 1, R2: 1}, 21},
+		{"on a line", []Point{{1, 3}, {2, 5}, {3, 7}}, absoluteErrors, Fit{Slope: 2, Intercept: 1, R2: 1}, 21},
+		{"flat", []Point{{1, 4}, {2, 4}, {3, 4}}, absoluteErrors, Fit{Intercept: 4, R2: 1}, 4},
 		// Worked by hand: means 2 and 2, Sxx 2, Sxy 1, Syy 2, rest 1.5.
-		{"scattered", []Point{{1, 1}, {2, 3}, {3, 2}}, absolute, Fit{Slope: 0.5, Intercept: 1, SlopeError: 0.8660254, R2: 0.25}, 2},
+		{"scattered", []Point{{1, 1}, {2, 3}, {3, 2}}, absoluteErrors, Fit{Slope: 0.5, Intercept: 1, SlopeError: 0.8660254, R2: 0.25}, 2},
 		// Worked by hand: weights 1, 1/4 and 1/100, means 127/126 and 160/126,
 		// Sxx 0.00992063, Sxy 0.0873016, Syy 0.968254, rest 0.2.
-		{"relative", []Point{{1, 1}, {1, 2}, {2, 10}}, relative, Fit{Slope: 8.8, Intercept: -7.6, SlopeError: 4.4899889, R2: 0.7934426}, 160.0 / 126},
+		{"relative", []Point{{1, 1}, {1, 2}, {2, 10}}, relativeErrors, Fit{Slope: 8.8, Intercept: -7.6, SlopeError: 4.4899889, R2: 0.7934426}, 160.0 / 126},
 	}
 	for _, tt := range tests {
 		f := fit(tt.points, tt.w)
--- a/load/flight.go
+++ b/load/flight.go
@@ -9,44 +9,44 @@
 )
 
 // flight is a job that has been submitted and has no final answer.
-type flight struct {
+type inFlightJob struct {
 	id     ticket.JobID
 	caller int
 	spec   job.Spec
 	// home is the dispatcher that owns the job.
-	home int
+	owner int
 }
 
 // flights is the jobs in flight.
-type flights struct {
-	mu        sync.Mutex
-	m         map[string]flight
-	cancelled map[string]bool
-	again     map[string][]job.Answer
+type inFlightJobs struct {
+	mu              sync.Mutex
+	jobs            map[string]inFlightJob
+	cancelled       map[string]bool
+	resubmitAnswers map[string][]job.Answer
 }
 
-func newFlights() *flights {
-	return &flights{m: make(map[string]flight), cancelled: make(map[string]bool), again: make(map[string][]job.Answer)}
+func newInFlightJobs() *inFlightJobs {
+	return &inFlightJobs{jobs: make(map[string]inFlightJob), cancelled: make(map[string]bool), resubmitAnswers: make(map[string][]job.Answer)}
 }
 
-func (f *flights) add(id string, j flight) {
+func (f *inFlightJobs) add(id string, j inFlightJob) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.m[id] = j
+	f.jobs[id] = j
 }
 
-func (f *flights) remove(id string) {
+func (f *inFlightJobs) remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.m, id)
+	delete(f.jobs, id)
 }
 
 // pick returns a random share of the jobs in flight.
-func (f *flights) pick(share float64) []flight {
+func (f *inFlightJobs) pickRandom(share float64) []inFlightJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []flight
-	for _, j := range f.m {
+	var out []inFlightJob
+	for _, j := range f.jobs {
 		if rand.Float64() < share {
 			out = append(out, j)
 		}
@@ -54,21 +54,21 @@
 	return out
 }
 
-func (f *flights) cancel(id string) {
+func (f *inFlightJobs) markCancelled(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancelled[id] = true
 }
 
-func (f *flights) wasCancelled(id string) bool {
+func (f *inFlightJobs) wasCancelled(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cancelled[id]
 }
 
 // repeated keeps the answer to a resubmission.
-func (f *flights) repeated(id string, a job.Answer) {
+func (f *inFlightJobs) addResubmitAnswer(id string, a job.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.again[id] = append(f.again[id], a)
+	f.resubmitAnswers[id] = append(f.resubmitAnswers[id], a)
 }
--- a/load/losscause.go
+++ b/load/losscause.go
@@ -4,136 +4,136 @@
 
 // The causes that are not a refusal's own word.
 const (
-	inTime     = "in time"
-	lateRoom   = "late: waited for a worker"
-	lateWorker = "late: long on the worker"
-	lateMail   = "late: messages"
-	lateBroken = "late: after a run that was "
-	lateReturn = "late: sent again, first in no log"
-	lateAnswer = "late: sent again, first answer lost"
-	lateEntry  = "late: sent again, first entry lost"
-	cutLate    = "late: in flight at a cut"
-	cutOff     = "in flight at a cut: "
-	deadEntry  = "lost with its entry"
-	noAnswer   = "no answer"
-	noProcess  = "in no log"
-	noneByRate = "in no log, by the day's rate"
-	givenUp    = "given up: "
-	refusedAt  = "refused in time: "
-	refusedLo  = "refused late: "
+	causeInTime            = "in time"
+	causeLateWaiting       = "late: waited for a worker"
+	causeLateOnWorker      = "late: long on the worker"
+	causeLateMessages      = "late: messages"
+	causeLateFailedRun     = "late: after a run that was "
+	causeLateFirstUnlogged = "late: sent again, first in no log"
+	causeLateAnswerLost    = "late: sent again, first answer lost"
+	causeLateEntryLost     = "late: sent again, first entry lost"
+	causeLateAtCut         = "late: in flight at a cut"
+	causeCutOff            = "in flight at a cut: "
+	causeEntryLost         = "lost with its entry"
+	causeNoAnswer          = "no answer"
+	causeUnlogged          = "in no log"
+	causeUnloggedByRate    = "in no log, by the day's rate"
+	causeGivenUp           = "given up: "
+	causeRefusedInTime     = "refused in time: "
+	causeRefusedLate       = "refused late: "
 )
 
 const (
 	// lateRefusal is the part of its objective after which a refusal is late: the caller
 	// could have gone elsewhere.
-	lateRefusal = 0.25
+	lateRefusalThreshold = 0.25
 	// lateWorth is the part of its worth that a late answer earns unless told otherwise.
-	lateWorth = 0.2
+	defaultLateWorth = 0.2
 	// lateMost is how many objectives after it was sent a late answer is worth nothing.
-	lateMost = 3
+	maxLateObjectives = 3
 	// workShare is the part of the time that is left for a task that its work may take
 	// without being a delay.
-	workShare = 2.0 / 3
+	undelayedWorkShare = 2.0 / 3
 )
 
 // cause returns the one cause of what became of a job.
-func (j *lostJob) cause() string {
+func (j *loggedJob) cause() string {
 	f, ok := j.final()
 	switch {
-	case !ok && j.dead:
-		return deadEntry
+	case !ok && j.entryDied:
+		return causeEntryLost
 	case !ok:
-		return noAnswer
-	case f.status == "refused" && f.at.Sub(j.first) > time.Duration(lateRefusal*float64(j.aim)):
-		return refusedLo + f.why
+		return causeNoAnswer
+	case f.status == "refused" && f.at.Sub(j.firstSeen) > time.Duration(lateRefusalThreshold*float64(j.objective)):
+		return causeRefusedLate + f.why
 	case f.status == "refused":
-		return refusedAt + f.why
-	case f.status != "completed" && j.cut:
-		return cutOff + f.why
+		return causeRefusedInTime + f.why
+	case f.status != "completed" && j.entryCutOff:
+		return causeCutOff + f.why
 	case f.status != "completed":
-		return givenUp + f.why
-	case f.at.Sub(j.sent()) <= j.aim:
-		return inTime
+		return causeGivenUp + f.why
+	case f.at.Sub(j.sent()) <= j.objective:
+		return causeInTime
 	}
-	return j.lateness(f)
+	return j.lateCause(f)
 }
 
 // lateness returns why a job was answered late.
-func (j *lostJob) lateness(f jobAnswer) string {
+func (j *loggedJob) lateCause(f jobAnswer) string {
 	switch {
-	case j.away > 0:
-		return lateReturn
-	case len(j.admitted) > 1 && j.answers[0].at.Before(j.admitted[len(j.admitted)-1]):
-		return lateAnswer
-	case len(j.admitted) > 1:
-		return lateEntry
-	case j.cut:
-		return cutLate
-	case j.broken != "":
-		return lateBroken + j.broken
+	case j.waitedBefore > 0:
+		return causeLateFirstUnlogged
+	case len(j.admittedAt) > 1 && j.answers[0].at.Before(j.admittedAt[len(j.admittedAt)-1]):
+		return causeLateAnswerLost
+	case len(j.admittedAt) > 1:
+		return causeLateEntryLost
+	case j.entryCutOff:
+		return causeLateAtCut
+	case j.runFailure != "":
+		return causeLateFailedRun + j.runFailure
 	}
-	return j.longest(f.at.Sub(j.first))
+	return j.longestDelay(f.at.Sub(j.firstSeen))
 }
 
 // longest returns what held the last task up longest.
-func (j *lostJob) longest(age time.Duration) string {
-	if j.last == nil || j.last.granted.IsZero() {
-		return lateMail
+func (j *loggedJob) longestDelay(age time.Duration) string {
+	if j.lastRun == nil || j.lastRun.grantedAt.IsZero() {
+		return causeLateMessages
 	}
-	waited := j.last.granted.Sub(j.first)
-	mail := age - waited - j.last.took
+	waited := j.lastRun.grantedAt.Sub(j.firstSeen)
+	messages := age - waited - j.lastRun.took
 	// What the work would have taken in time at the most is no delay.
-	left := max(j.aim-mail-waited, 0)
-	over := j.last.took - time.Duration(workShare*float64(left))
-	switch max(waited, mail, over) {
+	remaining := max(j.objective-messages-waited, 0)
+	excess := j.lastRun.took - time.Duration(undelayedWorkShare*float64(remaining))
+	switch max(waited, messages, excess) {
 	case waited:
-		return lateRoom
-	case over:
-		return lateWorker
+		return causeLateWaiting
+	case excess:
+		return causeLateOnWorker
 	}
-	return lateMail
+	return causeLateMessages
 }
 
 // credit is the part of its worth that a job earns: all in time, the part that a late
 // answer is worth for some while after, nothing otherwise.
-func (j *lostJob) credit(late float64) float64 {
+func (j *loggedJob) credit(lateWorth float64) float64 {
 	f, ok := j.final()
 	if !ok || f.status != "completed" {
 		return 0
 	}
 	switch age := f.at.Sub(j.sent()); {
-	case age <= j.aim:
+	case age <= j.objective:
 		return 1
-	case age <= lateMost*j.aim:
-		return late
+	case age <= maxLateObjectives*j.objective:
+		return lateWorth
 	}
 	return 0
 }
 
 const (
 	// weightLeast is what a job counts whatever its work, of its queue's mean.
-	weightLeast = 0.3
+	minWeight = 0.3
 	// weightMost bounds what a job counts, in means of its queue.
-	weightMost = 4
+	maxWeight = 4
 )
 
 // weigh returns what a job counts: its work over its queue's mean, within bounds, times
 // what the queue's jobs are worth.
-func (a *account) weigh() map[*lostJob]float64 {
+func (a *lossAccount) jobWeights() map[*loggedJob]float64 {
 	sum, n := make(map[string]float64), make(map[string]float64)
 	for _, j := range a.jobs {
-		if j.load() > 0 {
-			sum[j.queue] += j.load()
+		if j.cpuWork() > 0 {
+			sum[j.queue] += j.cpuWork()
 			n[j.queue]++
 		}
 	}
-	out := make(map[*lostJob]float64, len(a.jobs))
+	out := make(map[*loggedJob]float64, len(a.jobs))
 	for _, j := range a.jobs {
 		// A job of unknown work counts like the mean.
 		out[j] = 1
-		if j.load() > 0 {
+		if j.cpuWork() > 0 {
 			mean := sum[j.queue] / n[j.queue]
-			out[j] = min(weightLeast+(1-weightLeast)*j.load()/mean, weightMost)
+			out[j] = min(minWeight+(1-minWeight)*j.cpuWork()/mean, maxWeight)
 		}
 	}
 	whole := make(map[string]float64)
@@ -151,4 +151,4 @@
 }
 
 // load is the work of all tasks together, in seconds of thousandths of a core.
-func (j *lostJob) load() float64 { return j.work.Seconds() * float64(j.tasks) * float64(j.cpu) }
+func (j *loggedJob) cpuWork() float64 { return j.work.Seconds() * float64(j.tasks) * float64(j.cpu) }
--- a/load/losses.go
+++ b/load/losses.go
@@ -27,19 +27,19 @@
 			"times in which no process ran, or as the callers say.",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "windows", Value: 6, Usage: "how many of the worst windows of two seconds to show"},
-			&cli.FloatFlag{Name: "late", Value: lateWorth, Usage: "the part that an answer earns which is late, up to three objectives"},
+			&cli.FloatFlag{Name: "late", Value: defaultLateWorth, Usage: "the part that an answer earns which is late, up to three objectives"},
 			&cli.StringMapFlag{Name: "worth", Usage: "QUEUE=NUMBER, what a job of a queue is worth, for each queue; without it, all queues together are worth the same"},
 			&cli.IntFlag{Name: "asked", Usage: "how many jobs the callers say they sent; those in no log count as lost in the whole"},
 			&cli.StringFlag{Name: "plot", Usage: "FILE.svg or FILE.png: what was served and lost over the seconds of the day"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			a := newAccount()
-			a.late, a.asked = c.Float("late"), c.Int("asked")
-			if err := a.read(c.Root().Reader, c.Args().Slice()); err != nil {
+			a := newLossAccount()
+			a.lateWorth, a.reportedJobs = c.Float("late"), c.Int("asked")
+			if err := a.readLogs(c.Root().Reader, c.Args().Slice()); err != nil {
 				return err
 			}
-			a.settle()
-			if err := a.value(c.StringMap("worth")); err != nil {
+			a.resolve()
+			if err := a.setWorth(c.StringMap("worth")); err != nil {
 				return err
 			}
 			a.print(c.Root().Writer, c.Int("windows"))
@@ -52,12 +52,12 @@
 }
 
 // read reads the files, or r without any.
-func (a *account) read(r io.Reader, files []string) error {
+func (a *lossAccount) readLogs(r io.Reader, files []string) error {
 	if len(files) == 0 {
-		return readLog(r, "", a.take)
+		return readLog(r, "", a.addLine)
 	}
 	for _, name := range files {
-		if err := a.file(name); err != nil {
+		if err := a.readFile(name); err != nil {
 			return err
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 // value takes what a job of each queue is worth.
-func (a *account) value(worth map[string]string) error {
+func (a *lossAccount) setWorth(worth map[string]string) error {
 	if len(worth) == 0 {
 		return nil
 	}
@@ -86,22 +86,22 @@
 }
 
 // share is what became of a group of jobs, in parts of what they were worth.
-type share struct {
+type lossShare struct {
 	jobs   int
 	served float64
 	causes map[string]float64
 }
 
 // split divides the jobs by cause, in groups. The causes of each add up to 1.
-func (a *account) split(group func(*lostJob) string) map[string]*share {
-	out, whole := make(map[string]*share), make(map[string]float64)
-	for j, w := range a.weigh() {
+func (a *lossAccount) splitBy(group func(*loggedJob) string) map[string]*lossShare {
+	out, whole := make(map[string]*lossShare), make(map[string]float64)
+	for j, w := range a.jobWeights() {
 		g := group(j)
 		if out[g] == nil {
-			out[g] = &share{causes: make(map[string]float64)}
+			out[g] = &lossShare{causes: make(map[string]float64)}
 		}
 		out[g].jobs++
-		out[g].served += w * j.credit(a.late)
+		out[g].served += w * j.credit(a.lateWorth)
 		out[g].causes[j.cause()] += w
 		whole[g] += w
 	}
@@ -115,10 +115,10 @@
 }
 
 // window is the length of the windows of which the worst are shown.
-const window = 2 * time.Second
+const lossWindow = 2 * time.Second
 
 // begin returns when the first job was sent.
-func (a *account) begin() time.Time {
+func (a *lossAccount) firstSent() time.Time {
 	var first time.Time
 	for _, j := range a.jobs {
 		if first.IsZero() || j.sent().Before(first) {
@@ -129,17 +129,17 @@
 }
 
 // whole is all jobs together, with those that callers sent and no log has.
-func (a *account) whole() map[string]*share {
-	parts := a.split(func(*lostJob) string { return "all" })
-	s, asked, cause := parts["all"], a.asked, noProcess
-	if asked == 0 {
-		asked, cause = len(a.jobs)+a.unseen(), noneByRate
+func (a *lossAccount) total() map[string]*lossShare {
+	parts := a.splitBy(func(*loggedJob) string { return "all" })
+	s, jobs, cause := parts["all"], a.reportedJobs, causeUnlogged
+	if jobs == 0 {
+		jobs, cause = len(a.jobs)+a.unseenJobs(), causeUnloggedByRate
 	}
-	if s == nil || asked <= s.jobs {
+	if s == nil || jobs <= s.jobs {
 		return parts
 	}
-	part := float64(s.jobs) / float64(asked)
-	s.jobs = asked
+	part := float64(s.jobs) / float64(jobs)
+	s.jobs = jobs
 	s.served *= part
 	for c := range s.causes {
 		s.causes[c] *= part
@@ -148,20 +148,20 @@
 	return parts
 }
 
-func (a *account) print(w io.Writer, windows int) {
-	show(w, "whole", a.whole(), 1, byName)
-	show(w, "queue", a.split(func(j *lostJob) string { return j.queue }), rowsMost, byName)
-	show(w, "data centre", a.split(func(j *lostJob) string { return j.place }), rowsMost, byName)
-	show(w, "tasks", a.split(func(j *lostJob) string { return widths(j.tasks) }), rowsMost, byName)
-	begin := a.begin()
-	seconds := a.split(func(j *lostJob) string {
-		return fmt.Sprintf("%3d", int(j.sent().Sub(begin)/window)*int(window/time.Second))
+func (a *lossAccount) print(w io.Writer, windows int) {
+	printTable(w, "whole", a.total(), 1, byName)
+	printTable(w, "queue", a.splitBy(func(j *loggedJob) string { return j.queue }), maxTableRows, byName)
+	printTable(w, "data centre", a.splitBy(func(j *loggedJob) string { return j.dataCenter }), maxTableRows, byName)
+	printTable(w, "tasks", a.splitBy(func(j *loggedJob) string { return taskRange(j.tasks) }), maxTableRows, byName)
+	begin := a.firstSent()
+	seconds := a.splitBy(func(j *loggedJob) string {
+		return fmt.Sprintf("%3d", int(j.sent().Sub(begin)/lossWindow)*int(lossWindow/time.Second))
 	})
-	show(w, "from second", seconds, windows, byLoss)
+	printTable(w, "from second", seconds, windows, byLoss)
 }
 
 // widths groups jobs by their tasks.
-func widths(tasks int) string {
+func taskRange(tasks int) string {
 	switch {
 	case tasks == 1:
 		return "1"
@@ -173,9 +173,9 @@
 	return "9 and more"
 }
 
-func byName(_ map[string]*share) func(x, y string) int { return cmp.Compare[string] }
+func byName(_ map[string]*lossShare) func(x, y string) int { return cmp.Compare[string] }
 
-func byLoss(s map[string]*share) func(x, y string) int {
+func byLoss(s map[string]*lossShare) func(x, y string) int {
 	return func(x, y string) int {
 		return cmp.Or(cmp.Compare(s[x].served, s[y].served), cmp.Compare(x, y))
 	}
@@ -183,28 +183,28 @@
 
 const (
 	// rowsMost is how many rows a table shows.
-	rowsMost = 20
+	maxTableRows = 20
 	// causesMost is how many causes a row shows; the rest are added up.
-	causesMost = 5
+	maxRowCauses = 5
 )
 
 // show writes a table of what was served and lost.
-func show(w io.Writer, title string, parts map[string]*share, most int, order func(map[string]*share) func(x, y string) int) {
+func printTable(w io.Writer, title string, parts map[string]*lossShare, maxRows int, order func(map[string]*lossShare) func(x, y string) int) {
 	names := slices.SortedFunc(maps.Keys(parts), order(parts))
-	fmt.Fprintf(w, "%-14s %6s %8s %8s  not in time\n", title, "jobs", "served", inTime)
-	for _, g := range names[:min(most, len(names))] {
+	fmt.Fprintf(w, "%-14s %6s %8s %8s  not in time\n", title, "jobs", "served", causeInTime)
+	for _, g := range names[:min(maxRows, len(names))] {
 		s := parts[g]
-		fmt.Fprintf(w, "%-14s %6d %8.3f %8.3f  %s\n", g, s.jobs, s.served, s.causes[inTime], s.lost())
+		fmt.Fprintf(w, "%-14s %6d %8.3f %8.3f  %s\n", g, s.jobs, s.served, s.causes[causeInTime], s.formatLosses())
 	}
 	fmt.Fprintln(w)
 }
 
 // lost lists what was not in time, the greatest part first.
-func (s *share) lost() string {
-	names := greatest(s.causes)
+func (s *lossShare) formatLosses() string {
+	names := largestLosses(s.causes)
 	out, rest := "", 0.0
 	for i, n := range names {
-		if i >= causesMost {
+		if i >= maxRowCauses {
 			rest += s.causes[n]
 			continue
 		}
@@ -217,9 +217,9 @@
 }
 
 // greatest returns the causes but "in time", the greatest first.
-func greatest(causes map[string]float64) []string {
+func largestLosses(causes map[string]float64) []string {
 	lost := maps.Clone(causes)
-	delete(lost, inTime)
+	delete(lost, causeInTime)
 	return slices.SortedFunc(maps.Keys(lost), func(x, y string) int {
 		return cmp.Or(cmp.Compare(lost[y], lost[x]), cmp.Compare(x, y))
 	})
--- a/load/losses_test.go
+++ b/load/losses_test.go
@@ -39,33 +39,33 @@
 `
 
 func TestLossesHaveOneCauseEach(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(dayLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(dayLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	for _, c := range []struct{ job, cause, place string }{
-		{"a", inTime, "dc1"},
-		{"b", inTime, "dc1"},
-		{"c", lateWorker, "dc1"},
-		{"d", lateRoom, "dc2"},
-		{"e", refusedAt + "others_first", "dc2"},
-		{"f", noAnswer, "dc2"},
+	a.resolve()
+	for _, c := range []struct{ job, cause, dataCenter string }{
+		{"a", causeInTime, "dc1"},
+		{"b", causeInTime, "dc1"},
+		{"c", causeLateOnWorker, "dc1"},
+		{"d", causeLateWaiting, "dc2"},
+		{"e", causeRefusedInTime + "others_first", "dc2"},
+		{"f", causeNoAnswer, "dc2"},
 	} {
 		j := a.jobs[c.job]
-		if got := j.cause(); got != c.cause || j.place != c.place {
-			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.place, c.cause, c.place)
+		if got := j.cause(); got != c.cause || j.dataCenter != c.dataCenter {
+			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.dataCenter, c.cause, c.dataCenter)
 		}
 	}
 }
 
 func TestLossesAddUp(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(dayLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(dayLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	for place, s := range a.split(func(j *lostJob) string { return j.place }) {
+	a.resolve()
+	for place, s := range a.splitBy(func(j *loggedJob) string { return j.dataCenter }) {
 		sum := 0.0
 		for _, v := range s.causes {
 			sum += v
@@ -115,28 +115,28 @@
 // job is told by the lines of others: a process that goes on writing was cut off, one that
 // does not has ended.
 func TestLossesOfTrouble(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(troubleLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(troubleLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
+	a.resolve()
 	for _, c := range []struct {
 		job, cause string
 		credit     float64
 	}{
-		{"cut", cutOff + "caller_left", 0},
-		{"late", cutLate, 0.2},
-		{"dead", deadEntry, 0},
-		{"again", lateEntry, 0},
-		{"busy", lateRoom, 0},
-		{"twice", lateAnswer, 0},
-		{"slow", refusedLo + "planner_silent", 0},
-		{"ends", refusedAt + "process_ends", 0},
-		{"open", noAnswer, 0},
+		{"cut", causeCutOff + "caller_left", 0},
+		{"late", causeLateAtCut, 0.2},
+		{"dead", causeEntryLost, 0},
+		{"again", causeLateEntryLost, 0},
+		{"busy", causeLateWaiting, 0},
+		{"twice", causeLateAnswerLost, 0},
+		{"slow", causeRefusedLate + "planner_silent", 0},
+		{"ends", causeRefusedInTime + "process_ends", 0},
+		{"open", causeNoAnswer, 0},
 	} {
 		j := a.jobs[c.job]
-		if got := j.cause(); got != c.cause || j.credit(lateWorth) != c.credit {
-			t.Errorf("job %s: %q, earns %v, want %q, %v", c.job, got, j.credit(lateWorth), c.cause, c.credit)
+		if got := j.cause(); got != c.cause || j.credit(defaultLateWorth) != c.credit {
+			t.Errorf("job %s: %q, earns %v, want %q, %v", c.job, got, j.credit(defaultLateWorth), c.cause, c.credit)
 		}
 	}
 }
@@ -158,20 +158,20 @@
 			t.Fatal(err)
 		}
 	}
-	a := newAccount()
-	if err := a.read(nil, names); err != nil {
+	a := newLossAccount()
+	if err := a.readLogs(nil, names); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	for _, c := range []struct{ job, cause, place string }{
-		{"again", lateEntry, "dc3"},
-		{"twice", lateAnswer, "dc1"},
-		{"dead", deadEntry, "dc3"},
-		{"cut", cutOff + "caller_left", "dc1"},
+	a.resolve()
+	for _, c := range []struct{ job, cause, dataCenter string }{
+		{"again", causeLateEntryLost, "dc3"},
+		{"twice", causeLateAnswerLost, "dc1"},
+		{"dead", causeEntryLost, "dc3"},
+		{"cut", causeCutOff + "caller_left", "dc1"},
 	} {
 		j := a.jobs[c.job]
-		if got := j.cause(); got != c.cause || j.place != c.place {
-			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.place, c.cause, c.place)
+		if got := j.cause(); got != c.cause || j.dataCenter != c.dataCenter {
+			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.dataCenter, c.cause, c.dataCenter)
 		}
 	}
 }
@@ -179,35 +179,35 @@
 // limitDay is a day of 200 jobs of 100 to 300 ms, each of one task, half of them on workers
 // that take twice as long. Estimates are off to either side. limit returns what callers wait
 // for a job with an objective.
-func limitDay(limit func(aim time.Duration) time.Duration) *account {
-	a := newAccount()
+func dayWithTimeouts(timeoutOf func(aim time.Duration) time.Duration) *lossAccount {
+	a := newLossAccount()
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for i := range 200 {
 		work := 100*time.Millisecond + time.Duration(i)*time.Millisecond
-		guess := time.Duration(float64(work) * []float64{0.6, 1.4, 1}[i%3])
+		estimate := time.Duration(float64(work) * []float64{0.6, 1.4, 1}[i%3])
 		factor := float64(1 + i%2)
-		a.oneTask(fmt.Sprint(i), begin.Add(time.Duration(i)*time.Second/10), guess, limit(aimOf(work)), factor,
+		a.addOneTaskJob(fmt.Sprint(i), begin.Add(time.Duration(i)*time.Second/10), estimate, timeoutOf(objectiveOf(work)), factor,
 			time.Duration(float64(work)*factor))
 	}
 	return a
 }
 
 // aimOf is the objective of some work.
-func aimOf(work time.Duration) time.Duration { return 60*time.Millisecond + 2*work }
+func objectiveOf(work time.Duration) time.Duration { return 60*time.Millisecond + 2*work }
 
 // oneTask adds a job whose only task took some time.
-func (a *account) oneTask(id string, at time.Time, guess, limit time.Duration, factor float64, took time.Duration) {
+func (a *lossAccount) addOneTaskJob(id string, at time.Time, estimate, timeout time.Duration, factor float64, took time.Duration) {
 	worker := fmt.Sprintf("w%v", factor)
 	for _, l := range []logLine{
 		{
-			Time: at, Event: 920, Job: id, Queue: "q", Tasks: 1, CPU: 10, GuessMS: guess.Milliseconds(),
-			AimMS: aimOf(guess).Milliseconds(), PatienceMS: limit.Milliseconds(),
+			Time: at, Event: 920, Job: id, Queue: "q", Tasks: 1, CPU: 10, EstimateMS: estimate.Milliseconds(),
+			ObjectiveMS: objectiveOf(estimate).Milliseconds(), TimeoutMS: timeout.Milliseconds(),
 		},
 		{Time: at, Event: 924, Job: id, Task: id + ".0", Worker: worker, Factor: factor},
 		{Time: at.Add(took), Event: 925, Job: id, Task: id + ".0", Worker: worker, How: "done", TookMS: took.Milliseconds()},
 		{Time: at.Add(took), Event: 922, Job: id, Status: "completed"},
 	} {
-		a.take("vm", l)
+		a.addLine("vm", l)
 	}
 }
 
@@ -223,31 +223,31 @@
 	begin := time.Date(2026, 1, 1, 0, 1, 0, 0, time.UTC)
 	const work = 200 * time.Millisecond
 	for _, c := range []struct {
-		name  string
-		limit func(time.Duration) time.Duration
+		name      string
+		timeoutOf func(time.Duration) time.Duration
 		// guess and took are of the job that is looked at, less what its limit lacks.
-		guess, took, less time.Duration
-		cause             string
-		away              time.Duration
+		estimate, took, shortBy time.Duration
+		cause                   string
+		waitedBefore            time.Duration
 	}{
-		{"as estimated", follows, work, work, 0, inTime, 0},
-		{"estimated too long", follows, 2 * work, work, 0, inTime, 0},
-		{"long on a worker that nobody knew to be slow", follows, work, 5 * work, 0, lateWorker, 0},
-		{"sent before", follows, work, work, 1300 * time.Millisecond, lateReturn, 1300 * time.Millisecond},
-		{"a limit that tells nothing: long work", fixed, work, 5 * work, 0, inTime, 0},
-		{"limits that scatter", scattered, work, 5 * work, 0, inTime, 0},
-		{"a limit that tells nothing: short", fixed, work, work, 1300 * time.Millisecond, inTime, 0},
+		{"as estimated", follows, work, work, 0, causeInTime, 0},
+		{"estimated too long", follows, 2 * work, work, 0, causeInTime, 0},
+		{"long on a worker that nobody knew to be slow", follows, work, 5 * work, 0, causeLateOnWorker, 0},
+		{"sent before", follows, work, work, 1300 * time.Millisecond, causeLateFirstUnlogged, 1300 * time.Millisecond},
+		{"a limit that tells nothing: long work", fixed, work, 5 * work, 0, causeInTime, 0},
+		{"limits that scatter", scattered, work, 5 * work, 0, causeInTime, 0},
+		{"a limit that tells nothing: short", fixed, work, work, 1300 * time.Millisecond, causeInTime, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := limitDay(c.limit)
-			a.oneTask("it", begin, c.guess, c.limit(aimOf(work))-c.less, 1, c.took)
-			a.settle()
+			a := dayWithTimeouts(c.timeoutOf)
+			a.addOneTaskJob("it", begin, c.estimate, c.timeoutOf(objectiveOf(work))-c.shortBy, 1, c.took)
+			a.resolve()
 			j := a.jobs["it"]
 			if got := j.cause(); got != c.cause {
 				t.Errorf("%q, want %q", got, c.cause)
 			}
-			if off := (j.away - c.away).Abs(); off > 100*time.Millisecond {
-				t.Errorf("had waited %v, want %v", j.away, c.away)
+			if off := (j.waitedBefore - c.waitedBefore).Abs(); off > 100*time.Millisecond {
+				t.Errorf("had waited %v, want %v", j.waitedBefore, c.waitedBefore)
 			}
 		})
 	}
@@ -255,22 +255,22 @@
 
 // A job refused or lost has no work that was measured: the limit tells it.
 func TestLimitTellsWorkOfRefused(t *testing.T) {
-	a := limitDay(func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim })
+	a := dayWithTimeouts(func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim })
 	at := time.Date(2026, 1, 1, 0, 1, 0, 0, time.UTC)
-	const work, guess = 250 * time.Millisecond, 120 * time.Millisecond
-	limit := 1500*time.Millisecond + 3*aimOf(work)
-	a.take("vm", logLine{
-		Time: at, Event: 920, Job: "it", Queue: "q", Tasks: 1, CPU: 10, GuessMS: guess.Milliseconds(),
-		AimMS: aimOf(guess).Milliseconds(), PatienceMS: limit.Milliseconds(),
+	const work, estimate = 250 * time.Millisecond, 120 * time.Millisecond
+	timeout := 1500*time.Millisecond + 3*objectiveOf(work)
+	a.addLine("vm", logLine{
+		Time: at, Event: 920, Job: "it", Queue: "q", Tasks: 1, CPU: 10, EstimateMS: estimate.Milliseconds(),
+		ObjectiveMS: objectiveOf(estimate).Milliseconds(), TimeoutMS: timeout.Milliseconds(),
 	})
-	a.take("vm", logLine{Time: at, Event: 922, Job: "it", Status: "refused", Why: "others_first"})
-	a.settle()
+	a.addLine("vm", logLine{Time: at, Event: 922, Job: "it", Status: "refused", Why: "others_first"})
+	a.resolve()
 	j := a.jobs["it"]
 	if off := math.Abs(float64(j.work)/float64(work) - 1); off > 0.05 {
 		t.Errorf("work %v, want %v", j.work, work)
 	}
-	if off := math.Abs(float64(j.aim)/float64(aimOf(work)) - 1); off > 0.05 {
-		t.Errorf("objective %v, want %v", j.aim, aimOf(work))
+	if off := math.Abs(float64(j.objective)/float64(objectiveOf(work)) - 1); off > 0.05 {
+		t.Errorf("objective %v, want %v", j.objective, objectiveOf(work))
 	}
 }
 
@@ -289,19 +289,19 @@
 		{"not a number", map[string]string{"q": "2", "r": "much"}, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newAccount()
+			a := newLossAccount()
 			at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			for i, queue := range []string{"q", "q", "r"} {
-				a.take("vm", logLine{
+				a.addLine("vm", logLine{
 					Time: at, Event: 920, Job: fmt.Sprint(i), Queue: queue, Tasks: []int{1, 3, 7}[i], CPU: 1000,
-					GuessMS: 100, AimMS: 220,
+					EstimateMS: 100, ObjectiveMS: 220,
 				})
 			}
-			a.settle()
-			if err := a.value(c.worth); (err == nil) != c.ok {
+			a.resolve()
+			if err := a.setWorth(c.worth); (err == nil) != c.ok {
 				t.Fatalf("value: %v", err)
 			}
-			w := a.weigh()
+			w := a.jobWeights()
 			for i, want := range c.want {
 				if got := w[a.jobs[fmt.Sprint(i)]]; math.Abs(got-want) > 1e-9 {
 					t.Errorf("job %d counts %v, want %v", i, got, want)
@@ -314,15 +314,15 @@
 // Jobs that callers sent and no process ever saw are in no log; told how many there were,
 // the account counts them as lost.
 func TestLossesCountAsked(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(dayLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(dayLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	before := a.whole()["all"]
-	a.asked = 8
-	s := a.whole()["all"]
-	if s.jobs != 8 || math.Abs(s.causes[noProcess]-0.25) > 1e-9 || math.Abs(s.served-before.served*0.75) > 1e-9 {
+	a.resolve()
+	before := a.total()["all"]
+	a.reportedJobs = 8
+	s := a.total()["all"]
+	if s.jobs != 8 || math.Abs(s.causes[causeUnlogged]-0.25) > 1e-9 || math.Abs(s.served-before.served*0.75) > 1e-9 {
 		t.Errorf("%+v", s)
 	}
 	sum := 0.0
@@ -343,7 +343,7 @@
 		// ends and starts are of the two processes.
 		ends, starts [2]time.Duration
 		down         time.Duration
-		unseen       int
+		unseenJobs   int
 	}{
 		{
 			"all at once",
@@ -359,22 +359,22 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newAccount()
+			a := newLossAccount()
 			for i, vm := range []string{"vm-1", "vm-2"} {
 				end, start := begin.Add(c.ends[i]), begin.Add(c.starts[i])
-				a.take(vm, logLine{Time: begin, Event: 100, ID: vm + "/1"})
-				a.take(vm, logLine{Time: end, Event: 802})
-				a.take(vm, logLine{Time: start, Event: 811})
-				a.take(vm, logLine{Time: start, Event: 100, ID: vm + "/2"})
-				a.take(vm, logLine{Time: begin.Add(31 * time.Second), Event: 802})
+				a.addLine(vm, logLine{Time: begin, Event: 100, ID: vm + "/1"})
+				a.addLine(vm, logLine{Time: end, Event: 802})
+				a.addLine(vm, logLine{Time: start, Event: 811})
+				a.addLine(vm, logLine{Time: start, Event: 100, ID: vm + "/2"})
+				a.addLine(vm, logLine{Time: begin.Add(31 * time.Second), Event: 802})
 			}
 			// Ten jobs a second, but while nobody is there.
 			for at := time.Duration(0); at <= 30*time.Second; at += time.Second / 10 {
 				if c.down == 0 || at < c.ends[0] || at >= c.starts[1] {
-					a.take("vm-2", logLine{Time: begin.Add(at), Event: 920, Job: fmt.Sprint(at), Queue: "q", Tasks: 1, CPU: 1, GuessMS: 100, AimMS: 200})
+					a.addLine("vm-2", logLine{Time: begin.Add(at), Event: 920, Job: fmt.Sprint(at), Queue: "q", Tasks: 1, CPU: 1, EstimateMS: 100, ObjectiveMS: 200})
 				}
 			}
-			a.settle()
+			a.resolve()
 			var down time.Duration
 			for _, o := range a.outages() {
 				down += o.until.Sub(o.from)
@@ -382,10 +382,10 @@
 			if down != c.down {
 				t.Errorf("down for %v, want %v", down, c.down)
 			}
-			if n := a.unseen(); n < c.unseen-1 || n > c.unseen+1 {
-				t.Errorf("%d unseen, want %d", n, c.unseen)
+			if n := a.unseenJobs(); n < c.unseenJobs-1 || n > c.unseenJobs+1 {
+				t.Errorf("%d unseen, want %d", n, c.unseenJobs)
 			}
-			if s := a.whole()["all"]; s.jobs != len(a.jobs)+a.unseen() || (s.causes[noneByRate] > 0) != (c.unseen > 0) {
+			if s := a.total()["all"]; s.jobs != len(a.jobs)+a.unseenJobs() || (s.causes[causeUnloggedByRate] > 0) != (c.unseenJobs > 0) {
 				t.Errorf("%+v", s)
 			}
 		})
@@ -393,11 +393,11 @@
 }
 
 func TestLossesPlot(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(troubleLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(troubleLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
+	a.resolve()
 	sum := 0.0
 	layers := a.layers()
 	for _, l := range layers {
--- a/load/losslog.go
+++ b/load/losslog.go
@@ -13,35 +13,35 @@
 )
 
 // lineMost bounds a line of a log.
-const lineMost = 1 << 20
+const maxLineBytes = 1 << 20
 
 // logLine is what the account of losses needs of a line. Each event sets some of it.
 type logLine struct {
-	Time       time.Time `json:"time"`
-	Event      event.ID  `json:"event"`
-	ID         string    `json:"id"`
-	Job        string    `json:"job"`
-	Queue      string    `json:"queue"`
-	Task       string    `json:"task"`
-	Worker     string    `json:"worker"`
-	Tasks      int       `json:"tasks"`
-	CPU        int       `json:"cpu"`
-	Status     string    `json:"status"`
-	Why        string    `json:"why"`
-	How        string    `json:"how"`
-	Factor     float64   `json:"factor"`
-	Place      string    `json:"data_center"`
-	AimMS      int64     `json:"aim_ms"`
-	TookMS     int64     `json:"took_ms"`
-	GuessMS    int64     `json:"estimate_ms"`
-	PatienceMS int64     `json:"patience_ms"`
+	Time        time.Time `json:"time"`
+	Event       event.ID  `json:"event"`
+	ID          string    `json:"id"`
+	Job         string    `json:"job"`
+	Queue       string    `json:"queue"`
+	Task        string    `json:"task"`
+	Worker      string    `json:"worker"`
+	Tasks       int       `json:"tasks"`
+	CPU         int       `json:"cpu"`
+	Status      string    `json:"status"`
+	Why         string    `json:"why"`
+	How         string    `json:"how"`
+	Factor      float64   `json:"factor"`
+	DataCenter  string    `json:"data_center"`
+	ObjectiveMS int64     `json:"aim_ms"`
+	TookMS      int64     `json:"took_ms"`
+	EstimateMS  int64     `json:"estimate_ms"`
+	TimeoutMS   int64     `json:"patience_ms"`
 }
 
 // readLog reads lines of several processes, whatever stands before their JSON: tools that
 // merge logs put the process's name there. source is the last word of that, or name.
-func readLog(r io.Reader, name string, take func(source string, l logLine)) error {
+func readLog(r io.Reader, name string, addLine func(source string, l logLine)) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 64<<10), lineMost)
+	s.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for s.Scan() {
 		before, text, ok := bytes.Cut(s.Bytes(), []byte("{"))
 		if !ok {
@@ -55,7 +55,7 @@
 		if words := bytes.Fields(before); len(words) > 0 {
 			source = string(words[len(words)-1])
 		}
-		take(source, l)
+		addLine(source, l)
 	}
 	if err := s.Err(); err != nil {
 		return errors.Wrap(err, "load: log")
--- a/load/lossplot.go
+++ b/load/lossplot.go
@@ -11,7 +11,7 @@
 )
 
 // lossCauses is how many causes a plot tells apart; the rest are one.
-const lossCauses = 6
+const maxPlotCauses = 6
 
 // lossColors are those of what is served, of the causes and of the rest.
 var lossColors = []color.Color{
@@ -31,32 +31,32 @@
 
 // layers returns what was served and lost by cause, in parts of what the jobs of a mean
 // second are worth, by the second in which the jobs were sent.
-func (a *account) layers() []layer {
-	begin := a.begin()
-	second := func(j *lostJob) int { return int(j.sent().Sub(begin) / time.Second) }
+func (a *lossAccount) layers() []layer {
+	begin := a.firstSent()
+	second := func(j *loggedJob) int { return int(j.sent().Sub(begin) / time.Second) }
 	seconds := 0
-	weight, sum, total := a.weigh(), make(map[string]float64), 0.0
+	weight, sum, total := a.jobWeights(), make(map[string]float64), 0.0
 	for j, w := range weight {
 		seconds = max(seconds, second(j)+1)
-		sum[j.cause()] += w * (1 - j.credit(a.late))
+		sum[j.cause()] += w * (1 - j.credit(a.lateWorth))
 		total += w
 	}
-	names := greatest(sum)
-	names = names[:min(len(names), lossCauses)]
+	names := largestLosses(sum)
+	names = names[:min(len(names), maxPlotCauses)]
 	out := make([]layer, len(names)+2)
-	place := make(map[string]int)
+	layerOf := make(map[string]int)
 	for i := range out {
 		out[i].parts = make([]float64, seconds)
 	}
 	out[0].name, out[len(out)-1].name = "served", othersName
 	for i, n := range names {
 		out[i+1].name = n
-		place[n] = i + 1
+		layerOf[n] = i + 1
 	}
 	for j, w := range weight {
-		served := w * j.credit(a.late) * float64(seconds) / total
+		served := w * j.credit(a.lateWorth) * float64(seconds) / total
 		out[0].parts[second(j)] += served
-		i, ok := place[j.cause()]
+		i, ok := layerOf[j.cause()]
 		if !ok {
 			i = len(out) - 1
 		}
@@ -66,14 +66,14 @@
 }
 
 // plot draws the layers one on the other.
-func (a *account) plot(path string) error {
+func (a *lossAccount) plot(path string) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "second", "worth of the jobs sent in it, mean second = 1"
 	p.Y.Min = 0
 	layers := a.layers()
-	floor := make([]float64, len(layers[0].parts))
+	base := make([]float64, len(layers[0].parts))
 	for i, l := range layers {
-		area, err := plotter.NewPolygon(band(floor, l.parts))
+		area, err := plotter.NewPolygon(band(base, l.parts))
 		if err != nil {
 			return errors.Wrap(err, "losses: plot")
 		}
@@ -85,7 +85,7 @@
 		p.Add(area)
 		p.Legend.Add(l.name, area)
 		for s, v := range l.parts {
-			floor[s] += v
+			base[s] += v
 		}
 	}
 	p.Legend.Top = true
@@ -100,12 +100,12 @@
 }
 
 // band is the outline of a layer above a floor, in steps of seconds.
-func band(floor, parts []float64) plotter.XYs {
+func band(base, parts []float64) plotter.XYs {
 	var upper, lower plotter.XYs
 	for s := range parts {
 		for _, x := range []float64{float64(s), float64(s + 1)} {
-			upper = append(upper, plotter.XY{X: x, Y: floor[s] + parts[s]})
-			lower = append(lower, plotter.XY{X: x, Y: floor[s]})
+			upper = append(upper, plotter.XY{X: x, Y: base[s] + parts[s]})
+			lower = append(lower, plotter.XY{X: x, Y: base[s]})
 		}
 	}
 	for i := len(lower) - 1; i >= 0; i-- {
--- a/load/measure.go
+++ b/load/measure.go
@@ -16,33 +16,33 @@
 	ratioScale = 1000
 	// highest is the largest ratio, and response time in milliseconds, that is
 	// told apart.
-	highest = 100_000
+	maxTracked = 100_000
 )
 
 // spreadOf collects one distribution.
-type spreadOf struct {
-	h     *hdrhistogram.Histogram
+type histogram struct {
+	hist  *hdrhistogram.Histogram
 	scale float64
 }
 
-func newSpread(scale float64) spreadOf {
-	return spreadOf{h: hdrhistogram.New(1, int64(highest*scale), 3), scale: scale}
+func newHistogram(scale float64) histogram {
+	return histogram{hist: hdrhistogram.New(1, int64(maxTracked*scale), 3), scale: scale}
 }
 
-func (s spreadOf) add(v float64) {
-	_ = s.h.RecordValue(min(max(int64(v*s.scale), 1), s.h.HighestTrackableValue()))
+func (s histogram) add(v float64) {
+	_ = s.hist.RecordValue(min(max(int64(v*s.scale), 1), s.hist.HighestTrackableValue()))
 }
 
-func (s spreadOf) quantile(q float64) float64 { return float64(s.h.ValueAtQuantile(q)) / s.scale }
+func (s histogram) quantile(q float64) float64 { return float64(s.hist.ValueAtQuantile(q)) / s.scale }
 
-func (s spreadOf) quantiles() Quantiles {
+func (s histogram) quantiles() Quantiles {
 	return Quantiles{
-		N: s.h.TotalCount(), P50: s.quantile(50), P90: s.quantile(90), P99: s.quantile(99),
-		Max: float64(s.h.Max()) / s.scale,
+		N: s.hist.TotalCount(), P50: s.quantile(50), P90: s.quantile(90), P99: s.quantile(99),
+		Max: float64(s.hist.Max()) / s.scale,
 	}
 }
 
-func (s spreadOf) cdf() []Point {
+func (s histogram) cdf() []Point {
 	var out []Point
 	for q := 0.0; q <= 99.95; q++ {
 		out = append(out, Point{s.quantile(q), q / 100})
@@ -54,23 +54,23 @@
 
 // measure fills in what follows from the outcomes alone.
 func (r *Report) measure(s Scenario, callers []Caller, all []outcome) {
-	ratio, response := newSpread(ratioScale), newSpread(10)
+	ratio, response := newHistogram(ratioScale), newHistogram(10)
 	r.Refusals = make(map[string]int)
-	seconds := make([]spreadOf, int(s.length()/time.Second)+1)
+	seconds := make([]histogram, int(s.length()/time.Second)+1)
 	r.Seconds = make([]Second, len(seconds))
 	for _, o := range all {
-		r.count(o)
+		r.countOutcome(o)
 		second := &r.Seconds[o.at/time.Second]
 		second.Offered += len(o.service)
-		if o.verdict == refused {
+		if o.verdict == verdictRefused {
 			second.Refused += len(o.service)
 		}
-		if o.verdict != done {
+		if o.verdict != verdictDone {
 			continue
 		}
 		h := &seconds[o.at/time.Second]
-		if h.h == nil {
-			*h = newSpread(ratioScale)
+		if h.hist == nil {
+			*h = newHistogram(ratioScale)
 		}
 		h.add(o.ratio())
 		if end := int((o.at + o.response) / time.Second); end < len(r.Seconds) {
@@ -82,7 +82,7 @@
 		}
 	}
 	for i, h := range seconds {
-		if h.h != nil {
+		if h.hist != nil {
 			r.Seconds[i].P50 = h.quantile(50)
 		}
 	}
@@ -93,50 +93,50 @@
 }
 
 // sizeClasses are the upper bounds of the classes of jobs.
-var sizeClasses = []int{10, 100, 1300}
+var sizeClassBounds = []int{10, 100, 1300}
 
 // bySize returns the classes that have jobs. It shows whether large jobs hold
 // up small ones, or are starved by them.
 func bySize(all []outcome) []SizeClass {
 	var out []SizeClass
-	above := 0
-	for _, top := range sizeClasses {
-		h := newSpread(ratioScale)
+	lower := 0
+	for _, upper := range sizeClassBounds {
+		h := newHistogram(ratioScale)
 		for _, o := range all {
-			if n := len(o.service); o.verdict == done && o.at >= warmUp && n > above && n <= top {
+			if n := len(o.service); o.verdict == verdictDone && o.at >= warmUp && n > lower && n <= upper {
 				h.add(o.ratio())
 			}
 		}
-		if h.h.TotalCount() > 0 {
-			out = append(out, SizeClass{UpTo: top, Ratio: h.quantiles()})
+		if h.hist.TotalCount() > 0 {
+			out = append(out, SizeClass{UpTo: upper, Ratio: h.quantiles()})
 		}
-		above = top
+		lower = upper
 	}
 	return out
 }
 
-func (r *Report) count(o outcome) {
+func (r *Report) countOutcome(o outcome) {
 	r.Jobs.Offered++
 	r.Tasks += len(o.service)
 	r.Messages.Repeats += int64(o.repeats)
 	if o.code != "" {
 		r.Refusals[string(o.code)]++
 	}
-	if o.wrong {
+	if o.wrongAnswer {
 		r.Safety.WrongAnswers++
 	}
 	switch o.verdict {
-	case done:
+	case verdictDone:
 		r.Jobs.Done++
-	case failed:
+	case verdictFailed:
 		r.Jobs.Failed++
-	case refused:
+	case verdictRefused:
 		r.Jobs.Refused++
-	case unknown:
+	case verdictUnknown:
 		r.Jobs.Unknown++
-	case cancelled:
+	case verdictCancelled:
 		r.Jobs.Cancelled++
-	case lost:
+	case verdictLost:
 		r.Jobs.Lost++
 		r.Safety.LostAnswers++
 	}
@@ -149,12 +149,12 @@
 	out := make([]float64, len(s.Phases))
 	var begin time.Duration
 	for i, p := range s.Phases {
-		end := begin + p.For.D()
-		if p.For.D() >= 2*rampUp {
+		end := begin + p.Length.D()
+		if p.Length.D() >= 2*rampUp {
 			begin += rampUp
 		}
 		for _, o := range all {
-			if t := o.at + o.response; o.verdict == done && t >= begin && t < end {
+			if t := o.at + o.response; o.verdict == verdictDone && t >= begin && t < end {
 				out[i] += float64(len(o.service))
 			}
 		}
@@ -170,7 +170,7 @@
 	ratios := make([][]float64, len(callers))
 	for _, o := range all {
 		offered[o.caller] += float64(len(o.service))
-		if o.verdict == done {
+		if o.verdict == verdictDone {
 			got[o.caller] += float64(len(o.service))
 			ratios[o.caller] = append(ratios[o.caller], o.ratio())
 		}
--- a/load/measure_test.go
+++ b/load/measure_test.go
@@ -16,17 +16,17 @@
 
 func TestIdeal(t *testing.T) {
 	tests := []struct {
-		service []time.Duration
-		fastest float64
-		want    time.Duration
+		service  []time.Duration
+		maxSpeed float64
+		want     time.Duration
 	}{
 		{[]time.Duration{100 * time.Millisecond}, 1, 100 * time.Millisecond},
 		{[]time.Duration{100 * time.Millisecond, time.Second, 50 * time.Millisecond}, 1, time.Second},
 		{[]time.Duration{time.Second}, 2, 500 * time.Millisecond},
 	}
 	for _, tt := range tests {
-		if got := (arrival{service: tt.service}).ideal(tt.fastest); got != tt.want {
-			t.Errorf("%v at %v: %v, want %v", tt.service, tt.fastest, got, tt.want)
+		if got := (arrival{service: tt.service}).ideal(tt.maxSpeed); got != tt.want {
+			t.Errorf("%v at %v: %v, want %v", tt.service, tt.maxSpeed, got, tt.want)
 		}
 	}
 }
@@ -46,15 +46,15 @@
 }
 
 func TestMeasure(t *testing.T) {
-	s := Scenario{Phases: []Phase{lasting(6*time.Second, 1), lasting(2*time.Second, 1)}}
+	s := Scenario{Phases: []Phase{newPhase(6*time.Second, 1), newPhase(2*time.Second, 1)}}
 	callers := []Caller{{Name: "a"}, {Name: "b"}}
 	all := []outcome{
-		outcomeAt(0, time.Second, 0, 10, done),                     // in the ramp, and warming up
-		outcomeAt(3*time.Second, time.Second, 0, 30, done),         // in the first phase
-		outcomeAt(5*time.Second, 2*time.Second, 1, 8, done),        // ends in the second
-		outcomeAt(7*time.Second, 40*time.Second, 1, 4, done),       // ends after it
-		outcomeAt(7*time.Second, time.Millisecond, 1, 12, refused), // no goodput
-		outcomeAt(7*time.Second, time.Minute, 1, 1, lost),          // no answer
+		outcomeAt(0, time.Second, 0, 10, verdictDone),                     // in the ramp, and warming up
+		outcomeAt(3*time.Second, time.Second, 0, 30, verdictDone),         // in the first phase
+		outcomeAt(5*time.Second, 2*time.Second, 1, 8, verdictDone),        // ends in the second
+		outcomeAt(7*time.Second, 40*time.Second, 1, 4, verdictDone),       // ends after it
+		outcomeAt(7*time.Second, time.Millisecond, 1, 12, verdictRefused), // no goodput
+		outcomeAt(7*time.Second, time.Minute, 1, 1, verdictLost),          // no answer
 	}
 	var r Report
 	r.measure(s, callers, all)
@@ -107,7 +107,7 @@
 	answer := func(text string) job.Answer {
 		return job.Answer{State: job.Done, Tasks: []job.TaskResult{{Done: true, Answer: json.RawMessage(text)}}}
 	}
-	ok := outcome{id: "j", verdict: done, tasks: answer(`{"a": 1}`).Tasks}
+	ok := outcome{id: "j", verdict: verdictDone, tasks: answer(`{"a": 1}`).Tasks}
 	tests := []struct {
 		name   string
 		o      outcome
@@ -118,8 +118,8 @@
 		{"one start", ok, []string{"j/0/0", "j/1/0"}, []job.Answer{answer(`{"a":1}`)}, Safety{}},
 		{"two attempts started", ok, []string{"j/0/0", "j/0/1", "j/0/2"}, nil, Safety{DoubleStarts: 1}},
 		{"the same attempt twice", ok, []string{"j/1/0", "j/1/0"}, nil, Safety{DoubleStarts: 1}},
-		{"refused but ran", outcome{id: "j", verdict: refused, notRun: []int{0, 1}}, []string{"j/1/0"}, nil, Safety{NotRunButRan: 1}},
-		{"refused and not run", outcome{id: "j", verdict: refused, notRun: []int{0}}, []string{"k/0/0"}, nil, Safety{}},
+		{"refused but ran", outcome{id: "j", verdict: verdictRefused, notRunTasks: []int{0, 1}}, []string{"j/1/0"}, nil, Safety{NotRunButRan: 1}},
+		{"refused and not run", outcome{id: "j", verdict: verdictRefused, notRunTasks: []int{0}}, []string{"k/0/0"}, nil, Safety{}},
 		{"two answers", ok, nil, []job.Answer{answer(`{"a":2}`)}, Safety{Conflicts: 1}},
 	}
 	for _, tt := range tests {
@@ -152,9 +152,9 @@
 		for _, text := range tt.tasks {
 			a.Tasks = append(a.Tasks, job.TaskResult{Ran: refusal.RanYes, Done: true, Answer: json.RawMessage(text)})
 		}
-		o.take(a)
-		if o.wrong == tt.want {
-			t.Errorf("%s: wrong %v", tt.name, o.wrong)
+		o.recordAnswer(a)
+		if o.wrongAnswer == tt.want {
+			t.Errorf("%s: wrong %v", tt.name, o.wrongAnswer)
 		}
 	}
 }
@@ -170,15 +170,15 @@
 // A task that a peer hands back is no message: the call that brought it is
 // counted already. An attempt that reached no backend server is one.
 func TestMessages(t *testing.T) {
-	a := reading{metrics: map[string]float64{"heartbeats": 5}, requests: 10}
-	b := reading{
+	a := sample{metrics: map[string]float64{"heartbeats": 5}, requests: 10}
+	b := sample{
 		metrics: map[string]float64{
 			"heartbeats": 9, "task_starts": 103, "task_refusals": 50, "handover_calls": 4, "forwards": 2,
 		},
 		requests: 110, refused: 3, log: stand.LogCounts{Reads: 6, Appends: 1},
 	}
 	m := Messages{Repeats: 1}
-	m.between(a, b, 100)
+	m.setDifference(a, b, 100)
 	want := Messages{Refusals: 3, Dials: 3, Handovers: 4, Forwards: 2, Repeats: 1, Heartbeats: 4, Log: 7, Placement: 0.1, Total: 0.24}
 	if m != want {
 		t.Errorf("%+v, want %+v", m, want)
--- a/load/model.go
+++ b/load/model.go
@@ -18,7 +18,7 @@
 
 // planning are the planner's policies that are compared: the default, and the default
 // with one part changed.
-var planning = []struct {
+var comparedPolicies = []struct {
 	name   string
 	policy cell.Policy
 }{
@@ -47,7 +47,7 @@
 			&cli.StringFlag{Name: "plots", Usage: "write a plot of the worth by seed into this directory"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			site, err := siteOf(c)
+			site, err := siteFromFlag(c)
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 			}
 			day := model.Days[i]
 			fmt.Fprintf(c.Root().Writer, "%s, %s: %s; %d seeds\n", c.String("site"), day.Name, day.Pattern, c.Int("seeds"))
-			curves := comparePlanning(c.Root().Writer, site, day, c.Int("seeds"))
+			curves := comparePolicies(c.Root().Writer, site, day, c.Int("seeds"))
 			if dir := c.String("plots"); dir != "" {
 				d := drawing{
 					name: c.String("site") + "-" + day.Name + "-policies", title: day.Pattern,
@@ -71,15 +71,15 @@
 }
 
 // comparePlanning plays the day with each policy and writes a table.
-func comparePlanning(w io.Writer, site func() model.Config, day model.Day, seeds int) []curve {
+func comparePolicies(w io.Writer, site func() model.Config, day model.Day, seeds int) []curve {
 	fmt.Fprintf(w, "%-24s %-16s %-18s %-8s %-8s %-8s %s\n", "policy", "worth", "to default", "worst", "late", "refused", "by kind")
 	var curves []curve
-	var byDefault []float64
-	for _, p := range planning {
+	var baseline []float64
+	for _, p := range comparedPolicies {
 		var worth, worst []float64
 		late, refused := 0, 0
 		kinds := make(map[string]float64)
-		begun := time.Now()
+		began := time.Now()
 		cv := curve{name: p.name}
 		for seed := 1; seed <= seeds; seed++ {
 			cfg := site()
@@ -94,18 +94,18 @@
 			}
 		}
 		curves = append(curves, cv)
-		if byDefault == nil {
-			byDefault = worth
+		if baseline == nil {
+			baseline = worth
 		}
-		mean, err := meanError(worth)
-		more, moreErr := meanError(differences(worth, byDefault))
-		low, _ := meanError(worst)
-		fmt.Fprintf(w, "%-24s %.3f ± %.3f    %+.4f ± %.4f   %.3f    %-8d %-8d %s (%.0f s)\n", p.name, mean, err, more, moreErr, low, late, refused, byKind(kinds), time.Since(begun).Seconds())
+		mean, err := meanAndError(worth)
+		gain, gainErr := meanAndError(differences(worth, baseline))
+		low, _ := meanAndError(worst)
+		fmt.Fprintf(w, "%-24s %.3f ± %.3f    %+.4f ± %.4f   %.3f    %-8d %-8d %s (%.0f s)\n", p.name, mean, err, gain, gainErr, low, late, refused, formatKinds(kinds), time.Since(began).Seconds())
 	}
 	return curves
 }
 
-func byKind(kinds map[string]float64) string {
+func formatKinds(kinds map[string]float64) string {
 	var out []string
 	for k, v := range kinds {
 		out = append(out, fmt.Sprintf("%s %.2f", k, v))
@@ -124,7 +124,7 @@
 }
 
 // meanError returns the mean and its standard error.
-func meanError(v []float64) (mean, err float64) {
+func meanAndError(v []float64) (mean, err float64) {
 	for _, x := range v {
 		mean += x / float64(len(v))
 	}
--- a/load/model_test.go
+++ b/load/model_test.go
@@ -19,7 +19,7 @@
 		{"one day", []float64{0.9}, []float64{0.8}, 0.1, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			mean, err := meanError(differences(tt.v, tt.base))
+			mean, err := meanAndError(differences(tt.v, tt.base))
 			if math.Abs(mean-tt.mean) > 1e-9 || math.Abs(err-tt.err) > 1e-9 {
 				t.Errorf("%.4f ± %.4f, want %.4f ± %.4f", mean, err, tt.mean, tt.err)
 			}
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -12,7 +12,7 @@
 	last := 0
 	names := make(map[string]bool)
 	for _, s := range Scenarios() {
-		if err := s.check(); err != nil {
+		if err := s.validate(); err != nil {
 			t.Errorf("%s: %v", s.Name, err)
 		}
 		if s.Number <= last || names[s.Name] || s.Title == "" || s.Since == "" {
@@ -25,8 +25,8 @@
 // Both users' deployments are as the brief gives them.
 func TestExamples(t *testing.T) {
 	tests := []struct {
-		name  string
-		power float64
+		name           string
+		effectiveCores float64
 	}{
 		{"lakeshore", 48 * 64},
 		{"teranga", 48 * 32},
@@ -36,12 +36,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.power() != tt.power || d.Dispatchers != 48 || len(d.Workers) != 48 || d.cfg.Dispatch.Connections != 64 || d.cfg.Dispatch.JobSlots != 8 {
-			t.Errorf("%s: %v cores, %d dispatchers, %d workers", tt.name, d.power(), d.Dispatchers, len(d.Workers))
+		if d.effectiveCores() != tt.effectiveCores || d.Dispatchers != 48 || len(d.Workers) != 48 || d.cfg.Dispatch.Connections != 64 || d.cfg.Dispatch.JobSlots != 8 {
+			t.Errorf("%s: %v cores, %d dispatchers, %d workers", tt.name, d.effectiveCores(), d.Dispatchers, len(d.Workers))
 		}
 		seen := make(map[string]bool)
 		for _, p := range d.places() {
-			seen[p.callers.String()], seen[p.peers.String()] = true, true
+			seen[p.callerAddr.String()], seen[p.peerAddr.String()] = true, true
 		}
 		if len(seen) != 96 {
 			t.Errorf("%s: %d addresses of dispatchers, want 96", tt.name, len(seen))
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Phases = []Phase{lasting(60*time.Second, 0.5)}
+	s.Phases = []Phase{newPhase(60*time.Second, 0.5)}
 	a, err := plan(s, d, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -70,34 +70,34 @@
 		t.Error("the plan does not follow from its seed")
 	}
 	var work time.Duration
-	first := 0
+	toFirst := 0
 	for _, x := range a {
 		if x.dispatcher == 0 {
-			first++
+			toFirst++
 		}
 		for _, d := range x.service {
 			work += d
 		}
 	}
-	if load := work.Seconds() / 60 / d.power(); !near(load, 0.5, 0.02) {
+	if load := work.Seconds() / 60 / d.effectiveCores(); !near(load, 0.5, 0.02) {
 		t.Errorf("offered load %.3f, want 0.5", load)
 	}
-	if share := float64(first) / float64(len(a)); !near(share, 0.5+0.5/48, 0.03) {
+	if share := float64(toFirst) / float64(len(a)); !near(share, 0.5+0.5/48, 0.03) {
 		t.Errorf("share of the first dispatcher %.3f", share)
 	}
-	s.Greedy = 0.9
+	s.GreedyShare = 0.9
 	greedy, _ := plan(s, d, 1)
-	mine := 0
+	fromGreedy := 0
 	for _, x := range greedy {
 		if x.caller == 0 {
-			mine++
+			fromGreedy++
 		}
 	}
-	if share := float64(mine) / float64(len(greedy)); !near(share, 0.9, 0.02) {
+	if share := float64(fromGreedy) / float64(len(greedy)); !near(share, 0.9, 0.02) {
 		t.Errorf("share of the greedy caller %.3f", share)
 	}
-	s.Phases = []Phase{lasting(maxRun, 5)}
-	s.Service = Service{Min: 1000, Max: 1000}
+	s.Phases = []Phase{newPhase(maxRunDuration, 5)}
+	s.ServiceTimes = ServiceTimes{Min: 1000, Max: 1000}
 	if _, err := plan(s, d, 1); err == nil {
 		t.Error("a plan over the bound on tasks was accepted")
 	}
@@ -117,7 +117,7 @@
 // value out of range is an error.
 func TestScenarioFile(t *testing.T) {
 	s, err := FindScenario("../examples/scenarios/morning.toml")
-	if err != nil || s.length() != 12*time.Second || s.Actions[0].Do != SlowWorker {
+	if err != nil || s.length() != 12*time.Second || s.Actions[0].Kind != SlowWorker {
 		t.Errorf("%+v, %v", s, err)
 	}
 	tests := []struct{ name, text string }{
--- a/load/plot.go
+++ b/load/plot.go
@@ -59,7 +59,7 @@
 		g := byGroup[k]
 		out = append(out, distribution(k, g))
 		if len(g[0].Goodput) > 1 {
-			out = append(out, course(k, g))
+			out = append(out, timeCourse(k, g))
 		}
 	}
 	return out
@@ -70,20 +70,20 @@
 		name: name + "-ratio", title: g[0].Title + ", " + g[0].Deployment,
 		x: "response time over ideal", y: "share of jobs", logX: true,
 	}
-	for _, r := range firstOfPolicy(g) {
+	for _, r := range firstPerPolicy(g) {
 		d.curves = append(d.curves, curve{name: r.Policy, points: r.CDF})
 	}
 	return d
 }
 
-func course(name string, g []Report) drawing {
+func timeCourse(name string, g []Report) drawing {
 	d := drawing{name: name + "-time", title: g[0].Title + ", " + g[0].Deployment, x: "seconds", y: "tasks a second"}
 	offered := curve{name: "offered", dashed: true}
 	for i, s := range g[0].Seconds {
 		offered.points = append(offered.points, Point{float64(i), float64(s.Offered)})
 	}
 	d.curves = append(d.curves, offered)
-	for _, r := range firstOfPolicy(g) {
+	for _, r := range firstPerPolicy(g) {
 		c := curve{name: r.Policy}
 		for i, s := range r.Seconds {
 			c.points = append(c.points, Point{float64(i), float64(s.Done)})
@@ -93,7 +93,7 @@
 	return d
 }
 
-func firstOfPolicy(g []Report) []Report {
+func firstPerPolicy(g []Report) []Report {
 	seen := make(map[string]bool)
 	var out []Report
 	for _, r := range g {
--- a/load/probe.go
+++ b/load/probe.go
@@ -15,30 +15,30 @@
 )
 
 // reading is the counts of all processes at one time.
-type reading struct {
-	at         time.Time
-	metrics    map[string]float64
-	log        stand.LogCounts
-	requests   int64
-	refused    int64
-	dispatcher time.Duration
-	stands     time.Duration
+type sample struct {
+	at            time.Time
+	metrics       map[string]float64
+	log           stand.LogCounts
+	requests      int64
+	refused       int64
+	dispatcherCPU time.Duration
+	standInCPU    time.Duration
 	// memory is the largest resident memory of a dispatcher, in bytes.
-	memory int64
+	maxMemory int64
 }
 
 // read reads all processes that are alive.
-func (r *Running) read(ctx context.Context) reading {
-	out := reading{at: time.Now(), metrics: make(map[string]float64)}
+func (r *Running) takeSample(ctx context.Context) sample {
+	out := sample{at: time.Now(), metrics: make(map[string]float64)}
 	for i, p := range r.dispatchers {
 		var text string
-		if !p.alive() || get(ctx, r.places[i].callers, "/metrics", &text) != nil {
+		if !p.alive() || get(ctx, r.places[i].callerAddr, "/metrics", &text) != nil {
 			continue
 		}
 		parseMetrics(text, out.metrics)
 		cpu, mem := p.usage()
-		out.dispatcher += cpu
-		out.memory = max(out.memory, mem)
+		out.dispatcherCPU += cpu
+		out.maxMemory = max(out.maxMemory, mem)
 	}
 	for i, c := range r.Controls {
 		var sum struct {
@@ -49,8 +49,8 @@
 			out.requests += s.Requests
 			out.refused += s.Refused
 		}
-		cpu, _ := r.farms[i].usage()
-		out.stands += cpu
+		cpu, _ := r.workerStandIns[i].usage()
+		out.standInCPU += cpu
 	}
 	_ = get(ctx, r.Platform, "/stand/counts", &out.log)
 	return out
@@ -80,30 +80,30 @@
 }
 
 // messages fills in the exchanges between two readings.
-func (m *Messages) between(a, b reading, tasks int) {
-	n := func(name meter.Name) int64 { return int64(b.metrics[string(name)] - a.metrics[string(name)]) }
-	m.Refusals = b.refused - a.refused
-	m.Dials = max(n(meter.TaskStarts)-(b.requests-a.requests), 0)
+func (m *Messages) setDifference(before, after sample, tasks int) {
+	n := func(name meter.Name) int64 { return int64(after.metrics[string(name)] - before.metrics[string(name)]) }
+	m.Refusals = after.refused - before.refused
+	m.Dials = max(n(meter.TaskStarts)-(after.requests-before.requests), 0)
 	m.Handovers = n(meter.HandoverCalls)
 	m.Forwards = n(meter.Forwards)
 	m.Heartbeats = n(meter.Heartbeats)
-	m.Log = b.log.Appends + b.log.Reads + b.log.ListReads - a.log.Appends - a.log.Reads - a.log.ListReads
+	m.Log = after.log.Appends + after.log.Reads + after.log.ListReads - before.log.Appends - before.log.Reads - before.log.ListReads
 	placement := m.Refusals + m.Dials + m.Handovers
 	m.Placement = float64(placement) / float64(max(tasks, 1))
 	m.Total = float64(placement+m.Forwards+m.Repeats+m.Heartbeats+m.Log) / float64(max(tasks, 1))
 }
 
-func (c *Cost) between(a, b reading, tasks int) {
-	spent := b.dispatcher - a.dispatcher
-	wall := b.at.Sub(a.at).Seconds()
+func (c *Cost) setDifference(before, after sample, tasks int) {
+	spent := after.dispatcherCPU - before.dispatcherCPU
+	wall := after.at.Sub(before.at).Seconds()
 	c.TaskMicros = float64(spent.Microseconds()) / float64(max(tasks, 1))
 	c.DispatcherCores = spent.Seconds() / wall
-	c.StandCores = (b.stands - a.stands).Seconds() / wall
-	c.DispatcherMB = float64(b.memory) / (1 << 20)
+	c.StandCores = (after.standInCPU - before.standInCPU).Seconds() / wall
+	c.DispatcherMB = float64(after.maxMemory) / (1 << 20)
 }
 
 // starts reads every start that the backend servers have recorded.
-func (r *Running) starts(ctx context.Context) ([]stand.Start, error) {
+func (r *Running) readStarts(ctx context.Context) ([]stand.Start, error) {
 	var all []stand.Start
 	for _, c := range r.Controls {
 		var out struct {
@@ -117,7 +117,7 @@
 	return all, nil
 }
 
-func thisMachine() Machine {
+func describeMachine() Machine {
 	m := Machine{Cores: runtime.NumCPU(), Go: runtime.Version()}
 	if b, err := os.ReadFile("/proc/cpuinfo"); err == nil {
 		_, rest, _ := strings.Cut(string(b), "model name")
--- a/load/process.go
+++ b/load/process.go
@@ -85,7 +85,7 @@
 
 // traffic is the bytes that the process has read and written by system calls:
 // its connections, and its few files.
-func (p *process) traffic() int64 {
+func (p *process) trafficBytes() int64 {
 	b, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "io"))
 	if err != nil {
 		return 0
@@ -102,7 +102,7 @@
 }
 
 // tail returns the end of a process's output, for error messages.
-func tail(path string) string {
+func logTail(path string) string {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return ""
--- a/load/recovery.go
+++ b/load/recovery.go
@@ -13,7 +13,7 @@
 )
 
 // lossAt is when processes are lost, from the first request: any learning is over.
-const lossAt = 3 * time.Second
+const lossTime = 3 * time.Second
 
 func recoveryCommand() *cli.Command {
 	return &cli.Command{
@@ -28,11 +28,11 @@
 			&cli.IntFlag{Name: "seeds", Value: 20, Usage: "how many"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			site, err := siteOf(c)
+			site, err := siteFromFlag(c)
 			if err != nil {
 				return err
 			}
-			if n := tableRecovery(c.Root().Writer, site, c.Int("seeds")); n > 0 {
+			if n := writeRecoveryTable(c.Root().Writer, site, c.Int("seeds")); n > 0 {
 				return cli.Exit(fmt.Sprintf("%d promises broken", n), 1)
 			}
 			return nil
@@ -49,32 +49,32 @@
 }
 
 // tableRecovery writes the table and returns how many promises were broken.
-func tableRecovery(w io.Writer, site func() model.Config, seeds int) (broken int) {
-	nothing := model.Loss{Fault: func(int) func(*model.World) { return func(*model.World) {} }}
-	plain := make([]model.Recovery, seeds)
-	for i := range plain {
-		plain[i] = model.Recover(calmDay(site, i+1), lossAt, nothing)
+func writeRecoveryTable(w io.Writer, site func() model.Config, seeds int) (broken int) {
+	noLoss := model.Loss{Fault: func(int) func(*model.World) { return func(*model.World) {} }}
+	baselines := make([]model.Recovery, seeds)
+	for i := range baselines {
+		baselines[i] = model.Recover(calmDay(site, i+1), lossTime, noLoss)
 	}
 	fmt.Fprintln(w, "| lost | no start for, median, longest | on other workers | its workers in use again | lost | refused | late |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, l := range model.Losses {
-		var gap, others, again []time.Duration
+		var gap, others, inUse []time.Duration
 		var lost, refused, late float64
-		for i, p := range plain {
-			r := model.Recover(calmDay(site, i+1), lossAt, l)
-			gap, others, again = append(gap, r.Gap), append(others, r.Others), append(again, r.Again)
+		for i, p := range baselines {
+			r := model.Recover(calmDay(site, i+1), lossTime, l)
+			gap, others, inUse = append(gap, r.Gap), append(others, r.Others), append(inUse, r.Again)
 			lost += float64(r.Lost-p.Lost) / float64(seeds)
 			refused += float64(r.Refused-p.Refused) / float64(seeds)
 			late += float64(r.Late-p.Late) / float64(seeds)
 			broken += len(r.Broken)
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %.1f | %.1f | %.1f |\n", l.Name, spread(gap), spread(others), spread(again), lost, refused, late)
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %.1f | %.1f | %.1f |\n", l.Name, medianAndMax(gap), medianAndMax(others), medianAndMax(inUse), lost, refused, late)
 	}
 	return broken
 }
 
 // spread shows the median and the longest.
-func spread(d []time.Duration) string {
+func medianAndMax(d []time.Duration) string {
 	slices.Sort(d)
 	return fmt.Sprintf("%d, %d ms", d[len(d)/2].Milliseconds(), d[len(d)-1].Milliseconds())
 }
--- a/load/report.go
+++ b/load/report.go
@@ -141,7 +141,7 @@
 }
 
 // Broken tells whether anything that must be 0 is not.
-func (s Safety) Broken() bool { return s != Safety{} }
+func (s Safety) Violated() bool { return s != Safety{} }
 
 // Cost is what the processes took.
 type Cost struct {
@@ -191,11 +191,11 @@
 		line("up to "+itoa(c.UpTo)+" tasks", "%d jobs: p50 %.3f, p90 %.3f, p99 %.3f", c.Ratio.N, c.Ratio.P50, c.Ratio.P90, c.Ratio.P99)
 	}
 	line("goodput", "%.0f tasks/s by phase", r.Goodput)
-	line("refusals", "%s", codes(r.Refusals))
+	line("refusals", "%s", formatRefusals(r.Refusals))
 	m := r.Messages
 	line("messages", "%.4f a task beyond one, of which placement %.4f: refusals %d, dials %d, hand-overs %d, forwards %d, repeats %d, heartbeats %d, log %d",
 		m.Total, m.Placement, m.Refusals, m.Dials, m.Handovers, m.Forwards, m.Repeats, m.Heartbeats, m.Log)
-	line("fairness", "Jain %.3f, medians of callers differ by %.2f times; done share of each: %s", r.Fairness.Jain, r.Fairness.Spread, shares(r.Fairness.Callers))
+	line("fairness", "Jain %.3f, medians of callers differ by %.2f times; done share of each: %s", r.Fairness.Jain, r.Fairness.Spread, formatShares(r.Fairness.Callers))
 	f := r.Safety
 	line("must be 0", "double starts %d, lost answers %d, not run but ran %d, wrong answers %d, conflicts %d",
 		f.DoubleStarts, f.LostAnswers, f.NotRunButRan, f.WrongAnswers, f.Conflicts)
@@ -204,7 +204,7 @@
 	return b.String()
 }
 
-func shares(m map[string]float64) string {
+func formatShares(m map[string]float64) string {
 	var out []string
 	for c, v := range m {
 		out = append(out, fmt.Sprintf("%s %.3f", c, v))
@@ -213,7 +213,7 @@
 	return strings.Join(out, ", ")
 }
 
-func codes(m map[string]int) string {
+func formatRefusals(m map[string]int) string {
 	if len(m) == 0 {
 		return "none"
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -18,31 +18,31 @@
 
 // settle is the wait between the last answer and the reading of the starts: a
 // task that was called "not run" and starts late must still be seen.
-const settle = time.Second
+const settleDelay = time.Second
 
 // Run brings up the deployment, drives the scenario against it, and measures.
 func Run(ctx context.Context, d Deployment, s Scenario, o Options) (Report, error) {
-	d = prepare(d, s, o)
+	d = applyOptions(d, s, o)
 	arrivals, err := plan(s, d, o.Seed)
 	if err != nil {
 		return Report{}, err
 	}
 	r := newReport(d, s, o)
-	up, err := Deploy(ctx, d)
+	running, err := Deploy(ctx, d)
 	if err != nil {
 		return r, err
 	}
-	defer up.Close()
-	dr := newDrive(up)
+	defer running.Close()
+	dr := newDriver(running)
 	// The metrics of a dispatcher can be a second behind.
-	clock.Sleep(ctx, settle)
-	before := up.read(ctx)
+	clock.Sleep(ctx, settleDelay)
+	before := running.takeSample(ctx)
 	dr.run(ctx, arrivals, s.Actions)
-	clock.Sleep(ctx, settle)
+	clock.Sleep(ctx, settleDelay)
 	return r, r.finish(ctx, dr, s, before)
 }
 
-func prepare(d Deployment, s Scenario, o Options) Deployment {
+func applyOptions(d Deployment, s Scenario, o Options) Deployment {
 	if o.Policy != "" {
 		d.cfg.Dispatch.Policy = o.Policy
 	}
@@ -58,11 +58,11 @@
 func newReport(d Deployment, s Scenario, o Options) Report {
 	r := Report{
 		Scenario: s.Name, Title: s.Title, Deployment: d.Name, Policy: d.cfg.Dispatch.Policy,
-		At: time.Now().UTC(), Commit: commit(), Machine: thisMachine(),
+		At: time.Now().UTC(), Commit: commit(), Machine: describeMachine(),
 		Setting: Setting{
 			Dispatchers: d.Dispatchers, Connections: d.cfg.Dispatch.Connections, JobSlots: d.cfg.Dispatch.JobSlots,
 			Workers: len(d.Workers), Seed: o.Seed, Seconds: s.length().Seconds(),
-			Capacity: d.power() / s.Service.spread().Mean().Seconds(),
+			Capacity: d.effectiveCores() / s.ServiceTimes.spread().Mean().Seconds(),
 		},
 	}
 	for _, w := range d.Workers {
@@ -72,23 +72,23 @@
 }
 
 // finish fills in the measures.
-func (r *Report) finish(ctx context.Context, d *drive, s Scenario, before reading) error {
-	if err := d.standing(); err != nil {
+func (r *Report) finish(ctx context.Context, d *driver, s Scenario, before sample) error {
+	if err := d.checkStandIns(); err != nil {
 		return err
 	}
-	after := d.read(ctx)
+	after := d.takeSample(ctx)
 	r.measure(s, d.Callers, d.outcomes)
 	r.Messages.Repeats += int64(d.resubmissions)
-	r.Messages.between(before, after, r.Tasks)
+	r.Messages.setDifference(before, after, r.Tasks)
 	for _, p := range d.dispatchers {
 		r.Messages.Partial = r.Messages.Partial || !p.alive()
 	}
-	r.Cost.between(before, after, r.Tasks)
-	starts, err := d.starts(ctx)
+	r.Cost.setDifference(before, after, r.Tasks)
+	starts, err := d.readStarts(ctx)
 	if err != nil {
 		return err
 	}
-	v := verify(d.outcomes, starts, d.flying.again)
+	v := verify(d.outcomes, starts, d.inFlight.resubmitAnswers)
 	v.LostAnswers, v.WrongAnswers = r.Safety.LostAnswers, r.Safety.WrongAnswers
 	r.Safety = v
 	return nil
@@ -96,8 +96,8 @@
 
 // standing tells whether the stand-ins have lived through the run: without them
 // its figures mean nothing.
-func (r *Running) standing() error {
-	for i, p := range append([]*process{r.platform}, r.farms...) {
+func (r *Running) checkStandIns() error {
+	for i, p := range append([]*process{r.platform}, r.workerStandIns...) {
 		if !p.alive() {
 			return errors.Errorf("load: stand-in %d has ended: %s", i, r.outputs())
 		}
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -30,16 +30,16 @@
 		t.Fatal(err)
 	}
 	s := Scenario{
-		Name: "test", JobTasks: Range{Min: 1, Max: 4}, Phases: []Phase{lasting(1500*time.Millisecond, 0.2)},
-		Service: Service{Min: settings.Duration(20 * time.Millisecond), Max: settings.Duration(200 * time.Millisecond)},
-		Actions: []Action{at(500*time.Millisecond, ResubmitWave, 1), at(time.Second, FailWorker, 0)},
+		Name: "test", JobTasks: Range{Min: 1, Max: 4}, Phases: []Phase{newPhase(1500*time.Millisecond, 0.2)},
+		ServiceTimes: ServiceTimes{Min: settings.Duration(20 * time.Millisecond), Max: settings.Duration(200 * time.Millisecond)},
+		Actions:      []Action{newAction(500*time.Millisecond, ResubmitWave, 1), newAction(time.Second, FailWorker, 0)},
 	}
 	r, err := Run(t.Context(), d, s, Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j := r.Jobs
-	if r.Safety.Broken() || j.Offered == 0 || j.Done == 0 || j.Done+j.Failed+j.Refused+j.Unknown != j.Offered {
+	if r.Safety.Violated() || j.Offered == 0 || j.Done == 0 || j.Done+j.Failed+j.Refused+j.Unknown != j.Offered {
 		t.Errorf("safety %+v, jobs %+v", r.Safety, j)
 	}
 	if r.Messages.Repeats == 0 {
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -25,7 +25,7 @@
 	JobTasks Range `toml:"job_tasks"`
 	// Service is the distribution of service times at speed 1; its zero value
 	// means the ordinary one.
-	Service Service `toml:"service"`
+	ServiceTimes ServiceTimes `toml:"service"`
 	// Speeds, when set, replace the speeds of the deployment's backend
 	// servers, in turn.
 	Speeds []float64 `toml:"speeds"`
@@ -34,13 +34,13 @@
 	Skew float64 `toml:"skew"`
 	// Greedy, when set, is the share of all jobs that the first caller
 	// submits; the others share the rest as the deployment says.
-	Greedy  float64  `toml:"greedy"`
-	Actions []Action `toml:"actions"`
+	GreedyShare float64  `toml:"greedy"`
+	Actions     []Action `toml:"actions"`
 }
 
 // Phase is a stretch of time with one rate of arrivals.
 type Phase struct {
-	For settings.Duration `toml:"for"`
+	Length settings.Duration `toml:"for"`
 	// Load is the offered load as a share of the capacity.
 	Load float64 `toml:"load"`
 }
@@ -52,14 +52,14 @@
 }
 
 // Service is a distribution of service times; see stand.Spread.
-type Service struct {
+type ServiceTimes struct {
 	Min       settings.Duration `toml:"min"`
 	Max       settings.Duration `toml:"max"`
 	Long      settings.Duration `toml:"long"`
 	LongShare float64           `toml:"long_share"`
 }
 
-func (s Service) spread() stand.Spread {
+func (s ServiceTimes) spread() stand.Spread {
 	return stand.Spread{Min: s.Min.D(), Max: s.Max.D(), Long: s.Long.D(), LongShare: s.LongShare}
 }
 
@@ -91,36 +91,36 @@
 // Action is a fault at a time after the start of the arrivals.
 type Action struct {
 	At    settings.Duration `toml:"at"`
-	Do    Fault             `toml:"do"`
+	Kind  Fault             `toml:"do"`
 	Share float64           `toml:"share"`
 }
 
 // The bounds of a run. A scenario over them is refused.
 const (
-	maxRun   = 2 * time.Minute
-	maxTasks = 2_000_000
+	maxRunDuration  = 2 * time.Minute
+	maxPlannedTasks = 2_000_000
 )
 
 func (s Scenario) length() time.Duration {
 	var d time.Duration
 	for _, p := range s.Phases {
-		d += p.For.D()
+		d += p.Length.D()
 	}
 	return d
 }
 
-func (s Scenario) check() error {
+func (s Scenario) validate() error {
 	switch {
 	case s.Name == "":
 		return errors.New("name must be set")
-	case len(s.Phases) == 0 || s.length() > maxRun:
-		return errors.Errorf("phases must be there and last %v at most", maxRun)
+	case len(s.Phases) == 0 || s.length() > maxRunDuration:
+		return errors.Errorf("phases must be there and last %v at most", maxRunDuration)
 	case s.JobTasks.Min < 1 || s.JobTasks.Max < s.JobTasks.Min:
 		return errors.New("job_tasks: needs 1 <= min <= max")
-	case s.Service.Min <= 0 || s.Service.Max < s.Service.Min:
+	case s.ServiceTimes.Min <= 0 || s.ServiceTimes.Max < s.ServiceTimes.Min:
 		return errors.New("service: needs 0 < min <= max")
 	}
-	if s.Skew < 0 || s.Skew > 1 || s.Greedy < 0 || s.Greedy >= 1 {
+	if s.Skew < 0 || s.Skew > 1 || s.GreedyShare < 0 || s.GreedyShare >= 1 {
 		return errors.New("skew and greedy must be shares")
 	}
 	for _, p := range s.Phases {
@@ -147,11 +147,11 @@
 	if filepath.Ext(name) != ".toml" {
 		return Scenario{}, errors.Errorf("no scenario %q", name)
 	}
-	s := Scenario{JobTasks: ordinaryJobs, Service: ordinaryService}
-	if err := strictTOML(name, &s); err != nil {
+	s := Scenario{JobTasks: defaultJobTasks, ServiceTimes: defaultServiceTimes}
+	if err := readStrictTOML(name, &s); err != nil {
 		return s, err
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return s, errors.Errorf("%s: %v", name, err)
 	}
 	return s, nil
--- a/load/scenarios.go
+++ b/load/scenarios.go
@@ -6,19 +6,19 @@
 	"snipehub.example/settings"
 )
 
-func lasting(d time.Duration, load float64) Phase {
-	return Phase{For: settings.Duration(d), Load: load}
+func newPhase(d time.Duration, load float64) Phase {
+	return Phase{Length: settings.Duration(d), Load: load}
 }
 
-func at(d time.Duration, do Fault, share float64) Action {
-	return Action{At: settings.Duration(d), Do: do, Share: share}
+func newAction(d time.Duration, do Fault, share float64) Action {
+	return Action{At: settings.Duration(d), Kind: do, Share: share}
 }
 
 var (
-	ordinaryJobs = Range{Min: 1, Max: 100}
+	defaultJobTasks = Range{Min: 1, Max: 100}
 	// ordinaryService is the brief's: most tasks take 50 ms to a second, a few
 	// several seconds.
-	ordinaryService = Service{
+	defaultServiceTimes = ServiceTimes{
 		Min:       settings.Duration(50 * time.Millisecond),
 		Max:       settings.Duration(time.Second),
 		Long:      settings.Duration(3 * time.Second),
@@ -27,27 +27,27 @@
 )
 
 // ordinaryRun is how long the steady part of a scenario lasts.
-const ordinaryRun = 8 * time.Second
+const steadyDuration = 8 * time.Second
 
 // Scenarios returns the table of scenarios, by number.
 func Scenarios() []Scenario {
-	out := append([]Scenario(nil), table...)
+	out := append([]Scenario(nil), builtinScenarios...)
 	for i := range out {
 		if out[i].JobTasks == (Range{}) {
-			out[i].JobTasks = ordinaryJobs
+			out[i].JobTasks = defaultJobTasks
 		}
-		if out[i].Service == (Service{}) {
-			out[i].Service = ordinaryService
+		if out[i].ServiceTimes == (ServiceTimes{}) {
+			out[i].ServiceTimes = defaultServiceTimes
 		}
 	}
 	return out
 }
 
-func steady(load float64) []Phase { return []Phase{lasting(ordinaryRun, load)} }
+func steady(load float64) []Phase { return []Phase{newPhase(steadyDuration, load)} }
 
 // table is numbered in tens by theme: 1 steady load, 20 shapes of load, 30 unlike
 // parts, 40 faults, 50 waves of callers.
-var table = []Scenario{
+var builtinScenarios = []Scenario{
 	{Number: 1, Name: "steady30", Title: "steady load at 30% of capacity", Since: "0.1", Phases: steady(0.3)},
 	{Number: 2, Name: "steady60", Title: "steady load at 60% of capacity", Since: "0.1", Phases: steady(0.6)},
 	{Number: 3, Name: "steady80", Title: "steady load at 80% of capacity", Since: "0.1", Phases: steady(0.8)},
@@ -55,8 +55,8 @@
 	{
 		Number: 20, Name: "bursts", Title: "bursts of one second at 1.5 times the capacity over 40%", Since: "0.1",
 		Phases: []Phase{
-			lasting(2*time.Second, 0.4), lasting(time.Second, 1.5), lasting(3*time.Second, 0.4),
-			lasting(time.Second, 1.5), lasting(3*time.Second, 0.4),
+			newPhase(2*time.Second, 0.4), newPhase(time.Second, 1.5), newPhase(3*time.Second, 0.4),
+			newPhase(time.Second, 1.5), newPhase(3*time.Second, 0.4),
 		},
 	},
 	{
@@ -65,7 +65,7 @@
 	},
 	{
 		Number: 22, Name: "overload", Title: "twice the capacity for nine seconds, and the recovery", Since: "0.1",
-		Phases: []Phase{lasting(3*time.Second, 0.6), lasting(9*time.Second, 2), lasting(6*time.Second, 0.6)},
+		Phases: []Phase{newPhase(3*time.Second, 0.6), newPhase(9*time.Second, 2), newPhase(6*time.Second, 0.6)},
 	},
 	{
 		Number: 30, Name: "unlike", Title: "backend servers of unlike speed at 60% of capacity", Since: "0.1",
@@ -77,38 +77,38 @@
 	},
 	{
 		Number: 32, Name: "greedy", Title: "one caller submits nine in ten jobs, at 1.5 times the capacity", Since: "0.1",
-		Phases: steady(1.5), Greedy: 0.9,
+		Phases: steady(1.5), GreedyShare: 0.9,
 	},
 	{
 		Number: 40, Name: "failing", Title: "a backend server fails everything it starts, at 60% of capacity", Since: "0.1",
-		Phases: steady(0.6), Actions: []Action{at(2*time.Second, FailWorker, 0)},
+		Phases: steady(0.6), Actions: []Action{newAction(2*time.Second, FailWorker, 0)},
 	},
 	{
 		Number: 41, Name: "rack", Title: "a rack gone at 60% of capacity", Since: "0.1",
-		Phases: steady(0.6), Actions: []Action{at(3*time.Second, RackGone, 0)},
+		Phases: steady(0.6), Actions: []Action{newAction(3*time.Second, RackGone, 0)},
 	},
 	{
 		Number: 42, Name: "killed", Title: "a third of the dispatchers killed, at 40% of capacity", Since: "0.1",
-		Phases: steady(0.4), Actions: []Action{at(3*time.Second, KillVMs, 1.0/3)},
+		Phases: steady(0.4), Actions: []Action{newAction(3*time.Second, KillVMs, 1.0/3)},
 	},
 	{
 		Number: 43, Name: "slow", Title: "a backend server ten times slower, at 60% of capacity", Since: "0.1",
-		Phases: steady(0.6), Actions: []Action{at(2*time.Second, SlowWorker, 0)},
+		Phases: steady(0.6), Actions: []Action{newAction(2*time.Second, SlowWorker, 0)},
 	},
 	{
 		Number: 44, Name: "frozen", Title: "a backend server frozen, at 60% of capacity", Since: "0.1",
-		Phases: steady(0.6), Actions: []Action{at(2*time.Second, FreezeWorker, 0)},
+		Phases: steady(0.6), Actions: []Action{newAction(2*time.Second, FreezeWorker, 0)},
 	},
 	{
 		Number: 45, Name: "logdown", Title: "the platform's log down, at 60% of capacity", Since: "0.1",
-		Phases: steady(0.6), Actions: []Action{at(time.Second, LogDown, 0)},
+		Phases: steady(0.6), Actions: []Action{newAction(time.Second, LogDown, 0)},
 	},
 	{
 		Number: 50, Name: "cancel", Title: "half of the jobs in flight cancelled at once, under overload", Since: "0.1",
-		Phases: []Phase{lasting(4*time.Second, 1.5), lasting(4*time.Second, 0.6)}, Actions: []Action{at(4*time.Second, CancelWave, 0.5)},
+		Phases: []Phase{newPhase(4*time.Second, 1.5), newPhase(4*time.Second, 0.6)}, Actions: []Action{newAction(4*time.Second, CancelWave, 0.5)},
 	},
 	{
 		Number: 51, Name: "resubmit", Title: "all jobs in flight submitted again over other dispatchers, at 60% of capacity", Since: "0.1",
-		Phases: steady(0.6), Actions: []Action{at(3*time.Second, ResubmitWave, 1), at(6*time.Second, ResubmitWave, 1)},
+		Phases: steady(0.6), Actions: []Action{newAction(3*time.Second, ResubmitWave, 1), newAction(6*time.Second, ResubmitWave, 1)},
 	},
 }
--- a/load/site.go
+++ b/load/site.go
@@ -21,7 +21,7 @@
 func siteNames() string { return strings.Join(slices.Sorted(maps.Keys(model.Sites)), ", ") }
 
 // siteOf returns the deployment that siteFlag names.
-func siteOf(c *cli.Command) (func() model.Config, error) {
+func siteFromFlag(c *cli.Command) (func() model.Config, error) {
 	site, ok := model.Sites[c.String("site")]
 	if !ok {
 		return nil, cli.Exit(fmt.Sprintf("no site %q", c.String("site")), program.ExitUsage)
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -14,13 +14,13 @@
 )
 
 // slopeOf is one measurement of the slopes command.
-type slopeOf struct {
+type slopeMeasurement struct {
 	name string
 	run  func(ctx context.Context) ([]Slope, error)
 }
 
 // slopes is what "snipeload slopes" measures, in this order.
-var slopes = []slopeOf{
+var slopeMeasurements = []slopeMeasurement{
 	{"cpu", cpuSlopes},
 	{"kept", keptSlopes},
 	{"tickets", ticketSlopes},
@@ -55,47 +55,47 @@
 		return nil, err
 	}
 	defer b.Close()
-	b.repeat(ctx, b.job(8, benchService), 4, 500, 5*time.Second)
+	b.runJobs(ctx, b.job(8, benchService), 4, 500, 5*time.Second)
 	var points []Point
 	for _, n := range []int{1, 4, 16, 64, 256, 1000} {
 		before, _ := b.usage()
-		jobs := b.repeat(ctx, b.job(n, benchService), max(1, 8/n), int64(max(6000/n, 16)), 8*time.Second)
+		jobs := b.runJobs(ctx, b.job(n, benchService), max(1, 8/n), int64(max(6000/n, 16)), 8*time.Second)
 		after, _ := b.usage()
 		if jobs == 0 {
 			return nil, errors.Errorf("slopes: no job of %d tasks was done", n)
 		}
 		points = append(points, Point{float64(n), float64((after - before).Microseconds()) / float64(jobs)})
 	}
-	return []Slope{newSlope(slopeCPU, "tasks of the job", "µs of dispatcher", points, relative)}, nil
+	return []Slope{newSlope(slopeCPU, "tasks of the job", "µs of dispatcher", points, relativeErrors)}, nil
 }
 
 // ticketLife is how many jobs are submitted under one ticket when answers are
 // to be kept: a window forgets what lies further back.
-const ticketLife = 1000
+const jobsPerTicket = 1000
 
 // keptTasks is the size of the larger of two kinds of kept answers.
-const keptTasks = 20
+const largeAnswerTasks = 20
 
 // keptSlopes measures the dispatcher's memory by the answers that it keeps, of
 // one task and of several.
 func keptSlopes(ctx context.Context) ([]Slope, error) {
-	one, err := kept(ctx, 1, ticketLife)
+	one, err := measureKept(ctx, 1, jobsPerTicket)
 	if err != nil {
 		return nil, err
 	}
-	several, err := kept(ctx, keptTasks, ticketLife/keptTasks)
+	several, err := measureKept(ctx, largeAnswerTasks, jobsPerTicket/largeAnswerTasks)
 	if err != nil {
 		return nil, err
 	}
 	return []Slope{
-		newSlope(slopeKept, "answers of one task", "bytes resident", one, absolute),
-		newSlope(slopeKeptLarge, "answers of "+itoa(keptTasks)+" tasks", "bytes resident", several, absolute),
+		newSlope(slopeKept, "answers of one task", "bytes resident", one, absoluteErrors),
+		newSlope(slopeKeptLarge, "answers of "+itoa(largeAnswerTasks)+" tasks", "bytes resident", several, absoluteErrors),
 	}, nil
 }
 
 // kept reads the memory of a dispatcher after each of eight steps, in which
 // every client brings so many jobs.
-func kept(ctx context.Context, tasks, perClient int) ([]Point, error) {
+func measureKept(ctx context.Context, tasks, perClient int) ([]Point, error) {
 	b, err := newBench(ctx)
 	if err != nil {
 		return nil, err
@@ -104,9 +104,9 @@
 	var points []Point
 	total := int64(0)
 	for range 8 {
-		total += b.repeat(ctx, b.job(tasks, time.Millisecond), 8, int64(perClient*benchCallers), 10*time.Second)
-		if perClient == ticketLife {
-			b.renew()
+		total += b.runJobs(ctx, b.job(tasks, time.Millisecond), 8, int64(perClient*benchCallers), 10*time.Second)
+		if perClient == jobsPerTicket {
+			b.renewTickets()
 		}
 		_, mem := b.usage()
 		points = append(points, Point{float64(total), float64(mem)})
@@ -133,7 +133,7 @@
 			points = append(points, Point{float64(n), float64(mem)})
 		}
 	}
-	return []Slope{newSlope(slopeTicket, "tickets", "bytes resident", points, absolute)}, nil
+	return []Slope{newSlope(slopeTicket, "tickets", "bytes resident", points, absoluteErrors)}, nil
 }
 
 // queueSlopes measures the dispatcher's memory by the tasks that wait, while
@@ -155,7 +155,7 @@
 	const step, perJob = 20, 1000
 	for i := range 6 {
 		for n := range step {
-			wg.Go(func() { b.once(ctx, b.clients[n%len(b.clients)], b.job(perJob, benchService)) })
+			wg.Go(func() { b.submitOnce(ctx, b.clients[n%len(b.clients)], b.job(perJob, benchService)) })
 		}
 		if !clock.Sleep(ctx, 1500*time.Millisecond) {
 			return nil, ctx.Err()
@@ -163,12 +163,12 @@
 		_, mem := b.usage()
 		points = append(points, Point{float64((i + 1) * step * perJob), float64(mem)})
 	}
-	return []Slope{newSlope(slopeQueue, "waiting tasks", "bytes resident", points, absolute)}, nil
+	return []Slope{newSlope(slopeQueue, "waiting tasks", "bytes resident", points, absoluteErrors)}, nil
 }
 
 // memberSizes begin where a heartbeat no longer has room for all members: below,
 // the cost grows with each member, and the line would not tell of larger sizes.
-var memberSizes = []int{24, 48, 72, 96}
+var memberCounts = []int{24, 48, 72, 96}
 
 // memberSlopes measures what an idle dispatcher spends on control by the
 // number of dispatchers.
@@ -180,13 +180,13 @@
 		{Name: slopeStatus, Y: "bytes"},
 		{Name: slopeLogReads, Y: "reads a second, all"},
 	}
-	for _, n := range memberSizes {
+	for _, n := range memberCounts {
 		d, err := ReadDeployment("lakeshore")
 		if err != nil {
 			return nil, err
 		}
 		d.Dispatchers = n
-		values, err := idle(ctx, d)
+		values, err := measureIdle(ctx, d)
 		if err != nil {
 			return nil, err
 		}
@@ -195,57 +195,57 @@
 		}
 	}
 	for i, s := range out {
-		out[i] = newSlope(s.Name, "dispatchers", s.Y, s.Points, absolute)
+		out[i] = newSlope(s.Name, "dispatchers", s.Y, s.Points, absoluteErrors)
 	}
 	return out, nil
 }
 
 const (
 	idleSettle = 3 * time.Second
-	idleFor    = 5 * time.Second
+	idleWindow = 5 * time.Second
 )
 
 // idle brings up a deployment without load and returns what memberSlopes
 // lists, in that order.
-func idle(ctx context.Context, d Deployment) ([]float64, error) {
-	up, err := Deploy(ctx, d)
+func measureIdle(ctx context.Context, d Deployment) ([]float64, error) {
+	running, err := Deploy(ctx, d)
 	if err != nil {
 		return nil, err
 	}
-	defer up.Close()
+	defer running.Close()
 	clock.Sleep(ctx, idleSettle)
-	a, bytesA := up.read(ctx), up.traffic()
-	if !clock.Sleep(ctx, idleFor) {
+	before, bytesBefore := running.takeSample(ctx), running.trafficBytes()
+	if !clock.Sleep(ctx, idleWindow) {
 		return nil, ctx.Err()
 	}
-	b, bytesB := up.read(ctx), up.traffic()
+	after, bytesAfter := running.takeSample(ctx), running.trafficBytes()
 	var status string
-	if err := get(ctx, up.places[0].callers, "/status", &status); err != nil {
+	if err := get(ctx, running.places[0].callerAddr, "/status", &status); err != nil {
 		return nil, err
 	}
-	seconds, n := b.at.Sub(a.at).Seconds(), float64(d.Dispatchers)
+	seconds, n := after.at.Sub(before.at).Seconds(), float64(d.Dispatchers)
 	return []float64{
-		float64((b.dispatcher - a.dispatcher).Microseconds()) / seconds / n,
-		float64(bytesB-bytesA) / seconds / n,
-		float64(b.memory),
+		float64((after.dispatcherCPU - before.dispatcherCPU).Microseconds()) / seconds / n,
+		float64(bytesAfter-bytesBefore) / seconds / n,
+		float64(after.maxMemory),
 		float64(len(status)),
-		float64(b.log.Reads+b.log.ListReads-a.log.Reads-a.log.ListReads) / seconds,
+		float64(after.log.Reads+after.log.ListReads-before.log.Reads-before.log.ListReads) / seconds,
 	}, nil
 }
 
 // traffic is the bytes that all dispatchers have read and written, the
 // answers to this tool included.
-func (r *Running) traffic() int64 {
+func (r *Running) trafficBytes() int64 {
 	var sum int64
 	for _, p := range r.dispatchers {
-		sum += p.traffic()
+		sum += p.trafficBytes()
 	}
 	return sum
 }
 
 func measureSlopes(ctx context.Context, only []string, report func(s Slope)) ([]Slope, error) {
 	var out []Slope
-	for _, m := range slopes {
+	for _, m := range slopeMeasurements {
 		if len(only) > 0 && !slices.Contains(only, m.name) {
 			continue
 		}
--- a/load/slopescommand.go
+++ b/load/slopescommand.go
@@ -20,7 +20,7 @@
 }
 
 // slopesLimit bounds all measurements of slopes together.
-const slopesLimit = 10 * time.Minute
+const slopesTimeout = 10 * time.Minute
 
 func slopesCommand() *cli.Command {
 	return &cli.Command{
@@ -31,9 +31,9 @@
 			&cli.StringFlag{Name: "out", Usage: "write the slopes to this JSON file"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			ctx, cancel := context.WithTimeout(ctx, slopesLimit)
+			ctx, cancel := context.WithTimeout(ctx, slopesTimeout)
 			defer cancel()
-			f := SlopeFile{At: time.Now().UTC(), Commit: commit(), Machine: thisMachine()}
+			f := SlopeFile{At: time.Now().UTC(), Commit: commit(), Machine: describeMachine()}
 			var err error
 			f.Slopes, err = measureSlopes(ctx, c.StringSlice("only"), func(s Slope) {
 				fmt.Fprintln(c.Root().Writer, s)
--- a/load/submit.go
+++ b/load/submit.go
@@ -20,13 +20,13 @@
 type verdict string
 
 const (
-	done      verdict = "done"
-	failed    verdict = "failed"
-	refused   verdict = "refused"
-	unknown   verdict = "unknown"
-	cancelled verdict = "cancelled"
+	verdictDone      verdict = "done"
+	verdictFailed    verdict = "failed"
+	verdictRefused   verdict = "refused"
+	verdictUnknown   verdict = "unknown"
+	verdictCancelled verdict = "cancelled"
 	// lost means that the caller had no final answer when its time was over.
-	lost verdict = "lost"
+	verdictLost verdict = "lost"
 )
 
 // outcome is what became of one arrival.
@@ -40,10 +40,10 @@
 	// repeats are submissions beyond the first.
 	repeats int
 	// wrong tells that an answer was to another task, or missing.
-	wrong bool
+	wrongAnswer bool
 	// notRun are the task indexes that the answer calls "not run"; all of
 	// them when the whole job was refused so.
-	notRun []int
+	notRunTasks []int
 	// tasks is kept to compare it with the answer to a resubmission.
 	tasks []job.TaskResult
 }
@@ -52,56 +52,56 @@
 	// jobTimeout is the bound that callers give their jobs.
 	jobTimeout = 20 * time.Second
 	// patience is how long a caller tries for a final answer.
-	patience = 30 * time.Second
+	callerTimeout = 30 * time.Second
 	// pause is the wait before a caller comes back when it was given none.
-	pause = 100 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
 )
 
 // submit brings one job to its end. A refusal with "not run" is final: coming
 // back would add to the offered load, which the scenario alone decides.
-func (d *drive) submit(ctx context.Context, a arrival) outcome {
-	began := d.began.Add(a.at)
-	ctx, cancel := context.WithDeadline(ctx, began.Add(patience))
+func (d *driver) submit(ctx context.Context, a arrival) outcome {
+	began := d.startTime.Add(a.at)
+	ctx, cancel := context.WithDeadline(ctx, began.Add(callerTimeout))
 	defer cancel()
-	o := outcome{arrival: a, verdict: lost, ideal: a.ideal(d.fastest)}
-	id, entry, err := d.identity(ctx, a)
+	o := outcome{arrival: a, verdict: verdictLost, ideal: a.ideal(d.maxSpeed)}
+	id, entry, err := d.acquireJobID(ctx, a)
 	if err == nil {
 		o.id = id.String()
-		err = d.put(ctx, &o, id, entry)
+		err = d.submitUntilFinal(ctx, &o, id, entry)
 	}
 	o.response = time.Since(began)
-	d.judge(&o, err)
+	d.setVerdict(&o, err)
 	return o
 }
 
 // identity takes the next identity of the caller at its dispatcher. Nothing has
 // been submitted yet, so when that dispatcher is gone another one serves as
 // well, as behind a balancer.
-func (d *drive) identity(ctx context.Context, a arrival) (ticket.JobID, netip.AddrPort, error) {
+func (d *driver) acquireJobID(ctx context.Context, a arrival) (ticket.JobID, netip.AddrPort, error) {
 	n := a.dispatcher
 	for {
 		id, err := d.clients[a.caller][n].Next(ctx)
-		if err == nil || !errors.Is(err, client.ErrTransport) || !clock.Sleep(ctx, pause/10) {
-			return id, d.places[n].callers, err
+		if err == nil || !errors.Is(err, client.ErrTransport) || !clock.Sleep(ctx, minRetryDelay/10) {
+			return id, d.places[n].callerAddr, err
 		}
 		n = rand.IntN(len(d.places))
 	}
 }
 
 // put submits the identity until there is a final answer.
-func (d *drive) put(ctx context.Context, o *outcome, id ticket.JobID, entry netip.AddrPort) error {
+func (d *driver) submitUntilFinal(ctx context.Context, o *outcome, id ticket.JobID, entry netip.AddrPort) error {
 	spec := o.spec()
-	d.flying.add(o.id, flight{id: id, caller: o.caller, spec: spec, home: o.dispatcher})
-	defer d.flying.remove(o.id)
+	d.inFlight.add(o.id, inFlightJob{id: id, caller: o.caller, spec: spec, owner: o.dispatcher})
+	defer d.inFlight.remove(o.id)
 	c := d.clients[o.caller][o.dispatcher]
 	for {
 		a, err := c.Put(ctx, entry, id, spec)
 		if err == nil && a.State != job.Queued {
-			o.take(a)
+			o.recordAnswer(a)
 			return nil
 		}
 		var r *refusal.Refusal
-		wait := pause
+		wait := minRetryDelay
 		if errors.As(err, &r) {
 			if r.Again != refusal.AgainSame {
 				return err
@@ -112,34 +112,34 @@
 			return errors.Wrap(client.ErrGaveUp, o.id)
 		}
 		o.repeats++
-		entry = d.places[rand.IntN(len(d.places))].callers
+		entry = d.places[rand.IntN(len(d.places))].callerAddr
 	}
 }
 
 // take reads a final answer.
-func (o *outcome) take(a job.Answer) {
+func (o *outcome) recordAnswer(a job.Answer) {
 	o.tasks = a.Tasks
-	o.verdict = failed
+	o.verdict = verdictFailed
 	if a.State == job.Done {
-		o.verdict = done
-		o.wrong = !o.whole(a)
+		o.verdict = verdictDone
+		o.wrongAnswer = !o.answersEachTask(a)
 		return
 	}
 	for i, t := range a.Tasks {
 		if !t.Done && t.Ran == refusal.RanNo {
-			o.notRun = append(o.notRun, i)
+			o.notRunTasks = append(o.notRunTasks, i)
 		}
 	}
 }
 
 // whole tells whether a done answer has the own answer of each task.
-func (o *outcome) whole(a job.Answer) bool {
+func (o *outcome) answersEachTask(a job.Answer) bool {
 	if len(a.Tasks) != len(o.service) {
 		return false
 	}
 	for i, t := range a.Tasks {
-		mark := []byte(`"task":"` + o.id + "/" + itoa(i) + "/")
-		if !t.Done || !bytes.Contains(t.Answer, mark) {
+		ownTask := []byte(`"task":"` + o.id + "/" + itoa(i) + "/")
+		if !t.Done || !bytes.Contains(t.Answer, ownTask) {
 			return false
 		}
 	}
@@ -147,24 +147,24 @@
 }
 
 // judge turns the error of a submission into the outcome's verdict.
-func (d *drive) judge(o *outcome, err error) {
+func (d *driver) setVerdict(o *outcome, err error) {
 	var r *refusal.Refusal
 	if !errors.As(err, &r) {
-		if o.verdict == failed && d.flying.wasCancelled(o.id) {
-			o.verdict = cancelled
+		if o.verdict == verdictFailed && d.inFlight.wasCancelled(o.id) {
+			o.verdict = verdictCancelled
 		}
 		return
 	}
 	o.code = r.Code
 	switch {
 	case r.Ran == refusal.RanNo:
-		o.verdict = refused
+		o.verdict = verdictRefused
 		for i := range o.service {
-			o.notRun = append(o.notRun, i)
+			o.notRunTasks = append(o.notRunTasks, i)
 		}
-	case d.flying.wasCancelled(o.id):
-		o.verdict = cancelled
+	case d.inFlight.wasCancelled(o.id):
+		o.verdict = verdictCancelled
 	default:
-		o.verdict = unknown
+		o.verdict = verdictUnknown
 	}
 }
--- a/load/suite.go
+++ b/load/suite.go
@@ -13,13 +13,13 @@
 )
 
 // pair is a deployment and a scenario of the suite.
-type pair struct {
+type suiteRun struct {
 	deployment, scenario string
 }
 
 // mainPairs are what the policies are compared by. With four policies they
 // take about six minutes.
-var mainPairs = []pair{
+var defaultSuiteRuns = []suiteRun{
 	{"lakeshore", "steady80"},
 	{"lakeshore", "skew"},
 	{"lakeshore", "unlike"},
@@ -52,13 +52,13 @@
 }
 
 func suite(ctx context.Context, c *cli.Command) error {
-	pairs, err := pairsOf(c.StringSlice("scenario"))
+	runs, err := parseSuiteRuns(c.StringSlice("scenario"))
 	if err != nil {
 		return err
 	}
 	var all []Report
 	began := time.Now()
-	for _, p := range pairs {
+	for _, p := range runs {
 		for _, policy := range c.StringSlice("policy") {
 			r, err := p.run(ctx, Options{Policy: policy, Seed: c.Uint64("seed")})
 			if err != nil {
@@ -86,25 +86,25 @@
 			return err
 		}
 	}
-	return safe(all)
+	return checkSafety(all)
 }
 
-func pairsOf(names []string) ([]pair, error) {
+func parseSuiteRuns(names []string) ([]suiteRun, error) {
 	if len(names) == 0 {
-		return mainPairs, nil
+		return defaultSuiteRuns, nil
 	}
-	var out []pair
+	var out []suiteRun
 	for _, n := range names {
 		d, s := filepath.Split(n)
 		if d == "" {
 			return nil, errors.Errorf("%s: must be DEPLOYMENT/SCENARIO", n)
 		}
-		out = append(out, pair{filepath.Clean(d), s})
+		out = append(out, suiteRun{filepath.Clean(d), s})
 	}
 	return out, nil
 }
 
-func (p pair) run(ctx context.Context, o Options) (Report, error) {
+func (p suiteRun) run(ctx context.Context, o Options) (Report, error) {
 	d, err := ReadDeployment(p.deployment)
 	if err != nil {
 		return Report{}, err
@@ -113,7 +113,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	return bounded(ctx, d, s, o)
+	return runWithTimeout(ctx, d, s, o)
 }
 
 // markdown writes the reports as tables, one for each deployment and scenario
@@ -135,7 +135,7 @@
 		j := r.Jobs
 		fmt.Fprintf(&b, "| %s | %.3f | %.3f | %.3f | %.0f | %d / %d / %d / %d / %d | %.4f | %.4f | %.3f | %.0f | %s | %.1f |\n",
 			r.Policy, r.Ratio.P50, r.Ratio.P90, r.Ratio.P99, r.Goodput, j.Done, j.Failed, j.Refused, j.Unknown, j.Lost,
-			r.Messages.Placement, r.Messages.Total, r.Fairness.Jain, r.Cost.TaskMicros, r.Safety.short(), r.Machine.Load)
+			r.Messages.Placement, r.Messages.Total, r.Fairness.Jain, r.Cost.TaskMicros, r.Safety.summary(), r.Machine.Load)
 	}
 	return b.String()
 }
@@ -153,8 +153,8 @@
 	return text
 }
 
-func (s Safety) short() string {
-	if !s.Broken() {
+func (s Safety) summary() string {
+	if !s.Violated() {
 		return "0"
 	}
 	return fmt.Sprintf("double %d, lost %d, ran %d, wrong %d, conflicts %d",
--- a/load/tableslopes.go
+++ b/load/tableslopes.go
@@ -14,20 +14,20 @@
 )
 
 // tableSizes are numbers of backend server rows, up to the letter's.
-var tableSizes = []int{1000, 2000, 4000, 8000, 13000}
+var rowCounts = []int{1000, 2000, 4000, 8000, 13000}
 
 // tableSlopes measures the tables in this process: memory by rows, the time
 // that a reader needs to apply an edit of one row, and the edit's bytes.
 func tableSlopes(context.Context) ([]Slope, error) {
 	var memory, apply, size []Point
-	for _, n := range tableSizes {
-		before := heap()
-		st, err := tables.Build(ledger.None, manyRows(n))
+	for _, n := range rowCounts {
+		before := heapBytes()
+		st, err := tables.Build(ledger.None, largeTables(n))
 		if err != nil {
 			return nil, errors.Wrap(err, "slopes")
 		}
-		memory = append(memory, Point{float64(n), float64(heap() - before)})
-		d, bytes, err := editOnce(st, n)
+		memory = append(memory, Point{float64(n), float64(heapBytes() - before)})
+		d, bytes, err := measureEdit(st, n)
 		if err != nil {
 			return nil, err
 		}
@@ -36,15 +36,15 @@
 		runtime.KeepAlive(st)
 	}
 	return []Slope{
-		newSlope(slopeRows, "rows", "bytes of heap", memory, absolute),
-		newSlope(slopeApply, "rows", "µs", apply, absolute),
-		newSlope(slopeEditBytes, "rows", "bytes", size, absolute),
+		newSlope(slopeRows, "rows", "bytes of heap", memory, absoluteErrors),
+		newSlope(slopeApply, "rows", "µs", apply, absoluteErrors),
+		newSlope(slopeEditBytes, "rows", "bytes", size, absoluteErrors),
 	}, nil
 }
 
 // editOnce applies an edit of one row several times and returns the mean time,
 // decoding included, and the edit's size on the log.
-func editOnce(st *tables.State, n int) (time.Duration, int, error) {
+func measureEdit(st *tables.State, n int) (time.Duration, int, error) {
 	row := serverRow(n / 2)
 	row.Leaving = true
 	e := tables.Edit{ID: "00000000-0000-0000-0000-000000000000", Base: st.Version, Author: "operator", At: time.Unix(0, 0)}
@@ -68,7 +68,7 @@
 }
 
 // manyRows is tables with n backend servers, 190 teams and 40 routes and pools.
-func manyRows(n int) tables.Rows {
+func largeTables(n int) tables.Rows {
 	var r tables.Rows
 	for i := range tablePools {
 		name := "pool-" + itoa(i)
@@ -95,7 +95,7 @@
 }
 
 // heap is the bytes of live objects.
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/load/verify.go
+++ b/load/verify.go
@@ -12,24 +12,24 @@
 // verify compares what callers were told with what the backend servers have
 // recorded. It returns what must be 0, but for lost and wrong answers, which
 // the outcomes alone tell.
-func verify(all []outcome, starts []stand.Start, again map[string][]job.Answer) Safety {
+func verify(all []outcome, starts []stand.Start, resubmitAnswers map[string][]job.Answer) Safety {
 	var s Safety
 	count := make(map[string]int, len(starts))
 	for _, st := range starts {
-		n := count[taskOf(st.Task)] + 1
-		count[taskOf(st.Task)] = n
+		n := count[withoutAttempt(st.Task)] + 1
+		count[withoutAttempt(st.Task)] = n
 		if n == 2 {
 			s.DoubleStarts++
 		}
 	}
 	for _, o := range all {
-		for _, i := range o.notRun {
+		for _, i := range o.notRunTasks {
 			if count[o.id+"/"+itoa(i)] > 0 {
 				s.NotRunButRan++
 			}
 		}
-		for _, a := range again[o.id] {
-			if o.verdict != done || !sameTasks(o.tasks, a.Tasks) {
+		for _, a := range resubmitAnswers[o.id] {
+			if o.verdict != verdictDone || !sameTasks(o.tasks, a.Tasks) {
 				s.Conflicts++
 			}
 		}
@@ -38,7 +38,7 @@
 }
 
 // taskOf returns job and index of a task id, without the attempt.
-func taskOf(id string) string {
+func withoutAttempt(id string) string {
 	i := strings.LastIndexByte(id, '/')
 	if i < 0 {
 		return id
