--- a/load/lossaccount.go
+++ b/load/lossaccount.go
@@ -9,57 +9,64 @@
 	"snipehub.example/event"
 )
 
-// lostJob is a job as the logs of all processes tell of it.
+// loggedJob is a job as the logs of all processes show it, whether it was lost or not.
 type loggedJob struct {
 	queue string
-	// entry is the process that took it in first, place its data centre.
+	// entry is the process that admitted the job first, dataCenter the data centre of
+	// that process, and firstSeen the time of that admission. Of a job that was never
+	// admitted, they are those of the first answer.
 	entry, dataCenter string
 	firstSeen         time.Time
-	// patience is how long its caller waits from then on, as the caller said.
+	// timeout is how long its caller waits from firstSeen on, as the caller stated.
 	timeout time.Duration
-	// aim and guess are the objective and the estimate of a task that it comes from.
+	// objective is the job's latency objective, and estimate the estimated work of a
+	// task, from which the objective was computed. resolveJob replaces objective by the
+	// one that follows from work.
 	objective, estimate time.Duration
 	tasks, cpu          int
-	// admitted and answers are of all requests with its id, in the order of time.
+	// admittedAt and answers cover all requests with the job's id, ordered by time.
 	admittedAt []time.Time
 	answers    []jobAnswer
 	runs       map[string]*loggedRun
-	// broken tells that a run did not end as done.
+	// runFailure is how a run ended that did not end as done.
 	runFailure string
 	lastRun    *loggedRun
 
-	// work is what its longest task turned out to be at ordinary speed.
+	// work is the actual work of its longest task, at ordinary worker speed.
 	work time.Duration
-	// away is how long its caller had waited before a request reached a process.
+	// waitedBefore is how long its caller had waited before a request reached a process.
 	waitedBefore time.Duration
-	// cut tells that its entry was cut off from a process that ran on.
+	// entryCutOff is set if its entry lost the connection to a process that continued to
+	// run.
 	entryCutOff bool
-	// dead tells that its entry ended.
+	// entryDied is set if its entry ended.
 	entryDied bool
 }
 
-// jobAnswer is what a caller was told, and by which process.
+// jobAnswer is an answer to the caller, and the process that gave it.
 type jobAnswer struct {
 	at            time.Time
 	status, why   string
 	queue, source string
 }
 
-// lostRun is the last run of a task.
+// loggedRun is the last run of a task.
 type loggedRun struct {
 	worker             string
 	grantedAt, endedAt time.Time
 	took               time.Duration
-	// factor is the time that tasks were known to take on the worker, over the estimate.
+	// factor is the ratio of run time to estimate that was known of the worker at the
+	// grant.
 	factor float64
 }
 
-// worked is the work of a run at ordinary speed.
+// normalWork returns the work of a run at ordinary worker speed.
 func (r *loggedRun) normalWork() time.Duration {
 	return time.Duration(float64(r.took) / max(r.factor, 0.1))
 }
 
-// final returns the last answer, unless a request came behind it.
+// final returns the last answer. It reports false if there is none, or if a request came
+// after it.
 func (j *loggedJob) final() (jobAnswer, bool) {
 	if len(j.answers) == 0 {
 		return jobAnswer{}, false
@@ -68,35 +75,37 @@
 	return a, len(j.admittedAt) == 0 || !a.at.Before(j.admittedAt[len(j.admittedAt)-1])
 }
 
-// sent is when the caller sent the job for the first time, as far as is known.
+// sent returns when the caller sent the job for the first time, as far as is known.
 func (j *loggedJob) sent() time.Time { return j.firstSeen.Add(-j.waitedBefore) }
 
-// life is one start of a process: from its first line to its last.
+// incarnation is one run of a process, from its first log line to its last.
 type incarnation struct {
 	id          string
 	from, until time.Time
 }
 
-// parting is the loss of a session with another process, until they meet again.
+// sessionLoss is the loss of a session with another process, until it is restored.
 type sessionLoss struct {
 	at, restoredAt time.Time
 	peerID         string
 }
 
-// account is the jobs of a day, and the processes.
+// lossAccount holds the jobs of a day, and by process name the incarnations, data centres
+// and session losses.
 type lossAccount struct {
 	jobs          map[string]*loggedJob
 	incarnations  map[string][]incarnation
 	dataCenters   map[string]string
 	sessionLosses map[string][]sessionLoss
-	// last is the latest line of any log.
+	// lastLine is the time of the latest line of any log.
 	lastLine time.Time
-	// worth is what a job of a queue is worth; without any, all queues together are worth
-	// the same.
+	// worth is what a job of each queue is worth; if empty, all queues are worth the same
+	// in total.
 	worth map[string]float64
-	// late is the part of its worth that a late answer earns.
+	// lateWorth is the share of its worth that a late answer earns.
 	lateWorth float64
-	// asked is how many jobs the callers say they sent, 0 if nobody says.
+	// reportedJobs is the number of jobs that the callers report to have sent, 0 if
+	// unknown.
 	reportedJobs int
 }
 
@@ -139,7 +148,7 @@
 	}
 }
 
-// met ends the parting of two processes.
+// endSessionLoss records that a session with another process is restored.
 func (a *lossAccount) endSessionLoss(source string, l logLine) {
 	for i := range a.sessionLosses[source] {
 		if p := &a.sessionLosses[source][i]; p.peerID == l.ID && p.restoredAt.IsZero() {
@@ -148,13 +157,13 @@
 	}
 }
 
-// live follows which processes ran when.
+// trackIncarnation records which processes ran when.
 func (a *lossAccount) trackIncarnation(source string, l logLine) {
 	if l.Event == event.ProcessStarted {
 		a.dataCenters[source] = l.DataCenter
 		a.incarnations[source] = append(a.incarnations[source], incarnation{id: l.ID, from: l.Time})
 	}
-	// A start reads the settings before it says that it has begun.
+	// A process reads its settings before it logs that it has started.
 	if s := a.incarnations[source]; len(s) > 0 && l.Event != event.SettingsRead && l.Time.After(s[len(s)-1].until) {
 		s[len(s)-1].until = l.Time
 	}
@@ -172,8 +181,8 @@
 	return j
 }
 
-// admitted takes the first time that a job was taken in. Of a job that was sent again,
-// that counts: its caller has waited since.
+// addAdmission records an admission. The first one of a job that was sent again
+// determines its entry and firstSeen: its caller has waited since then.
 func (a *lossAccount) addAdmission(source string, l logLine) {
 	j := a.jobWithID(l.Job)
 	j.admittedAt = append(j.admittedAt, l.Time)
@@ -215,19 +224,20 @@
 	}
 }
 
-// settle works out what only the whole day tells: when callers first sent, what the work
-// was, whose entry ended or was cut off.
+// resolve computes what only follows from the whole day: when callers first sent a job,
+// what its work was, whether its entry ended or was cut off.
 func (a *lossAccount) resolve() {
 	for id, j := range a.jobs {
 		slices.SortFunc(j.admittedAt, time.Time.Compare)
 		slices.SortFunc(j.answers, func(x, y jobAnswer) int { return x.at.Compare(y.at) })
 		if j.firstSeen.IsZero() && len(j.answers) > 0 {
-			// A process that is about to end refuses without taking the job in.
+			// A process that is about to stop refuses jobs without admitting them.
 			f := j.answers[0]
 			j.queue, j.entry, j.dataCenter, j.firstSeen = f.queue, f.source, a.dataCenters[f.source], f.at
 		}
 		if j.firstSeen.IsZero() {
-			// Its entry's lines are missing: nothing tells when it came or what it was.
+			// The lines of its entry are missing: its time of arrival and its queue are
+			// unknown.
 			delete(a.jobs, id)
 		}
 	}
@@ -238,7 +248,8 @@
 	a.resolveWork()
 }
 
-// fillFactors gives runs whose grant is in no log the factor that their worker mostly had.
+// fillMissingFactors gives runs whose grant is in no log the median factor of their
+// worker.
 func (a *lossAccount) fillMissingFactors() {
 	known := make(map[string][]float64)
 	var unknown []*loggedRun
@@ -256,8 +267,8 @@
 	}
 }
 
-// quiet is how long before the end of all logs a process may write its last line without
-// being taken for ended.
+// maxLogSilence is how long before the end of all logs a process may write its last line
+// without being regarded as ended.
 const maxLogSilence = time.Second
 
 func (a *lossAccount) hasEntryDied(j *loggedJob) bool {
@@ -270,8 +281,9 @@
 	return false
 }
 
-// outlives is how long a process goes on writing after others have lost it, when it has
-// been cut off and not ended; they don't meet again within it.
+// minCutOff is the least time that a process continues to log after others lost the
+// session with it, if it was cut off and did not end. The session is not restored within
+// this time.
 const minCutOff = 200 * time.Millisecond
 
 func (a *lossAccount) wasEntryCutOff(j *loggedJob) bool {
@@ -289,7 +301,7 @@
 	return false
 }
 
-// until returns when a process wrote its last line.
+// lastLineOf returns when an incarnation wrote its last line.
 func (a *lossAccount) lastLineOf(id string) time.Time {
 	for _, lives := range a.incarnations {
 		for _, l := range lives {
--- a/load/losscause.go
+++ b/load/losscause.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// The causes that are not a refusal's own word.
+// These are the causes of loss. A cause that ends in a space is followed by the reason of
+// the refusal or answer, or by how the run ended.
 const (
 	causeInTime            = "in time"
 	causeLateWaiting       = "late: waited for a worker"
@@ -24,19 +25,20 @@
 )
 
 const (
-	// lateRefusal is the part of its objective after which a refusal is late: the caller
-	// could have gone elsewhere.
+	// lateRefusalThreshold is the part of its objective after which a refusal is late:
+	// the caller could have tried elsewhere in the meantime.
 	lateRefusalThreshold = 0.25
-	// lateWorth is the part of its worth that a late answer earns unless told otherwise.
+	// defaultLateWorth is the share of its worth that a late answer earns by default.
 	defaultLateWorth = 0.2
-	// lateMost is how many objectives after it was sent a late answer is worth nothing.
+	// maxLateObjectives is the age, in objectives since the job was sent, after which an
+	// answer is worth nothing.
 	maxLateObjectives = 3
-	// workShare is the part of the time that is left for a task that its work may take
-	// without being a delay.
+	// undelayedWorkShare is the part of the time remaining for a task that its work may
+	// take without counting as a delay.
 	undelayedWorkShare = 2.0 / 3
 )
 
-// cause returns the one cause of what became of a job.
+// cause returns the single cause that explains the result of a job.
 func (j *loggedJob) cause() string {
 	f, ok := j.final()
 	switch {
@@ -58,7 +60,7 @@
 	return j.lateCause(f)
 }
 
-// lateness returns why a job was answered late.
+// lateCause returns why a job was answered late.
 func (j *loggedJob) lateCause(f jobAnswer) string {
 	switch {
 	case j.waitedBefore > 0:
@@ -75,14 +77,15 @@
 	return j.longestDelay(f.at.Sub(j.firstSeen))
 }
 
-// longest returns what held the last task up longest.
+// longestDelay returns the cause of the longest delay of the last task.
 func (j *loggedJob) longestDelay(age time.Duration) string {
 	if j.lastRun == nil || j.lastRun.grantedAt.IsZero() {
 		return causeLateMessages
 	}
 	waited := j.lastRun.grantedAt.Sub(j.firstSeen)
 	messages := age - waited - j.lastRun.took
-	// What the work would have taken in time at the most is no delay.
+	// Run time counts as a delay only beyond what a task may take that is answered in
+	// time.
 	remaining := max(j.objective-messages-waited, 0)
 	excess := j.lastRun.took - time.Duration(undelayedWorkShare*float64(remaining))
 	switch max(waited, messages, excess) {
@@ -94,8 +97,8 @@
 	return causeLateMessages
 }
 
-// credit is the part of its worth that a job earns: all in time, the part that a late
-// answer is worth for some while after, nothing otherwise.
+// credit returns the share of its worth that a job earns: all of it in time, lateWorth up
+// to maxLateObjectives, and nothing otherwise.
 func (j *loggedJob) credit(lateWorth float64) float64 {
 	f, ok := j.final()
 	if !ok || f.status != "completed" {
@@ -111,14 +114,15 @@
 }
 
 const (
-	// weightLeast is what a job counts whatever its work, of its queue's mean.
+	// minWeight is the fixed part of the weight of a job, relative to the mean of its
+	// queue.
 	minWeight = 0.3
-	// weightMost bounds what a job counts, in means of its queue.
+	// maxWeight bounds the weight of a job, relative to the mean of its queue.
 	maxWeight = 4
 )
 
-// weigh returns what a job counts: its work over its queue's mean, within bounds, times
-// what the queue's jobs are worth.
+// jobWeights returns the weight of each job: its work over its queue's mean, within
+// bounds, times what the queue's jobs are worth.
 func (a *lossAccount) jobWeights() map[*loggedJob]float64 {
 	sum, n := make(map[string]float64), make(map[string]float64)
 	for _, j := range a.jobs {
@@ -129,7 +133,7 @@
 	}
 	out := make(map[*loggedJob]float64, len(a.jobs))
 	for _, j := range a.jobs {
-		// A job of unknown work counts like the mean.
+		// A job of unknown work has the mean weight.
 		out[j] = 1
 		if j.cpuWork() > 0 {
 			mean := sum[j.queue] / n[j.queue]
@@ -150,5 +154,5 @@
 	return out
 }
 
-// load is the work of all tasks together, in seconds of thousandths of a core.
+// cpuWork returns the work of all tasks together, in seconds times thousandths of a core.
 func (j *loggedJob) cpuWork() float64 { return j.work.Seconds() * float64(j.tasks) * float64(j.cpu) }
--- a/load/losses.go
+++ b/load/losses.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// read reads the files, or r without any.
+// readLogs reads the files, or r if there are none.
 func (a *lossAccount) readLogs(r io.Reader, files []string) error {
 	if len(files) == 0 {
 		return readLog(r, "", a.addLine)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// value takes what a job of each queue is worth.
+// setWorth sets what a job of each queue is worth.
 func (a *lossAccount) setWorth(worth map[string]string) error {
 	if len(worth) == 0 {
 		return nil
@@ -85,14 +85,15 @@
 	return nil
 }
 
-// share is what became of a group of jobs, in parts of what they were worth.
+// lossShare is the result of a group of jobs, as shares of what they are worth.
 type lossShare struct {
 	jobs   int
 	served float64
 	causes map[string]float64
 }
 
-// split divides the jobs by cause, in groups. The causes of each add up to 1.
+// splitBy divides the jobs into groups, and each group by cause. The causes of a group
+// add up to 1.
 func (a *lossAccount) splitBy(group func(*loggedJob) string) map[string]*lossShare {
 	out, whole := make(map[string]*lossShare), make(map[string]float64)
 	for j, w := range a.jobWeights() {
@@ -114,10 +115,10 @@
 	return out
 }
 
-// window is the length of the windows of which the worst are shown.
+// lossWindow is the length of the windows of which the worst are shown.
 const lossWindow = 2 * time.Second
 
-// begin returns when the first job was sent.
+// firstSent returns when the first job was sent.
 func (a *lossAccount) firstSent() time.Time {
 	var first time.Time
 	for _, j := range a.jobs {
@@ -128,7 +129,8 @@
 	return first
 }
 
-// whole is all jobs together, with those that callers sent and no log has.
+// total returns the share of all jobs together, including those that callers sent but no
+// log contains.
 func (a *lossAccount) total() map[string]*lossShare {
 	parts := a.splitBy(func(*loggedJob) string { return "all" })
 	s, jobs, cause := parts["all"], a.reportedJobs, causeUnlogged
@@ -160,7 +162,7 @@
 	printTable(w, "from second", seconds, windows, byLoss)
 }
 
-// widths groups jobs by their tasks.
+// taskRange returns the group of jobs with that number of tasks.
 func taskRange(tasks int) string {
 	switch {
 	case tasks == 1:
@@ -182,13 +184,13 @@
 }
 
 const (
-	// rowsMost is how many rows a table shows.
+	// maxTableRows is the number of rows that a table shows at most.
 	maxTableRows = 20
-	// causesMost is how many causes a row shows; the rest are added up.
+	// maxRowCauses is the number of causes that a row shows; the rest are added up.
 	maxRowCauses = 5
 )
 
-// show writes a table of what was served and lost.
+// printTable writes a table of the shares served and lost.
 func printTable(w io.Writer, title string, parts map[string]*lossShare, maxRows int, order func(map[string]*lossShare) func(x, y string) int) {
 	names := slices.SortedFunc(maps.Keys(parts), order(parts))
 	fmt.Fprintf(w, "%-14s %6s %8s %8s  not in time\n", title, "jobs", "served", causeInTime)
@@ -199,7 +201,7 @@
 	fmt.Fprintln(w)
 }
 
-// lost lists what was not in time, the greatest part first.
+// formatLosses lists the causes of what was not in time, the largest share first.
 func (s *lossShare) formatLosses() string {
 	names := largestLosses(s.causes)
 	out, rest := "", 0.0
@@ -216,7 +218,7 @@
 	return out
 }
 
-// greatest returns the causes but "in time", the greatest first.
+// largestLosses returns the causes except "in time", the largest share first.
 func largestLosses(causes map[string]float64) []string {
 	lost := maps.Clone(causes)
 	delete(lost, causeInTime)
--- a/load/losses_test.go
+++ b/load/losses_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// dayLog is a day of six jobs, as two processes log it: in time; late since the estimate
-// was wrong, which is in time by the work it was; late on a slow worker; late since it
-// waited; refused; and lost with its process.
+// dayLog is a day of six jobs, as two processes log it: a in time; b late since the
+// estimate was wrong, which counts as in time by its work; c late on a slow worker; d
+// late since it waited; e refused; f lost with its process.
 const dayLog = `
  0.1 vm-1 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc1"}
  0.1 vm-2 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc2"}
@@ -76,8 +76,8 @@
 	}
 }
 
-// troubleLog is what trouble leaves in logs: vm-1 is cut off from vm-2 at second 2, for a
-// second; vm-3 is killed at second 5. The log ends at second 20.
+// troubleLog is the log of a day with faults: vm-1 is cut off from vm-2 at second 2, for
+// a second; vm-3 is killed at second 5. The log ends at second 20.
 const troubleLog = `
  0.1 vm-1 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc1","id":"one"}
  0.1 vm-2 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc2","id":"two"}
@@ -111,9 +111,9 @@
  0.1 vm-2 {"time":"2026-01-01T00:00:20Z","event":920,"job":"open","queue":"q","tasks":1,"cpu":10,"estimate_ms":100,"aim_ms":220,"patience_ms":9000}
 `
 
-// Callers saw no answers, or late ones, around a cut and a killed process. What became of a
-// job is told by the lines of others: a process that goes on writing was cut off, one that
-// does not has ended.
+// Guards against wrong causes when jobs have no answer, or a late one, after a lost
+// session or a killed process. The lines of other processes decide: a process that
+// continues to log was cut off, one that does not has ended.
 func TestLossesOfTrouble(t *testing.T) {
 	a := newLossAccount()
 	if err := readLog(strings.NewReader(troubleLog), "", a.addLine); err != nil {
@@ -141,8 +141,8 @@
 	}
 }
 
-// Logs of one file each have no prefix that tells the process, and come one after the
-// other: a job that was sent to two processes is one job, whichever file comes first.
+// Guards against counting a job twice that was sent to two processes. Logs in a file per
+// process have no prefix with its name and are read one after the other, in any order.
 func TestLossesOfFiles(t *testing.T) {
 	dir := t.TempDir()
 	var names []string
@@ -176,9 +176,9 @@
 	}
 }
 
-// limitDay is a day of 200 jobs of 100 to 300 ms, each of one task, half of them on workers
-// that take twice as long. Estimates are off to either side. limit returns what callers wait
-// for a job with an objective.
+// dayWithTimeouts is a day of 200 jobs of 100 to 300 ms, each of one task, half of them
+// on workers that take twice as long. Estimates deviate in both directions. timeoutOf
+// returns the caller's timeout for a job with an objective.
 func dayWithTimeouts(timeoutOf func(aim time.Duration) time.Duration) *lossAccount {
 	a := newLossAccount()
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -192,10 +192,10 @@
 	return a
 }
 
-// aimOf is the objective of some work.
+// objectiveOf returns the objective of a job with this work.
 func objectiveOf(work time.Duration) time.Duration { return 60*time.Millisecond + 2*work }
 
-// oneTask adds a job whose only task took some time.
+// addOneTaskJob adds a job whose only task ran for took.
 func (a *lossAccount) addOneTaskJob(id string, at time.Time, estimate, timeout time.Duration, factor float64, took time.Duration) {
 	worker := fmt.Sprintf("w%v", factor)
 	for _, l := range []logLine{
@@ -211,9 +211,9 @@
 	}
 }
 
-// A caller is answered late, and neither the estimate nor the time on the worker tell
-// whether the work was long, the worker slow, or the first request lost. How long the
-// callers say that they wait does, where it follows the objective.
+// Guards against a wrong cause of a late answer. Neither the estimate nor the run time
+// show whether the task had much work, the worker was slow, or the first request was
+// lost; the callers' timeouts do, where they follow the objective.
 func TestLimitsTell(t *testing.T) {
 	follows := func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim }
 	fixed := func(time.Duration) time.Duration { return 3 * time.Second }
@@ -225,7 +225,8 @@
 	for _, c := range []struct {
 		name      string
 		timeoutOf func(time.Duration) time.Duration
-		// guess and took are of the job that is looked at, less what its limit lacks.
+		// estimate and took are those of the tested job, and shortBy is what its timeout
+		// lacks.
 		estimate, took, shortBy time.Duration
 		cause                   string
 		waitedBefore            time.Duration
@@ -253,7 +254,7 @@
 	}
 }
 
-// A job refused or lost has no work that was measured: the limit tells it.
+// A job that was refused or lost has no measured work: its timeout implies it.
 func TestLimitTellsWorkOfRefused(t *testing.T) {
 	a := dayWithTimeouts(func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim })
 	at := time.Date(2026, 1, 1, 0, 1, 0, 0, time.UTC)
@@ -278,8 +279,8 @@
 	for _, c := range []struct {
 		name  string
 		worth map[string]string
-		// want is what each of the jobs counts: two of queue q, with one and three units
-		// of work, and one of queue r.
+		// want is the weight of each job: two of queue q, with one and three units of
+		// work, and one of queue r.
 		want []float64
 		ok   bool
 	}{
@@ -311,8 +312,8 @@
 	}
 }
 
-// Jobs that callers sent and no process ever saw are in no log; told how many there were,
-// the account counts them as lost.
+// Jobs that reached no process are in no log. The account counts them as lost if the
+// callers report how many they sent.
 func TestLossesCountAsked(t *testing.T) {
 	a := newLossAccount()
 	if err := readLog(strings.NewReader(dayLog), "", a.addLine); err != nil {
@@ -334,13 +335,14 @@
 	}
 }
 
-// All processes lose power at once, and callers whose time is shorter than the outage never
-// reach one: no log has their jobs. How many there were follows from the others' rate.
+// Guards against overlooking jobs of an outage: all processes lose power at once, and
+// callers whose timeout is shorter than the outage never reach one, so that no log has
+// their jobs. Their number follows from the rate of the others.
 func TestLossesOfOutage(t *testing.T) {
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
 		name string
-		// ends and starts are of the two processes.
+		// ends and starts are the times of the two processes.
 		ends, starts [2]time.Duration
 		down         time.Duration
 		unseenJobs   int
@@ -368,7 +370,7 @@
 				a.addLine(vm, logLine{Time: start, Event: 100, ID: vm + "/2"})
 				a.addLine(vm, logLine{Time: begin.Add(31 * time.Second), Event: 802})
 			}
-			// Ten jobs a second, but while nobody is there.
+			// Ten jobs a second arrive, except while no process runs.
 			for at := time.Duration(0); at <= 30*time.Second; at += time.Second / 10 {
 				if c.down == 0 || at < c.ends[0] || at >= c.starts[1] {
 					a.addLine("vm-2", logLine{Time: begin.Add(at), Event: 920, Job: fmt.Sprint(at), Queue: "q", Tasks: 1, CPU: 1, EstimateMS: 100, ObjectiveMS: 200})
--- a/load/losslimits.go
+++ b/load/losslimits.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// What a day's logs tell of the jobs of a queue beyond single lines. Callers say how long
-// they wait. Where that follows the objective, it tells two things: a caller that has
-// waited before, for a process that it did not reach, has less time left than others with
-// such a job; and a task that took long on a worker that was slow without anybody's
-// knowledge is told from a task that was long.
+// The following derives from the jobs of a queue together what single log lines don't
+// show. Callers state their timeouts. Where these follow the objective, they show two
+// things: a caller that has waited before, for a process that it did not reach, has less
+// time left than others with such a job; and a task that ran long on a worker that was
+// slow without being known as slow can be told from a task with much work.
 
-// line is a straight line.
+// straightLine is y = intercept + slope * x.
 type straightLine struct{ intercept, slope float64 }
 
 func (l straightLine) at(x float64) float64 { return l.intercept + l.slope*x }
 
-// inverse returns where the line has the value y.
+// inverse returns the x at which the line has the value y.
 func (l straightLine) inverse(y float64) float64 { return (y - l.intercept) / l.slope }
 
-// aimLine is how a queue's objectives follow from the work of the longest task: on a
-// straight line through the jobs with the least and the longest estimate.
+// objectiveLine returns how the objectives of a queue follow from the work of the longest
+// task: the straight line through the jobs with the least and the largest estimate.
 func objectiveLine(jobs []*loggedJob) straightLine {
 	byEstimate := func(x, y *loggedJob) int { return cmp.Compare(x.estimate, y.estimate) }
 	least, most := slices.MinFunc(jobs, byEstimate), slices.MaxFunc(jobs, byEstimate)
@@ -36,32 +36,37 @@
 }
 
 const (
-	// lineJobs is how many jobs a line needs.
+	// minLineJobs is the least number of jobs that a line is fitted to.
 	minLineJobs = 60
-	// lineOff is how far the work that the limits tell may be from what was measured, in
-	// half of the jobs, as a part of how far the median work is from it.
+	// maxLineDeviation bounds the median deviation of the work that the timeouts imply
+	// from the measured work, as a part of the median deviation of the median work from
+	// it.
 	maxLineDeviation = 0.5
-	// taskSpread is how far a task may be from the work that the limit tells.
+	// maxTaskDeviation bounds the relative deviation of a task's work from the work that
+	// the timeout implies.
 	maxTaskDeviation = 0.2
-	// usualSpread is how far a run may be from what is usual for its work on its worker.
+	// maxRunDeviation bounds the relative deviation of a run from the usual one for its
+	// work on its worker.
 	maxRunDeviation = 0.4
-	// returnLeast is the least time after which a caller who reached nobody comes again.
+	// minWaitedBefore is the least time after which a caller that reached no process
+	// sends again.
 	minWaitedBefore = 800 * time.Millisecond
-	// returnPart bounds the work that the limit of such a caller tells, in parts of what it
-	// was or was estimated: no task is so far from what others' limits tell.
+	// maxWaitedWorkRatio bounds the work that the timeout of such a caller implies, as a
+	// part of the measured or estimated work: no task deviates so far from the work that
+	// the timeouts of others imply.
 	maxWaitedWorkRatio = 0.7
 )
 
-// queueJobs is the jobs of a queue.
+// queueJobs holds the jobs of a queue.
 type queueJobs struct {
 	jobs []*loggedJob
-	// aims is how objectives follow from the work, limits how callers' limits follow from
-	// the objectives; told is whether these do.
+	// objectives is how objectives follow from the work, and timeouts how callers'
+	// timeouts follow from the objectives; timeoutsFollow is set if they do.
 	objectives, timeouts straightLine
 	timeoutsFollow       bool
 }
 
-// work returns the work that a job's limit tells, 0 if it tells none.
+// work returns the work that a job's timeout implies, 0 if it implies none.
 func (q *queueJobs) work(j *loggedJob) time.Duration {
 	if !q.timeoutsFollow || j.timeout <= 0 {
 		return 0
@@ -69,13 +74,13 @@
 	return time.Duration(max(q.objectives.inverse(q.timeouts.inverse(float64(j.timeout))), 0))
 }
 
-// limit returns the limit that a job of some work should have.
+// expectedTimeout returns the timeout that a job with this work should have.
 func (q *queueJobs) expectedTimeout(work time.Duration) time.Duration {
 	return time.Duration(q.timeouts.at(q.objectives.at(float64(work))))
 }
 
-// points are the medians of the objectives and limits of the jobs with the shorter and of
-// those with the longer limits.
+// points returns two points: the medians of the objectives and timeouts of the jobs with
+// the shorter timeouts, and of those with the longer ones.
 func (q *queueJobs) points() []Point {
 	var known []*loggedJob
 	for _, j := range q.jobs {
@@ -99,8 +104,9 @@
 	return Point{X: median(objectives), Y: median(timeouts)}
 }
 
-// near tells whether the work that the limits tell is mostly what was measured: much nearer
-// than the median work, which would do without any limits.
+// timeoutsMatchWork reports whether the work that the timeouts imply is mostly close to
+// the measured work: much closer than the median work, which is known without any
+// timeouts.
 func (q *queueJobs) timeoutsMatchWork() bool {
 	var works, deviations, workDeviations []float64
 	for _, j := range q.jobs {
@@ -116,8 +122,8 @@
 	return len(works) >= minLineJobs && median(deviations) <= maxLineDeviation*median(workDeviations)
 }
 
-// drawLimits finds how the callers' limits follow from the objectives: on one line through
-// the points of all queues, for each queue whose jobs are near it.
+// fitTimeouts determines how the callers' timeouts follow from the objectives: on one
+// line through the points of all queues, used for each queue whose jobs are close to it.
 func fitTimeouts(queues []*queueJobs) {
 	var points []Point
 	for _, q := range queues {
@@ -134,7 +140,7 @@
 	}
 }
 
-// settleWork works out the work of all jobs, the objectives that follow from it, and how
+// resolveWork computes the work of all jobs, the objectives that follow from it, and how
 // long callers had waited before.
 func (a *lossAccount) resolveWork() {
 	queues := a.byQueue()
@@ -151,8 +157,8 @@
 	}
 }
 
-// byQueue returns the jobs that were admitted. Their order is that of their ids, so that the
-// same logs give the same figures.
+// byQueue returns the admitted jobs by queue. They are ordered by id, so that the same
+// logs give the same figures.
 func (a *lossAccount) byQueue() []*queueJobs {
 	var queues []*queueJobs
 	queueOf := make(map[string]*queueJobs)
@@ -170,7 +176,7 @@
 	return queues
 }
 
-// settle takes from a caller's limit what it tells: that the caller has waited before, or
+// resolveJob derives from a caller's timeout either that the caller has waited before, or
 // else the work.
 func (q *queueJobs) resolveJob(j *loggedJob) {
 	measured, impliedWork := j.measuredWork(), q.work(j)
@@ -187,8 +193,8 @@
 	j.objective += time.Duration(q.objectives.slope * float64(j.work-j.estimate))
 }
 
-// away returns how long a job's caller had waited before, 0 if its limit is not too short
-// for the least that the job can have been.
+// waitedBefore returns how long a job's caller had waited before, 0 if its timeout is not
+// too short for the least work that the job can have had.
 func (q *queueJobs) waitedBefore(j *loggedJob, measured time.Duration) time.Duration {
 	if !q.timeoutsFollow || j.timeout <= 0 {
 		return 0
@@ -204,9 +210,10 @@
 	return missing
 }
 
-// weighWorkers gives the runs of jobs whose limits tell their work the factor that their
-// worker mostly had by that, such that estimates are right in the sum. The factors known at
-// the grants are means of ratios to single estimates, and too high by their spread.
+// calibrateFactors sets the factor of runs to the median ratio of their worker, for jobs
+// whose timeouts imply their work. The ratios are scaled so that estimates are right in
+// total. The factors known at the grants are means of ratios to single estimates, and too
+// high by their spread.
 func calibrateFactors(queues []*queueJobs) {
 	ratios := make(map[string][]float64)
 	eachRunWithImpliedWork(queues, func(_ *loggedJob, r *loggedRun, impliedWork float64) {
@@ -219,7 +226,8 @@
 	var totalWork, totalEstimate time.Duration
 	eachRunWithImpliedWork(queues, func(j *loggedJob, r *loggedRun, impliedWork float64) {
 		w := float64(r.took) / medianRatio[r.worker]
-		// Runs on a worker that was slow for a while say nothing of the estimates.
+		// Runs on a worker that was slow only temporarily don't show whether estimates
+		// are right.
 		if math.Abs(w/impliedWork-1) < maxRunDeviation {
 			totalWork, totalEstimate = totalWork+time.Duration(w), totalEstimate+j.estimate
 		}
@@ -231,7 +239,8 @@
 	eachRunWithImpliedWork(queues, func(_ *loggedJob, r *loggedRun, _ float64) { r.factor = medianRatio[r.worker] * scale })
 }
 
-// eachTold does something with the runs that were done of jobs whose limits tell their work.
+// eachRunWithImpliedWork calls do for each finished run of a job whose timeout implies
+// its work.
 func eachRunWithImpliedWork(queues []*queueJobs, do func(j *loggedJob, r *loggedRun, impliedWork float64)) {
 	for _, q := range queues {
 		for _, j := range q.jobs {
@@ -245,7 +254,7 @@
 	}
 }
 
-// measured returns the work of the longest task that was done, 0 without any.
+// measuredWork returns the work of the longest task that was done, 0 if none was.
 func (j *loggedJob) measuredWork() time.Duration {
 	var longest time.Duration
 	for _, r := range j.runs {
@@ -254,7 +263,7 @@
 	return longest
 }
 
-// median returns the middle one of the values.
+// median returns the middle value, 0 if there are none.
 func median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
--- a/load/losslog.go
+++ b/load/losslog.go
@@ -12,10 +12,11 @@
 	"snipehub.example/event"
 )
 
-// lineMost bounds a line of a log.
+// maxLineBytes bounds a line of a log.
 const maxLineBytes = 1 << 20
 
-// logLine is what the account of losses needs of a line. Each event sets some of it.
+// logLine holds the attributes of a log line that the account of losses needs. Each event
+// sets some of them.
 type logLine struct {
 	Time        time.Time `json:"time"`
 	Event       event.ID  `json:"event"`
@@ -37,8 +38,9 @@
 	TimeoutMS   int64     `json:"patience_ms"`
 }
 
-// readLog reads lines of several processes, whatever stands before their JSON: tools that
-// merge logs put the process's name there. source is the last word of that, or name.
+// readLog passes the log lines of r to addLine. It ignores any text before the JSON of a
+// line: tools that merge logs put the process's name there. source is the last word of
+// that text, or name if there is none.
 func readLog(r io.Reader, name string, addLine func(source string, l logLine)) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 64<<10), maxLineBytes)
--- a/load/lossoutage.go
+++ b/load/lossoutage.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// outageLeast is the shortest time without any process that counts. Processes write lines
-// all the time, and the last ones before a sudden end are lost.
+// minOutage is the shortest time without any process that counts as an outage. Processes
+// log continuously, and their last lines before a sudden end are lost.
 const minOutage = 300 * time.Millisecond
 
-// span is a time from one moment to another.
+// span is a period of time.
 type span struct{ from, until time.Time }
 
-// outages returns the times in which no process ran, between the first and the last job.
+// outages returns the periods in which no process ran, from the first job to the last
+// start of a process.
 func (a *lossAccount) outages() []span {
 	var uptimes []span
 	for _, lives := range a.incarnations {
@@ -34,8 +35,8 @@
 	return out
 }
 
-// unseen is how many jobs are in no log, by the rate of the day: callers who sent while no
-// process ran, and did not come again before their time was over.
+// unseenJobs returns how many jobs are in no log, by the rate of the day: those of
+// callers that sent while no process ran, and did not retry before their timeout expired.
 func (a *lossAccount) unseenJobs() int {
 	begin, end := a.firstSent(), a.firstSent()
 	for _, j := range a.jobs {
--- a/load/lossplot.go
+++ b/load/lossplot.go
@@ -10,10 +10,11 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// lossCauses is how many causes a plot tells apart; the rest are one.
+// maxPlotCauses is the number of causes that a plot shows separately; the rest are shown
+// as one.
 const maxPlotCauses = 6
 
-// lossColors are those of what is served, of the causes and of the rest.
+// lossColors are the colors of what was served, of the causes and of the rest.
 var lossColors = []color.Color{
 	color.RGBA{R: 0xd9, G: 0xe7, B: 0xd2, A: 0xff},
 	palette[1], palette[0], palette[3], palette[2], palette[4],
@@ -21,7 +22,7 @@
 	color.RGBA{R: 0x88, G: 0x88, B: 0x88, A: 0xff},
 }
 
-// layer is a part of each second of a day: what was served, or lost to a cause.
+// layer is a share of each second of a day: what was served, or lost to one cause.
 type layer struct {
 	name  string
 	parts []float64
@@ -29,8 +30,8 @@
 
 const othersName = "others"
 
-// layers returns what was served and lost by cause, in parts of what the jobs of a mean
-// second are worth, by the second in which the jobs were sent.
+// layers returns what was served and what was lost by cause, for each second in which
+// jobs were sent, relative to the worth of the jobs of a mean second.
 func (a *lossAccount) layers() []layer {
 	begin := a.firstSent()
 	second := func(j *loggedJob) int { return int(j.sent().Sub(begin) / time.Second) }
@@ -65,7 +66,7 @@
 	return out
 }
 
-// plot draws the layers one on the other.
+// plot draws the layers stacked.
 func (a *lossAccount) plot(path string) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "second", "worth of the jobs sent in it, mean second = 1"
@@ -91,7 +92,7 @@
 	p.Legend.Top = true
 	p.Legend.Padding = 2
 	p.Legend.TextStyle.Font.Size = 8
-	// Room for the names above the day.
+	// This leaves space for the legend above the data.
 	p.Y.Max *= 1.4
 	if err := p.Save(2*plotWidth, plotHeight+2*vg.Centimeter, path); err != nil {
 		return errors.Wrap(err, "losses: plot")
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// band is the outline of a layer above a floor, in steps of seconds.
+// band returns the outline of a layer above its base, in steps of seconds.
 func band(base, parts []float64) plotter.XYs {
 	var upper, lower plotter.XYs
 	for s := range parts {
