--- a/load/act.go
+++ b/load/act.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// waveCalls bounds the calls of a wave that are open at once.
+	// maxWaveCalls bounds the concurrent calls of a wave.
 	maxWaveCalls = 200
-	// listLag is how long after a VM's end it leaves the VM list.
+	// vmListDelay is the time from the end of a VM until it is removed from the VM list.
 	vmListDelay = 2 * time.Second
 )
 
-// act carries out one action of a scenario. What fails is printed: the run goes
-// on and its measures show it.
+// act executes one action of a scenario. It prints errors: the run continues and its
+// measurements show the effect.
 func (d *driver) act(ctx context.Context, a Action) {
 	var err error
 	switch a.Kind {
@@ -50,7 +50,7 @@
 	}
 }
 
-// rack returns the backend servers of the first rack.
+// firstRack returns the backend servers of the first rack.
 func (d *driver) firstRack() []Worker {
 	var out []Worker
 	for _, w := range d.Workers {
@@ -74,8 +74,8 @@
 	return errors.New("no control address knows the backend server")
 }
 
-// killVMs kills the dispatchers on the last VMs. Callers' balancer stops
-// sending there; the VM list follows a little later.
+// killVMs kills the dispatchers on the last VMs of the list. The callers' load balancer
+// stops using them; the VM list follows after vmListDelay.
 func (d *driver) killVMs(ctx context.Context, share float64) error {
 	left := len(d.VMs) - int(share*float64(len(d.VMs))+0.5)
 	for i, p := range d.dispatchers {
@@ -103,7 +103,7 @@
 	_, _ = d.clients[f.caller][f.owner].Cancel(ctx, d.places[f.owner].callerAddr, f.id)
 }
 
-// resubmit sends the job again over the next dispatcher, which forwards it.
+// resubmit submits the job again to the next dispatcher, which forwards it.
 func (d *driver) resubmit(ctx context.Context, f inFlightJob) {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
--- a/load/arrival.go
+++ b/load/arrival.go
@@ -11,18 +11,18 @@
 	"snipehub.example/job"
 )
 
-// arrival is one job of a run, as planned before it begins.
+// arrival is one job of a run, as planned before the run begins.
 type arrival struct {
 	at time.Duration
-	// caller and dispatcher are indexes into the deployment's.
+	// caller and dispatcher are indexes into the deployment's lists.
 	caller, dispatcher int
 	kind               string
-	// service is each task's service time at speed 1.
+	// service is the service time of each task at speed 1.
 	service []time.Duration
 }
 
-// plan draws all arrivals of a run. The times come from a Poisson process and
-// not from the answers (open loop), so that slow answers don't lower the load
+// plan draws all arrivals of a run at random. Their times come from a Poisson process and
+// do not depend on answers (open loop), since otherwise slow answers would lower the load
 // and hide themselves.
 func plan(s Scenario, d Deployment, seed uint64) ([]arrival, error) {
 	rnd := rand.New(rand.NewPCG(seed, 2))
@@ -43,8 +43,8 @@
 			for range s.JobTasks.draw(rnd) {
 				a.service = append(a.service, spread.Draw(rnd))
 			}
-			// Checked here and not at the end: a scenario of very short tasks
-			// would otherwise fill the machine's memory while it is planned.
+			// This is checked here and not at the end: a scenario of very short tasks
+			// would otherwise fill the machine's memory during planning.
 			if tasks += len(a.service); tasks > maxPlannedTasks {
 				return nil, errors.Errorf("load: more than %d tasks are planned", maxPlannedTasks)
 			}
@@ -87,8 +87,8 @@
 	return len(all) - 1
 }
 
-// ideal is the job's response time when each task starts at once on the
-// fastest backend server.
+// ideal returns the job's response time if each task starts at once on the fastest
+// backend server.
 func (a arrival) ideal(maxSpeed float64) time.Duration {
 	var longest time.Duration
 	for _, d := range a.service {
@@ -97,8 +97,7 @@
 	return time.Duration(float64(longest) / maxSpeed)
 }
 
-// spec is what is submitted: each task carries its service time for the
-// stand-in.
+// spec returns the submitted job. Each task carries its service time for the stand-in.
 func (a arrival) spec() job.Spec {
 	s := job.Spec{Kind: a.kind, TimeoutMS: jobTimeout.Milliseconds(), Tasks: make([]json.RawMessage, len(a.service))}
 	for i, d := range a.service {
--- a/load/call.go
+++ b/load/call.go
@@ -15,7 +15,8 @@
 	"snipehub.example/ledger"
 )
 
-// ErrCall means that a stand-in or a dispatcher did not answer as it should.
+// ErrCall means that a call of a stand-in or dispatcher failed or had an unexpected
+// answer.
 var ErrCall = errors.New("load: call failed")
 
 var controlClient = &http.Client{
@@ -23,7 +24,8 @@
 	Timeout:   20 * time.Second,
 }
 
-// get reads the path; a nil out ignores the body.
+// get decodes the answer for the path into out. It stores the text if out is a *string,
+// and ignores the body if out is nil.
 func get(ctx context.Context, at netip.AddrPort, path string, out any) error {
 	b, err := doRequest(ctx, http.MethodGet, at, path, nil)
 	if err != nil || out == nil {
--- a/load/deploy.go
+++ b/load/deploy.go
@@ -21,7 +21,7 @@
 	"snipehub.example/settings"
 )
 
-// Running is a deployment whose processes run.
+// Running is a deployment whose processes have been started.
 type Running struct {
 	Deployment
 	dir            string
@@ -31,15 +31,14 @@
 	places         []dispatcherPlace
 }
 
-// ErrInUse means that an address of the deployment is taken, by another run most
-// likely.
+// ErrInUse means that an address of the deployment is in use, most likely by another run.
 var ErrInUse = errors.New("load: address in use")
 
-// readyTimeout bounds the wait for one process.
+// readyTimeout bounds the time until one process is ready.
 const readyTimeout = 30 * time.Second
 
-// Deploy brings up the stand-ins and the dispatchers as processes of this
-// program, and brings the tables into force.
+// Deploy starts the stand-ins and the dispatchers as processes of this program, and
+// applies the tables.
 func Deploy(ctx context.Context, d Deployment) (*Running, error) {
 	dir, err := os.MkdirTemp("", "snipeload")
 	if err != nil {
@@ -83,9 +82,10 @@
 	return nil
 }
 
-// free tells whether all addresses are free. Two runs of a deployment at once
-// would else mix: the processes of the second can't listen and end, while the
-// addresses answer from the first, whose load and records it would measure.
+// checkAddressesFree returns an error if an address is in use. Otherwise two simultaneous
+// runs of a deployment would mix: the processes of the second can't listen and end, while
+// those of the first answer on the same addresses, so that the second run would measure
+// their load and records.
 func (r *Running) checkAddressesFree() error {
 	all := append([]netip.AddrPort{r.Platform}, r.Controls...)
 	for _, p := range r.places {
@@ -121,8 +121,8 @@
 	return err
 }
 
-// startFarm starts the i-th part of the backend servers: those of a data
-// centre, when there are as many parts as data centres.
+// startWorkerStandIn starts the stand-in of the i-th part of the backend servers: those
+// of a data centre, if there are as many parts as data centres.
 func (r *Running) startWorkerStandIn(i int) error {
 	byCores := make(map[int][]string)
 	for n, w := range r.Workers {
@@ -190,7 +190,7 @@
 	return startProcess(filepath.Join(r.dir, name+".log"), args...)
 }
 
-// ready waits until the address answers the path with 200.
+// ready waits until the address answers a request of the path with status 200.
 func (r *Running) ready(ctx context.Context, p *process, at netip.AddrPort, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -205,7 +205,7 @@
 	}
 }
 
-// outputs returns what the processes have printed last.
+// outputs returns the end of each process's output.
 func (r *Running) outputs() string {
 	paths, _ := filepath.Glob(filepath.Join(r.dir, "*.log"))
 	var s string
@@ -217,7 +217,7 @@
 	return s[:min(len(s), 4*maxLogBytes)]
 }
 
-// Close ends all processes.
+// Close kills all processes and removes their files.
 func (r *Running) Close() {
 	all := slices.Concat(r.dispatchers, r.workerStandIns)
 	if r.platform != nil {
--- a/load/deployment.go
+++ b/load/deployment.go
@@ -14,21 +14,22 @@
 	"snipehub.example/tables"
 )
 
-// Deployment says what to bring up: a file of examples/.
+// Deployment describes the processes to start. It is read from a file under examples/.
 type Deployment struct {
 	Name string `toml:"name"`
-	// Settings and Tables are files beside the deployment's own.
+	// Settings and Tables are paths relative to the deployment file.
 	Settings string `toml:"settings"`
 	Tables   string `toml:"tables"`
-	// Platform is the address of the log and the VM list.
+	// Platform is the address of the platform stand-in, which serves the log and the VM
+	// list.
 	Platform netip.AddrPort `toml:"platform"`
-	// Dispatchers are spread evenly over the VMs; on each VM their ports
-	// count up from CallerPort and PeerPort.
+	// Dispatchers are assigned to the VMs in turn. On each VM their ports count up from
+	// CallerPort and PeerPort.
 	Dispatchers int    `toml:"dispatchers"`
 	CallerPort  uint16 `toml:"caller_port"`
 	PeerPort    uint16 `toml:"peer_port"`
-	// Controls are the control addresses of the processes that stand in for
-	// the backend servers, one for each data centre.
+	// Controls are the control addresses of the processes that stand in for the backend
+	// servers, one for each data centre.
 	Controls []netip.AddrPort `toml:"controls"`
 	VMs      []VM             `toml:"vms"`
 	Callers  []Caller         `toml:"callers"`
@@ -36,11 +37,11 @@
 
 	cfg  settings.Config
 	rows tables.Rows
-	// fixed are the dispatchers' places, when they don't follow from the VMs.
+	// presetPlaces replaces the places that follow from VMs, if set.
 	presetPlaces []dispatcherPlace
 }
 
-// Caller is one who submits jobs, with its share of all jobs.
+// Caller is a submitter of jobs, with its share of all jobs.
 type Caller struct {
 	Name  string  `toml:"name"`
 	Team  string  `toml:"team"`
@@ -55,7 +56,7 @@
 	DataCenter string     `toml:"data_center"`
 }
 
-// Worker is a backend server to stand in for.
+// Worker is a backend server that a stand-in simulates.
 type Worker struct {
 	Address    netip.AddrPort `toml:"address"`
 	Rack       string         `toml:"rack"`
@@ -64,14 +65,14 @@
 	Speed      float64        `toml:"speed"`
 }
 
-// dispatcher is the place of one dispatcher process.
+// dispatcherPlace holds the VM and the addresses of one dispatcher process.
 type dispatcherPlace struct {
 	name                 string
 	vm                   VM
 	callerAddr, peerAddr netip.AddrPort
 }
 
-// strictTOML decodes the file and refuses keys that v does not have.
+// readStrictTOML decodes the file and rejects keys that v does not have.
 func readStrictTOML(path string, v any) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// ReadDeployment reads a deployment with its settings and tables. A name
-// without a path means examples/NAME/deployment.toml.
+// ReadDeployment reads a deployment with its settings and tables. A name without a path
+// or extension means examples/NAME/deployment.toml.
 func ReadDeployment(path string) (Deployment, error) {
 	var d Deployment
 	if filepath.Base(path) == path && filepath.Ext(path) == "" {
@@ -133,10 +134,10 @@
 	return nil
 }
 
-// maxDispatchers bounds the processes of a deployment.
+// maxDispatchers bounds the dispatcher processes of a deployment.
 const maxDispatchers = 100
 
-// places returns where the dispatchers go: one on each VM in turn.
+// places returns the places of the dispatchers, assigned to the VMs in turn.
 func (d *Deployment) places() []dispatcherPlace {
 	if d.presetPlaces != nil {
 		return d.presetPlaces
@@ -155,9 +156,9 @@
 	return out
 }
 
-// power is the sum of cores, each weighted by its speed: the tasks' seconds of
-// service, at speed 1, that all backend servers do in a second. A deployment
-// with fewer connections than cores can't use more cores than connections.
+// effectiveCores returns the sum of the cores, each weighted by its speed: the seconds of
+// service, at speed 1, that all backend servers provide in a second. A deployment with
+// fewer connections than cores can't use more cores than connections.
 func (d *Deployment) effectiveCores() float64 {
 	var cores, effectiveCores float64
 	for _, w := range d.Workers {
@@ -168,7 +169,7 @@
 	return effectiveCores * min(1, conns/cores)
 }
 
-// fastest is the highest speed of a backend server.
+// maxSpeed returns the highest speed of a backend server.
 func (d *Deployment) maxSpeed() float64 {
 	var top float64
 	for _, w := range d.Workers {
--- a/load/drive.go
+++ b/load/drive.go
@@ -10,7 +10,7 @@
 	"snipehub.example/clock"
 )
 
-// drive is one run of a scenario on a deployment.
+// driver runs a scenario on a deployment.
 type driver struct {
 	*Running
 	clients   [][]*client.Client
@@ -21,7 +21,7 @@
 
 	mu       sync.Mutex
 	outcomes []outcome
-	// resubmissions counts the calls of resubmission waves.
+	// resubmissions counts the calls of all resubmission waves.
 	resubmissions int
 }
 
@@ -37,8 +37,8 @@
 	return d
 }
 
-// run submits the arrivals, each at its time, carries out the actions, and
-// waits for the end of everything.
+// run submits each job at its arrival time, executes the actions, and waits until all
+// have ended.
 func (d *driver) run(ctx context.Context, arrivals []arrival, actions []Action) {
 	d.startTime = time.Now()
 	for _, a := range actions {
--- a/load/flight.go
+++ b/load/flight.go
@@ -8,16 +8,17 @@
 	"snipehub.example/ticket"
 )
 
-// flight is a job that has been submitted and has no final answer.
+// inFlightJob is a job that has been submitted and has no final answer yet.
 type inFlightJob struct {
 	id     ticket.JobID
 	caller int
 	spec   job.Spec
-	// home is the dispatcher that owns the job.
+	// owner is the index of the dispatcher that owns the job.
 	owner int
 }
 
-// flights is the jobs in flight.
+// inFlightJobs holds the jobs in flight by id, and what became of those that were
+// cancelled or submitted again.
 type inFlightJobs struct {
 	mu              sync.Mutex
 	jobs            map[string]inFlightJob
@@ -41,7 +42,7 @@
 	delete(f.jobs, id)
 }
 
-// pick returns a random share of the jobs in flight.
+// pickRandom returns a random share of the jobs in flight.
 func (f *inFlightJobs) pickRandom(share float64) []inFlightJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +67,7 @@
 	return f.cancelled[id]
 }
 
-// repeated keeps the answer to a resubmission.
+// addResubmitAnswer records the answer to a resubmission.
 func (f *inFlightJobs) addResubmitAnswer(id string, a job.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/load/measure.go
+++ b/load/measure.go
@@ -10,16 +10,16 @@
 const (
 	// warmUp is left out of the quantiles: the system is still empty then.
 	warmUp = 2 * time.Second
-	// rampUp is the longest service time of an ordinary task.
+	// rampUp is the longest service time of a default task.
 	rampUp = 3 * time.Second
-	// ratioScale is how finely ratios are recorded.
+	// ratioScale is the number of steps per unit in which ratios are recorded.
 	ratioScale = 1000
-	// highest is the largest ratio, and response time in milliseconds, that is
-	// told apart.
+	// maxTracked is the largest ratio, and the largest response time in milliseconds,
+	// that is recorded exactly; larger values count as this one.
 	maxTracked = 100_000
 )
 
-// spreadOf collects one distribution.
+// histogram records one distribution.
 type histogram struct {
 	hist  *hdrhistogram.Histogram
 	scale float64
@@ -52,7 +52,7 @@
 
 func (o outcome) ratio() float64 { return float64(o.response) / float64(o.ideal) }
 
-// measure fills in what follows from the outcomes alone.
+// measure fills in the measurements that follow from the outcomes alone.
 func (r *Report) measure(s Scenario, callers []Caller, all []outcome) {
 	ratio, response := newHistogram(ratioScale), newHistogram(10)
 	r.Refusals = make(map[string]int)
@@ -92,11 +92,11 @@
 	r.Fairness = fairness(callers, all)
 }
 
-// sizeClasses are the upper bounds of the classes of jobs.
+// sizeClassBounds are the upper bounds, in tasks, of the size classes of jobs.
 var sizeClassBounds = []int{10, 100, 1300}
 
-// bySize returns the classes that have jobs. It shows whether large jobs hold
-// up small ones, or are starved by them.
+// bySize returns the size classes that have jobs. It shows whether large jobs delay small
+// ones, or are starved by them.
 func bySize(all []outcome) []SizeClass {
 	var out []SizeClass
 	lower := 0
@@ -142,9 +142,9 @@
 	}
 }
 
-// goodput is the tasks of done jobs that ended in each phase, a second. The
-// first rampUp of a long phase is left out: jobs that arrive in it end later,
-// and those that end in it are the phase's before.
+// goodput returns, for each phase, the tasks per second of done jobs that ended in it.
+// The first rampUp of a long phase is left out: jobs that arrive in it end later, and
+// those that end in it arrived in the phase before.
 func goodput(s Scenario, all []outcome) []float64 {
 	out := make([]float64, len(s.Phases))
 	var begin time.Duration
@@ -164,7 +164,7 @@
 	return out
 }
 
-// fairness compares what the callers got of what they offered, in tasks.
+// fairness compares the callers by the share of their offered tasks that were done.
 func fairness(callers []Caller, all []outcome) Fairness {
 	offered, got := make([]float64, len(callers)), make([]float64, len(callers))
 	ratios := make([][]float64, len(callers))
@@ -196,8 +196,8 @@
 	return f
 }
 
-// jain is Jain's fairness index of the values: 1 when all are equal, 1/n when
-// one has everything. Nobody having anything is equal too.
+// jain returns Jain's fairness index of the values: 1 if all are equal, 1/n if one has
+// everything. If all are 0, they are equal too.
 func jain(v []float64) float64 {
 	var sum, squares float64
 	for _, x := range v {
--- a/load/measure_test.go
+++ b/load/measure_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The stand-in reads back exactly the service time that the ideal is made of.
+// The stand-in must decode exactly the service time from which the ideal is computed.
 func TestPayloadCarriesService(t *testing.T) {
 	a := arrival{kind: "check", service: []time.Duration{123456 * time.Microsecond}}
 	var p stand.Payload
@@ -102,7 +102,8 @@
 	}
 }
 
-// What callers were told is held against the backend servers' own record.
+// Results reported to callers must agree with the starts that the backend servers
+// recorded.
 func TestVerify(t *testing.T) {
 	answer := func(text string) job.Answer {
 		return job.Answer{State: job.Done, Tasks: []job.TaskResult{{Done: true, Answer: json.RawMessage(text)}}}
@@ -134,7 +135,7 @@
 	}
 }
 
-// A done answer is whole only when each task has the answer to itself.
+// A done answer is valid only if each task has its own answer.
 func TestWhole(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -167,8 +168,8 @@
 	}
 }
 
-// A task that a peer hands back is no message: the call that brought it is
-// counted already. An attempt that reached no backend server is one.
+// A task that a peer hands back is no message, since the call that returned it is counted
+// already. An attempt that reached no backend server is one.
 func TestMessages(t *testing.T) {
 	a := sample{metrics: map[string]float64{"heartbeats": 5}, requests: 10}
 	b := sample{
--- a/load/probe.go
+++ b/load/probe.go
@@ -14,7 +14,7 @@
 	"snipehub.example/stand"
 )
 
-// reading is the counts of all processes at one time.
+// sample holds the counters of all processes at one time.
 type sample struct {
 	at            time.Time
 	metrics       map[string]float64
@@ -23,11 +23,11 @@
 	refused       int64
 	dispatcherCPU time.Duration
 	standInCPU    time.Duration
-	// memory is the largest resident memory of a dispatcher, in bytes.
+	// maxMemory is the largest resident memory of a dispatcher, in bytes.
 	maxMemory int64
 }
 
-// read reads all processes that are alive.
+// takeSample reads the counters of all processes that run.
 func (r *Running) takeSample(ctx context.Context) sample {
 	out := sample{at: time.Now(), metrics: make(map[string]float64)}
 	for i, p := range r.dispatchers {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// parseMetrics adds up the values of a text exposition by name, whatever their
+// parseMetrics adds the values of a text exposition to sum, by metric name whatever the
 // labels.
 func parseMetrics(text string, sum map[string]float64) {
 	sc := bufio.NewScanner(strings.NewReader(text))
@@ -79,7 +79,7 @@
 	}
 }
 
-// messages fills in the exchanges between two readings.
+// setDifference sets the counts to the exchanges between two samples.
 func (m *Messages) setDifference(before, after sample, tasks int) {
 	n := func(name meter.Name) int64 { return int64(after.metrics[string(name)] - before.metrics[string(name)]) }
 	m.Refusals = after.refused - before.refused
@@ -102,7 +102,7 @@
 	c.DispatcherMB = float64(after.maxMemory) / (1 << 20)
 }
 
-// starts reads every start that the backend servers have recorded.
+// readStarts returns every start that the backend servers have recorded.
 func (r *Running) readStarts(ctx context.Context) ([]stand.Start, error) {
 	var all []stand.Start
 	for _, c := range r.Controls {
@@ -136,7 +136,7 @@
 	return m
 }
 
-// commit names the source that was run, with "+" when it was changed since.
+// commit returns the commit of the source, with "+" if the work tree has changes.
 func commit() string {
 	b, err := exec.Command("git", "describe", "--always", "--dirty=+").Output()
 	if err != nil {
--- a/load/process.go
+++ b/load/process.go
@@ -12,17 +12,16 @@
 	"github.com/go-faster/errors"
 )
 
-// process is one process of this program that the tool has started.
+// process is a process of this program that the tool has started.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// maxLogBytes is how much of a failed process's output is shown.
+// maxLogBytes bounds the part of a process's output that is shown.
 const maxLogBytes = 2000
 
-// startProcess starts this program again with the arguments; its output goes
-// to a file.
+// startProcess starts this program with the arguments and writes its output to a file.
 func startProcess(output string, args ...string) (*process, error) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -60,11 +59,11 @@
 	}
 }
 
-// clockTicks is the unit of the times in /proc/PID/stat, in ticks a second.
+// clockTicks is the number of ticks per second in the times of /proc/PID/stat.
 const clockTicks = 100
 
-// usage returns the processor time and the resident memory of a process; zeros
-// when it is gone or the system has no /proc.
+// usage returns the processor time and the resident memory of a process, or zeros if it
+// has ended or the system has no /proc.
 func (p *process) usage() (time.Duration, int64) {
 	dir := filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid))
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
@@ -83,8 +82,8 @@
 	return cpu, pages * int64(os.Getpagesize())
 }
 
-// traffic is the bytes that the process has read and written by system calls:
-// its connections, and its few files.
+// trafficBytes returns the number of bytes that the process has read and written by
+// system calls: over its connections, and in its few files.
 func (p *process) trafficBytes() int64 {
 	b, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "io"))
 	if err != nil {
@@ -101,7 +100,7 @@
 	return sum
 }
 
-// tail returns the end of a process's output, for error messages.
+// logTail returns the end of a process's output, for error messages.
 func logTail(path string) string {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/load/report.go
+++ b/load/report.go
@@ -20,38 +20,39 @@
 
 	Jobs  Counts `json:"jobs"`
 	Tasks int    `json:"tasks"`
-	// Ratio is response time over ideal of done jobs, Response their response
-	// time in milliseconds. Jobs that arrived in the first warmUp are left out.
+	// Ratio is the response time over the ideal one, and Response the response time in
+	// milliseconds, of done jobs. Jobs that arrived in the first warmUp are left out.
 	Ratio    Quantiles `json:"ratio"`
 	Response Quantiles `json:"response_ms"`
-	// Sizes is the ratio by the size of jobs.
+	// Sizes is Ratio by the size of jobs.
 	Sizes []SizeClass `json:"sizes"`
-	// Goodput is the tasks of done jobs that ended in each phase, a second,
-	// without the ramp at its begin.
+	// Goodput is, for each phase, the tasks per second of done jobs that ended in it,
+	// without the ramp at its start.
 	Goodput []float64 `json:"goodput"`
-	// Refusals counts the jobs that were refused or unknown, by code.
+	// Refusals counts the jobs that were refused or have an unknown result, by refusal
+	// code.
 	Refusals map[string]int `json:"refusals"`
 	Messages Messages       `json:"messages"`
 	Fairness Fairness       `json:"fairness"`
 	Safety   Safety         `json:"safety"`
 	Cost     Cost           `json:"cost"`
 	Seconds  []Second       `json:"seconds"`
-	// CDF is points of the ratio's distribution, for plots.
+	// CDF holds points of the distribution of the ratio, for plots.
 	CDF []Point `json:"cdf"`
 }
 
-// Machine is where a run was made.
+// Machine describes the machine of a run.
 type Machine struct {
 	CPU      string `json:"cpu"`
 	Cores    int    `json:"cores"`
 	MemoryGB int    `json:"memory_gb"`
 	Go       string `json:"go"`
-	// Load is the machine's load average before the run: above a few, other
-	// programs ran beside it.
+	// Load is the machine's load average before the run. Above a few, other programs ran
+	// at the same time.
 	Load float64 `json:"load"`
 }
 
-// Setting is what was run.
+// Setting holds the parameters of a run.
 type Setting struct {
 	Dispatchers int     `json:"dispatchers"`
 	Connections int     `json:"connections"`
@@ -63,7 +64,7 @@
 	Seconds     float64 `json:"seconds"`
 }
 
-// Counts is jobs by how they ended for their caller.
+// Counts holds the number of jobs by their result for the caller.
 type Counts struct {
 	Offered   int `json:"offered"`
 	Done      int `json:"done"`
@@ -74,7 +75,7 @@
 	Lost      int `json:"lost"`
 }
 
-// Quantiles of a distribution.
+// Quantiles holds the count, three quantiles and the maximum of a distribution.
 type Quantiles struct {
 	N   int64   `json:"n"`
 	P50 float64 `json:"p50"`
@@ -83,86 +84,87 @@
 	Max float64 `json:"max"`
 }
 
-// SizeClass is the ratio of the jobs of up to so many tasks, and more than
-// those of the class before.
+// SizeClass is the ratio of the jobs of up to UpTo tasks that exceed the bound of the
+// class before.
 type SizeClass struct {
 	UpTo  int       `json:"up_to"`
 	Ratio Quantiles `json:"ratio"`
 }
 
-// Messages counts exchanges beyond the one that each task needs, each with its
-// answer as one, for all tasks together.
+// Messages counts exchanges, over all tasks, beyond the one that each task needs. An
+// exchange is a message with its answer.
 type Messages struct {
 	// Refusals are attempts that a backend server refused.
 	Refusals int64 `json:"refusals"`
 	// Dials are attempts that reached no backend server.
 	Dials int64 `json:"dials"`
-	// Handovers are calls between dispatchers about tasks handed over: the
-	// batches, and the questions for their outcomes.
+	// Handovers are calls between dispatchers about tasks handed over: the batches, and
+	// the queries for their results.
 	Handovers int64 `json:"handovers"`
-	// Forwards are callers' calls passed on to the owner.
+	// Forwards are callers' calls forwarded to the owner.
 	Forwards int64 `json:"forwards"`
 	// Repeats are submissions that callers sent again.
 	Repeats    int64 `json:"repeats"`
 	Heartbeats int64 `json:"heartbeats"`
-	// Log is reads and appends at the platform.
+	// Log is reads and appends at the platform's log, and reads of its VM list.
 	Log int64 `json:"log"`
-	// Placement is refusals, dials and hand-overs for each task; Total is
-	// everything above for each task.
+	// Placement is refusals, dials and handovers per task; Total is all of the above per
+	// task.
 	Placement float64 `json:"placement"`
 	Total     float64 `json:"total"`
-	// Partial tells that dispatchers were killed, whose own counts are lost.
+	// Partial is set if dispatchers were killed, whose own counts are lost.
 	Partial bool `json:"partial,omitempty"`
 }
 
-// Fairness compares the callers.
+// Fairness compares the results of the callers.
 type Fairness struct {
-	// Jain is Jain's index of the callers' done share of what they offered:
-	// 1 is equal, 1/callers is all for one.
+	// Jain is Jain's index of the callers' shares of done tasks among those that they
+	// offered: 1 if all are equal, 1/callers if one has everything.
 	Jain float64 `json:"jain"`
 	// Spread is the largest of the callers' median ratios over the smallest.
 	Spread  float64            `json:"spread"`
 	Callers map[string]float64 `json:"callers"`
 }
 
-// Safety is what must be 0 in each run.
+// Safety counts violations of the guarantees. All must be 0 in each run.
 type Safety struct {
 	// DoubleStarts are tasks that backend servers started more than once.
 	DoubleStarts int `json:"double_starts"`
-	// LostAnswers are jobs without a final answer when the caller gave up.
+	// LostAnswers are jobs without a final answer when the caller's timeout expired.
 	LostAnswers int `json:"lost_answers"`
-	// NotRunButRan are tasks that a caller was told had not run, but that a
+	// NotRunButRan are tasks that were reported to the caller as not run, but that a
 	// backend server started.
 	NotRunButRan int `json:"not_run_but_ran"`
-	// WrongAnswers are done jobs with a missing or foreign answer.
+	// WrongAnswers are done jobs in which the answer of a task is missing or another
+	// task's.
 	WrongAnswers int `json:"wrong_answers"`
-	// Conflicts are resubmissions whose answer differed from the first.
+	// Conflicts are resubmissions whose answer differs from the first.
 	Conflicts int `json:"conflicts"`
 }
 
-// Broken tells whether anything that must be 0 is not.
+// Violated reports whether any count is above 0.
 func (s Safety) Violated() bool { return s != Safety{} }
 
-// Cost is what the processes took.
+// Cost is the processor time and memory that the processes used.
 type Cost struct {
-	// TaskMicros is the dispatchers' processor time for each task, with
+	// TaskMicros is the dispatchers' processor time in microseconds per task, including
 	// everything else that they did in the run.
 	TaskMicros float64 `json:"task_micros"`
 	// DispatcherMB is the largest resident memory of a dispatcher at the end.
 	DispatcherMB float64 `json:"dispatcher_mb"`
-	// StandCores and DispatcherCores are cores in use on average.
+	// StandCores and DispatcherCores are the average numbers of cores in use.
 	StandCores      float64 `json:"stand_cores"`
 	DispatcherCores float64 `json:"dispatcher_cores"`
 }
 
-// Second is one second of a run.
+// Second holds the counts of one second of a run.
 type Second struct {
-	// Offered counts tasks of jobs that arrived, Done those of done jobs that
-	// ended in it.
+	// Offered counts the tasks of jobs that arrived in the second, Refused those among
+	// them that were refused, and Done the tasks of done jobs that ended in it.
 	Offered int `json:"offered"`
 	Done    int `json:"done"`
 	Refused int `json:"refused"`
-	// P50 is the median ratio of the done jobs that arrived in it.
+	// P50 is the median ratio of the done jobs that arrived in the second.
 	P50 float64 `json:"p50"`
 }
 
@@ -172,7 +174,7 @@
 	Y float64 `json:"y"`
 }
 
-// String writes the report as a table for a person.
+// String returns the report as a table for people.
 func (r Report) String() string {
 	var b strings.Builder
 	line := func(name, format string, args ...any) {
--- a/load/run.go
+++ b/load/run.go
@@ -9,18 +9,19 @@
 	"snipehub.example/clock"
 )
 
-// Options are the choices of a run beyond scenario and deployment.
+// Options are the parameters of a run beyond scenario and deployment.
 type Options struct {
-	// Policy replaces the policy of the deployment's settings when set.
+	// Policy replaces the policy of the deployment's settings, if set.
 	Policy string
 	Seed   uint64
 }
 
-// settle is the wait between the last answer and the reading of the starts: a
-// task that was called "not run" and starts late must still be seen.
+// settleDelay is the delay between the last answer and the reading of the recorded
+// starts: a task that was reported as "not run" but starts late must still be counted.
 const settleDelay = time.Second
 
-// Run brings up the deployment, drives the scenario against it, and measures.
+// Run starts the deployment, drives the scenario against it, and returns the
+// measurements.
 func Run(ctx context.Context, d Deployment, s Scenario, o Options) (Report, error) {
 	d = applyOptions(d, s, o)
 	arrivals, err := plan(s, d, o.Seed)
@@ -34,7 +35,7 @@
 	}
 	defer running.Close()
 	dr := newDriver(running)
-	// The metrics of a dispatcher can be a second behind.
+	// The metrics of a dispatcher can be a second old.
 	clock.Sleep(ctx, settleDelay)
 	before := running.takeSample(ctx)
 	dr.run(ctx, arrivals, s.Actions)
@@ -71,7 +72,7 @@
 	return r
 }
 
-// finish fills in the measures.
+// finish fills in the measurements after the last answer.
 func (r *Report) finish(ctx context.Context, d *driver, s Scenario, before sample) error {
 	if err := d.checkStandIns(); err != nil {
 		return err
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// standing tells whether the stand-ins have lived through the run: without them
-// its figures mean nothing.
+// checkStandIns returns an error if a stand-in has ended: without it the figures of the
+// run mean nothing.
 func (r *Running) checkStandIns() error {
 	for i, p := range append([]*process{r.platform}, r.workerStandIns...) {
 		if !p.alive() {
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -12,8 +12,8 @@
 	"snipehub.example/settings"
 )
 
-// TestMain lets the test binary stand in for snipeload, which starts itself
-// again for each process of a deployment.
+// TestMain lets the test binary act as snipeload, which starts itself for each process of
+// a deployment.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"snipehubd", "snipestand"}, os.Args[1]) {
 		os.Exit(program.Run(Command()))
@@ -21,9 +21,9 @@
 	os.Exit(m.Run())
 }
 
-// Real processes, a backend server that begins to fail everything, and jobs that
-// are submitted again in mid-flight over the other dispatcher: every job
-// has a final answer, and the backend servers' record agrees with it.
+// Runs real processes with a backend server that starts to fail every task, and jobs that
+// are submitted again in flight to the other dispatcher: every job must have a final
+// answer that agrees with the backend servers' records.
 func TestRun(t *testing.T) {
 	d, err := demoDeployment(2, 3, 16)
 	if err != nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Two people run the same deployment on a machine at once. The second run is
-// refused; it would otherwise measure the first one's processes.
+// Guards against two simultaneous runs of a deployment on a machine: the second must be
+// refused, since it would measure the processes of the first.
 func TestSecondRunIsRefused(t *testing.T) {
 	d, err := demoDeployment(1, 1, 1)
 	if err != nil {
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -12,33 +12,33 @@
 	"snipehub.example/stand"
 )
 
-// Scenario says what is offered to a deployment and what goes wrong meanwhile.
+// Scenario describes the load that is offered to a deployment and the faults that are
+// injected meanwhile.
 type Scenario struct {
 	Number int    `toml:"number"`
 	Name   string `toml:"name"`
 	Title  string `toml:"title"`
 	Since  string `toml:"since"`
-	// Phases follow each other; jobs arrive by a Poisson process in each.
+	// Phases follow each other. Jobs arrive by a Poisson process in each.
 	Phases []Phase `toml:"phases"`
-	// JobTasks bounds the sizes of jobs, which are drawn evenly on a
+	// JobTasks bounds the number of tasks of a job, which is drawn evenly on a
 	// logarithmic scale.
 	JobTasks Range `toml:"job_tasks"`
-	// Service is the distribution of service times at speed 1; its zero value
-	// means the ordinary one.
+	// ServiceTimes is the distribution of service times at speed 1. The zero value means
+	// the default one.
 	ServiceTimes ServiceTimes `toml:"service"`
-	// Speeds, when set, replace the speeds of the deployment's backend
-	// servers, in turn.
+	// Speeds, if set, replace the speeds of the deployment's backend servers, in turn.
 	Speeds []float64 `toml:"speeds"`
-	// Skew is the share of all jobs that go to the first dispatcher; the rest
-	// is spread evenly over all.
+	// Skew is the share of all jobs that go to the first dispatcher; the rest is spread
+	// evenly over all.
 	Skew float64 `toml:"skew"`
-	// Greedy, when set, is the share of all jobs that the first caller
-	// submits; the others share the rest as the deployment says.
+	// GreedyShare, if set, is the share of all jobs that the first caller submits; the
+	// others share the rest in the deployment's proportions.
 	GreedyShare float64  `toml:"greedy"`
 	Actions     []Action `toml:"actions"`
 }
 
-// Phase is a stretch of time with one rate of arrivals.
+// Phase is a period with one rate of arrivals.
 type Phase struct {
 	Length settings.Duration `toml:"for"`
 	// Load is the offered load as a share of the capacity.
@@ -51,7 +51,7 @@
 	Max int `toml:"max"`
 }
 
-// Service is a distribution of service times; see stand.Spread.
+// ServiceTimes is a distribution of service times; see stand.Spread.
 type ServiceTimes struct {
 	Min       settings.Duration `toml:"min"`
 	Max       settings.Duration `toml:"max"`
@@ -63,39 +63,40 @@
 	return stand.Spread{Min: s.Min.D(), Max: s.Max.D(), Long: s.Long.D(), LongShare: s.LongShare}
 }
 
-// Fault is something that goes wrong, or that callers do, at a point in time.
+// Fault is a failure of the system, or an action of its callers, at a point in time.
 type Fault string
 
 // The faults.
 const (
-	// FailWorker makes one backend server fail everything it starts.
+	// FailWorker makes one backend server fail every task that it starts.
 	FailWorker Fault = "fail_worker"
 	// SlowWorker makes one backend server ten times slower.
 	SlowWorker Fault = "slow_worker"
-	// FreezeWorker makes one backend server answer nothing.
+	// FreezeWorker makes one backend server stop answering.
 	FreezeWorker Fault = "freeze_worker"
-	// RackGone takes away all backend servers of a rack.
+	// RackGone removes all backend servers of a rack.
 	RackGone Fault = "rack_gone"
-	// KillVMs kills the dispatchers on a share of the VMs, and takes these
-	// off the VM list a little later.
+	// KillVMs kills the dispatchers on a share of the VMs, and removes these from the VM
+	// list after vmListDelay.
 	KillVMs Fault = "kill_vms"
 	// CancelWave cancels a share of the jobs in flight.
 	CancelWave Fault = "cancel_wave"
-	// ResubmitWave submits a share of the jobs in flight again, each over
-	// another dispatcher.
+	// ResubmitWave submits a share of the jobs in flight again, each to another
+	// dispatcher.
 	ResubmitWave Fault = "resubmit_wave"
 	// LogDown takes the platform's log and VM list down.
 	LogDown Fault = "log_down"
 )
 
-// Action is a fault at a time after the start of the arrivals.
+// Action injects a fault at a time after the start of the arrivals.
 type Action struct {
 	At    settings.Duration `toml:"at"`
 	Kind  Fault             `toml:"do"`
 	Share float64           `toml:"share"`
 }
 
-// The bounds of a run. A scenario over them is refused.
+// These bound a run. A scenario that lasts longer is rejected, and so is one that plans
+// more tasks.
 const (
 	maxRunDuration  = 2 * time.Minute
 	maxPlannedTasks = 2_000_000
@@ -136,8 +137,8 @@
 	return nil
 }
 
-// FindScenario returns the scenario of that name, or reads it from a TOML
-// file, over the defaults of the table.
+// FindScenario returns the built-in scenario of that name, or reads one from a TOML file,
+// with the defaults of the built-in ones.
 func FindScenario(name string) (Scenario, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -157,7 +158,7 @@
 	return s, nil
 }
 
-// mean is the mean of the sizes that draw returns.
+// mean returns the mean of the sizes that draw returns.
 func (r Range) mean() float64 {
 	var sum, weight float64
 	for n := r.Min; n <= r.Max; n++ {
@@ -168,8 +169,8 @@
 	return sum / weight
 }
 
-// draw draws a size, evenly on a logarithmic scale: as many jobs of 1 to 10
-// tasks as of 10 to 100.
+// draw returns a random size, evenly distributed on a logarithmic scale: as many jobs
+// have 1 to 10 tasks as have 10 to 100.
 func (r Range) draw(rnd *rand.Rand) int {
 	low, high := math.Log(float64(r.Min)), math.Log(float64(r.Max+1))
 	return min(int(math.Exp(low+rnd.Float64()*(high-low))), r.Max)
--- a/load/scenarios.go
+++ b/load/scenarios.go
@@ -16,8 +16,8 @@
 
 var (
 	defaultJobTasks = Range{Min: 1, Max: 100}
-	// ordinaryService is the brief's: most tasks take 50 ms to a second, a few
-	// several seconds.
+	// defaultServiceTimes follows the requirements: most tasks take 50 ms to a second, a
+	// few take several seconds.
 	defaultServiceTimes = ServiceTimes{
 		Min:       settings.Duration(50 * time.Millisecond),
 		Max:       settings.Duration(time.Second),
@@ -26,10 +26,10 @@
 	}
 )
 
-// ordinaryRun is how long the steady part of a scenario lasts.
+// steadyDuration is the length of a scenario with one steady load.
 const steadyDuration = 8 * time.Second
 
-// Scenarios returns the table of scenarios, by number.
+// Scenarios returns the built-in scenarios, by number.
 func Scenarios() []Scenario {
 	out := append([]Scenario(nil), builtinScenarios...)
 	for i := range out {
@@ -45,8 +45,9 @@
 
 func steady(load float64) []Phase { return []Phase{newPhase(steadyDuration, load)} }
 
-// table is numbered in tens by theme: 1 steady load, 20 shapes of load, 30 unlike
-// parts, 40 faults, 50 waves of callers.
+// builtinScenarios are numbered in tens by theme: from 1 steady load, from 20 changing
+// load and job sizes, from 30 unequal speeds and shares, from 40 faults, from 50 actions
+// of many callers at once.
 var builtinScenarios = []Scenario{
 	{Number: 1, Name: "steady30", Title: "steady load at 30% of capacity", Since: "0.1", Phases: steady(0.3)},
 	{Number: 2, Name: "steady60", Title: "steady load at 60% of capacity", Since: "0.1", Phases: steady(0.6)},
--- a/load/submit.go
+++ b/load/submit.go
@@ -16,7 +16,7 @@
 	"snipehub.example/ticket"
 )
 
-// verdict is how a job ended for its caller.
+// verdict is the result of a job for its caller.
 type verdict string
 
 const (
@@ -25,11 +25,11 @@
 	verdictRefused   verdict = "refused"
 	verdictUnknown   verdict = "unknown"
 	verdictCancelled verdict = "cancelled"
-	// lost means that the caller had no final answer when its time was over.
+	// verdictLost means that the caller had no final answer when its timeout expired.
 	verdictLost verdict = "lost"
 )
 
-// outcome is what became of one arrival.
+// outcome is the result of one arrival.
 type outcome struct {
 	arrival
 	id       string
@@ -37,28 +37,29 @@
 	code     refusal.Code
 	response time.Duration
 	ideal    time.Duration
-	// repeats are submissions beyond the first.
+	// repeats is the number of submissions beyond the first.
 	repeats int
-	// wrong tells that an answer was to another task, or missing.
+	// wrongAnswer is set if the answer of a task is missing or belongs to another task.
 	wrongAnswer bool
-	// notRun are the task indexes that the answer calls "not run"; all of
-	// them when the whole job was refused so.
+	// notRunTasks are the indexes of the tasks that the answer reports as "not run"; all
+	// of them if the whole job was refused so.
 	notRunTasks []int
-	// tasks is kept to compare it with the answer to a resubmission.
+	// tasks is kept for comparison with the answer to a resubmission.
 	tasks []job.TaskResult
 }
 
 const (
-	// jobTimeout is the bound that callers give their jobs.
+	// jobTimeout is the timeout that callers set for their jobs.
 	jobTimeout = 20 * time.Second
-	// patience is how long a caller tries for a final answer.
+	// callerTimeout is how long a caller tries to get a final answer.
 	callerTimeout = 30 * time.Second
-	// pause is the wait before a caller comes back when it was given none.
+	// minRetryDelay is the delay before a retry if the refusal gives none or a shorter
+	// one.
 	minRetryDelay = 100 * time.Millisecond
 )
 
-// submit brings one job to its end. A refusal with "not run" is final: coming
-// back would add to the offered load, which the scenario alone decides.
+// submit submits a job and waits for its result. A refusal with "not run" is final: a
+// retry would add to the offered load, which the scenario alone decides.
 func (d *driver) submit(ctx context.Context, a arrival) outcome {
 	began := d.startTime.Add(a.at)
 	ctx, cancel := context.WithDeadline(ctx, began.Add(callerTimeout))
@@ -74,9 +75,9 @@
 	return o
 }
 
-// identity takes the next identity of the caller at its dispatcher. Nothing has
-// been submitted yet, so when that dispatcher is gone another one serves as
-// well, as behind a balancer.
+// acquireJobID takes the caller's next job id at its dispatcher. Nothing has been
+// submitted yet, so if that dispatcher is unreachable, another one serves as well, as
+// behind a load balancer.
 func (d *driver) acquireJobID(ctx context.Context, a arrival) (ticket.JobID, netip.AddrPort, error) {
 	n := a.dispatcher
 	for {
@@ -88,7 +89,7 @@
 	}
 }
 
-// put submits the identity until there is a final answer.
+// submitUntilFinal submits the job, again if necessary, until there is a final answer.
 func (d *driver) submitUntilFinal(ctx context.Context, o *outcome, id ticket.JobID, entry netip.AddrPort) error {
 	spec := o.spec()
 	d.inFlight.add(o.id, inFlightJob{id: id, caller: o.caller, spec: spec, owner: o.dispatcher})
@@ -116,7 +117,7 @@
 	}
 }
 
-// take reads a final answer.
+// recordAnswer sets the verdict and the tasks from a final answer.
 func (o *outcome) recordAnswer(a job.Answer) {
 	o.tasks = a.Tasks
 	o.verdict = verdictFailed
@@ -132,7 +133,7 @@
 	}
 }
 
-// whole tells whether a done answer has the own answer of each task.
+// answersEachTask reports whether a done answer has the right answer for each task.
 func (o *outcome) answersEachTask(a job.Answer) bool {
 	if len(a.Tasks) != len(o.service) {
 		return false
@@ -146,7 +147,7 @@
 	return true
 }
 
-// judge turns the error of a submission into the outcome's verdict.
+// setVerdict sets the verdict that follows from the error of a submission.
 func (d *driver) setVerdict(o *outcome, err error) {
 	var r *refusal.Refusal
 	if !errors.As(err, &r) {
--- a/load/verify.go
+++ b/load/verify.go
@@ -9,9 +9,9 @@
 	"snipehub.example/stand"
 )
 
-// verify compares what callers were told with what the backend servers have
-// recorded. It returns what must be 0, but for lost and wrong answers, which
-// the outcomes alone tell.
+// verify compares the outcomes with the starts that the backend servers have recorded,
+// and with the answers to resubmissions. It doesn't count lost and wrong answers, which
+// follow from the outcomes alone.
 func verify(all []outcome, starts []stand.Start, resubmitAnswers map[string][]job.Answer) Safety {
 	var s Safety
 	count := make(map[string]int, len(starts))
@@ -37,7 +37,7 @@
 	return s
 }
 
-// taskOf returns job and index of a task id, without the attempt.
+// withoutAttempt returns the job and task index of a task id, without the attempt.
 func withoutAttempt(id string) string {
 	i := strings.LastIndexByte(id, '/')
 	if i < 0 {
@@ -52,7 +52,7 @@
 	})
 }
 
-// canonical is the JSON value without white space.
+// canonical returns the JSON value without white space.
 func canonical(m json.RawMessage) []byte {
 	var v any
 	if json.Unmarshal(m, &v) != nil {
