--- a/load/act.go
+++ b/load/act.go
@@ -88,11 +88,11 @@
 }
 
 func (d *driver) runWave(share float64, do func(f inFlightJob)) {
-	limit := make(chan struct{}, maxWaveCalls)
+	slots := make(chan struct{}, maxWaveCalls)
 	for _, f := range d.inFlight.pickRandom(share) {
-		limit <- struct{}{}
+		slots <- struct{}{}
 		d.waves.Go(func() {
-			defer func() { <-limit }()
+			defer func() { <-slots }()
 			do(f)
 		})
 	}
--- a/load/bench.go
+++ b/load/bench.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// benchService is short, so that a few seconds give many tasks; the
-	// stand-in only waits meanwhile.
+	// benchService is short, so that a few seconds give many tasks; the stand-in only
+	// waits during it.
 	benchService = 10 * time.Millisecond
 	benchCores   = 4096
 	benchCallers = 8
 )
 
-// bench is one dispatcher with one large backend server, for slopes.
+// bench is one dispatcher with one large backend server, for measurements of slopes.
 type bench struct {
 	*Running
 	clients []*client.Client
@@ -49,7 +49,7 @@
 	return b, nil
 }
 
-// renew makes every client take a new ticket.
+// renewTickets makes every client take a new ticket.
 func (b *bench) renewTickets() {
 	for _, c := range b.clients {
 		c.Renew()
@@ -58,7 +58,7 @@
 
 func (b *bench) entryAddr() netip.AddrPort { return b.places[0].callerAddr }
 
-// job is a job of n tasks of the given service time, with the default timeout.
+// job returns a job of n tasks of the given service time, with the default timeout.
 func (b *bench) job(n int, service time.Duration) job.Spec {
 	a := arrival{kind: b.rows.Routes[0].Kind, service: make([]time.Duration, n)}
 	for i := range a.service {
@@ -69,8 +69,8 @@
 	return s
 }
 
-// repeat runs the job on all clients, each with perClient at a time, until n
-// have been done or the time is over. It returns how many were done.
+// runJobs runs the job on all clients, perClient at a time on each, until n have been
+// started or the timeout expires. It returns how many were done.
 func (b *bench) runJobs(ctx context.Context, s job.Spec, perClient int, n int64, timeout time.Duration) int64 {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -91,7 +91,7 @@
 	return finished.Load()
 }
 
-// once submits the job once; a job that is refused counts as not done.
+// submitOnce submits the job once and reports whether it was done; a refused job was not.
 func (b *bench) submitOnce(ctx context.Context, c *client.Client, s job.Spec) bool {
 	id, err := c.Next(ctx)
 	if err != nil {
--- a/load/bound.go
+++ b/load/bound.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// boundSite is a deployment with its days and what the parts of a day's worth weigh.
+// boundSite is a deployment with its days, and the weights of the parts of a day's worth.
 type boundSite struct {
 	goal model.Parts
 	days []boundDay
@@ -52,13 +52,13 @@
 
 type boundDay struct {
 	name string
-	// config returns the day, the first of its seeds being 0.
+	// config returns the day for a seed, counted from 0.
 	config func(seed int) model.Config
-	// notes are what the model plays otherwise, or not at all.
+	// notes describe what the model plays differently, or not at all.
 	notes []string
 }
 
-// boundSiteOf returns one of the model's deployments, or that of a site file.
+// findBoundSite returns one of the model's deployments, or that of a site file.
 func findBoundSite(name string) (boundSite, error) {
 	if site, ok := model.Sites[name]; ok {
 		return modelSite(site), nil
@@ -102,7 +102,7 @@
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, d := range s.days {
 		var bounds, outages, earned, goal, got []float64
-		broken := 0
+		violations := 0
 		for seed := range seeds {
 			c := model.Compare(d.config(seed))
 			bounds = append(bounds, c.Bound.Whole)
@@ -110,11 +110,11 @@
 			earned = append(earned, c.Result.Parts.Whole)
 			goal = append(goal, c.Outages.By(s.goal))
 			got = append(got, c.Result.Parts.By(s.goal))
-			broken += len(c.Result.Broken)
+			violations += len(c.Result.Broken)
 		}
 		fmt.Fprintf(w, "| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |\n", d.name, mean(bounds), mean(outages), mean(earned), mean(outages)-mean(earned), mean(goal), mean(got))
-		if broken > 0 {
-			fmt.Fprintf(w, "%s: %d promises broken\n", d.name, broken)
+		if violations > 0 {
+			fmt.Fprintf(w, "%s: %d promises broken\n", d.name, violations)
 		}
 	}
 	fmt.Fprintln(w)
--- a/load/bound_test.go
+++ b/load/bound_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The table has a row for each day of a site file, and names what was not played: without
-// that a day would seem to be borne that was never tried.
+// The table has a row for each day of a site file and names what was not played:
+// otherwise a day would seem to be handled that was never tried.
 func TestBoundOfSiteFile(t *testing.T) {
 	var out strings.Builder
 	cmd := Command()
--- a/load/capacity.go
+++ b/load/capacity.go
@@ -12,24 +12,25 @@
 	"snipehub.example/settings"
 )
 
-// size is a size of the whole system, and the shape of its load.
+// systemSize is the size of the whole system, and the shape of its load.
 type systemSize struct {
 	workers         float64
 	startsPerSecond float64 // tasks a second
 	teams           float64
 	dataCenters     float64
 	changesPerDay   float64
-	// meanJob is tasks a job, meanService seconds a task.
+	// tasksPerJob and secondsPerTask are means.
 	tasksPerJob, secondsPerTask float64
-	// connections is how many tasks one dispatcher process runs at once.
+	// connections is the number of tasks that one dispatcher process runs at once.
 	connections float64
-	// keptFor is how long answers are kept, in seconds.
+	// answerRetention is how long answers are kept, in seconds.
 	answerRetention float64
-	// appendRate is our share of the log's appends a second.
+	// appendRate is the part of the log's append rate that is available to the
+	// dispatchers, per second.
 	appendRate float64
 }
 
-// The budget for control on each node.
+// These are the budgets for control on each node.
 const (
 	budgetCPU   = 0.012 * 1e6 // µs a second
 	budgetBytes = 25_000
@@ -38,9 +39,9 @@
 
 const secondsPerDay = 86400
 
-// letterSize is the size that the users expect within two years. Jobs and
-// service times are those of the ordinary scenarios: jobs of 1 to 100 tasks
-// cost more for each task than those of 1,300.
+// expectedSize is the size that the users expect within two years. Jobs and service times
+// are those of the default scenarios: jobs of 1 to 100 tasks cost more per task than
+// those of 1,300.
 func expectedSize() systemSize {
 	return systemSize{
 		workers: 13_000, startsPerSecond: 510_000, teams: 190, dataCenters: 7, changesPerDay: 14_000,
@@ -59,19 +60,20 @@
 
 func (z systemSize) changes() float64 { return z.changesPerDay / secondsPerDay }
 
-// need is one quantity of a role at a size.
+// requirement is one quantity of a role at a system size.
 type requirement struct {
 	role, quantity string
 	value          float64
 	unit           string
-	// budget is 0 where none is set; breaks is the number of dispatchers (or
-	// rows) at which the budget is reached, 0 where it is not linear in them.
+	// budget is 0 where none is set. budgetReachedAt is the number of dispatchers (or
+	// rows) at which the budget is reached, 0 where the quantity doesn't depend on it
+	// linearly.
 	budget, budgetReachedAt float64
 	reachedUnit             string
 	source                  string
 }
 
-// needs computes what each role takes at the size.
+// requirements computes what each role requires at the size.
 func requirements(z systemSize, all []Slope) ([]requirement, error) {
 	f := make(map[string]Fit)
 	for _, s := range all {
@@ -107,7 +109,7 @@
 	}
 }
 
-// answer is the memory of a kept answer of the mean job, on the line through
+// answerBytes returns the memory of a kept answer of the mean job, on the line through
 // the two sizes of answers that are measured.
 func (z systemSize) answerBytes(f map[string]Fit) float64 {
 	one, large := f[slopeKept].Slope, f[slopeKeptLarge].Slope
@@ -144,8 +146,8 @@
 	}
 }
 
-// logOverhead is the bytes that a reader receives for one on the log: records
-// travel in base64.
+// logOverhead is the number of bytes that a reader receives for one on the log: records
+// are transferred in base64.
 const logOverhead = 4.0 / 3
 
 func claimRequirements(z systemSize, f map[string]Fit) []requirement {
@@ -168,8 +170,8 @@
 	}
 }
 
-// reach is the x at which the line gets to the budget; 0 when it never does, or
-// when it is flat.
+// sizeAtBudget returns the x at which the line reaches the budget, or 0 if the line is
+// flat or already above the budget at 0.
 func sizeAtBudget(f Fit, budget float64) float64 {
 	if f.isFlat() {
 		return 0
@@ -177,7 +179,7 @@
 	return max((budget-f.Intercept)/f.Slope, 0)
 }
 
-// capacityMarkdown writes slopes and needs as tables.
+// capacityMarkdown returns the slopes and requirements as tables.
 func capacityMarkdown(f SlopeFile, all []requirement) string {
 	var b strings.Builder
 	m := f.Machine
@@ -190,27 +192,27 @@
 			s.Name, s.Y, s.X, s.Fit.Slope, s.Fit.SlopeError, s.Fit.Intercept, s.Fit.R2, len(s.Points), first, last)
 	}
 	b.WriteString("\n| role | quantity | at the letter's size | budget | reached at | from |\n| --- | --- | --- | --- | --- | --- |\n")
-	for _, n := range all {
-		fmt.Fprintf(&b, "| %s | %s | %.4g %s | %s | %s | %s |\n", n.role, n.quantity, n.value, n.unit, n.budgetText(), n.reachedText(), n.source)
+	for _, r := range all {
+		fmt.Fprintf(&b, "| %s | %s | %.4g %s | %s | %s | %s |\n", r.role, r.quantity, r.value, r.unit, r.budgetText(), r.reachedText(), r.source)
 	}
 	return b.String()
 }
 
-func (n requirement) budgetText() string {
+func (r requirement) budgetText() string {
 	switch {
-	case n.budget == 0:
+	case r.budget == 0:
 		return "none set"
-	case n.value > n.budget:
-		return fmt.Sprintf("**over** %.4g", n.budget)
+	case r.value > r.budget:
+		return fmt.Sprintf("**over** %.4g", r.budget)
 	}
-	return fmt.Sprintf("within %.4g", n.budget)
+	return fmt.Sprintf("within %.4g", r.budget)
 }
 
-func (n requirement) reachedText() string {
-	if n.budgetReachedAt == 0 {
+func (r requirement) reachedText() string {
+	if r.budgetReachedAt == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.0f %s", n.budgetReachedAt, n.reachedUnit)
+	return fmt.Sprintf("%.0f %s", r.budgetReachedAt, r.reachedUnit)
 }
 
 func capacityCommand() *cli.Command {
--- a/load/capacity_test.go
+++ b/load/capacity_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The needs follow from the lines: with lines whose values are known, each is
-// worked out by hand.
-func TestNeeds(t *testing.T) {
+// The requirements follow from the lines: for lines with known values, each was computed
+// by hand.
+func TestRequirements(t *testing.T) {
 	z := systemSize{workers: 1000, startsPerSecond: 6400, teams: 10, changesPerDay: 86400, tasksPerJob: 10, secondsPerTask: 1, connections: 64, answerRetention: 10, appendRate: 50}
 	lines := map[string]Fit{
 		slopeCPU: {Slope: 100, Intercept: 500}, slopeKept: {Slope: 1 << 20}, slopeKeptLarge: {Slope: 20 << 20}, slopeTicket: {Slope: 1 << 20}, slopeQueue: {Slope: 1 << 10},
@@ -55,6 +55,6 @@
 		}
 	}
 	if _, err := requirements(z, all[1:]); err == nil {
-		t.Error("needs were computed without one of the slopes")
+		t.Error("requirements were computed without one of the slopes")
 	}
 }
--- a/load/claimslopes.go
+++ b/load/claimslopes.go
@@ -24,9 +24,9 @@
 	claimsWindow    = 3 * time.Second
 )
 
-// claimSlopes measures how many appends, and bytes on the log, the claims of
-// callers' own keys cost, by how many claims a second there are. Callers are a closed loop here: each
-// waits for its job before it brings the next key.
+// claimSlopes measures the appends, and bytes on the log, that claims of callers' own
+// keys cost, by the rate of claims. Callers are a closed loop here: each waits for its
+// job before it submits the next key.
 func claimSlopes(ctx context.Context) ([]Slope, error) {
 	b, err := newBench(ctx)
 	if err != nil {
@@ -61,8 +61,8 @@
 	}, nil
 }
 
-// claimable waits until the dispatcher takes keys: it refuses them until it has
-// read the claims stream once.
+// awaitClaims waits until the dispatcher accepts keys: it refuses them until it has read
+// the claims stream once.
 func (b *bench) awaitClaims(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -78,8 +78,8 @@
 	}
 }
 
-// claims submits jobs of one task under new keys, over so many callers, and
-// returns how many were done.
+// submitClaims submits jobs of one task under new keys, from this number of concurrent
+// callers, and returns how many were done.
 func (b *bench) submitClaims(ctx context.Context, callers int) (int64, error) {
 	body, err := json.Marshal(b.job(1, time.Millisecond))
 	if err != nil {
@@ -106,7 +106,7 @@
 	return n.Load(), err
 }
 
-// keyed submits the job under a new key of the caller's own.
+// submitWithKey submits the job under a new key of the caller's own.
 func (b *bench) submitWithKey(ctx context.Context, hc *http.Client, body []byte) error {
 	key, err := uuid.NewV7()
 	if err != nil {
--- a/load/command.go
+++ b/load/command.go
@@ -1,9 +1,9 @@
-// Package load is the load and experiment tool, snipeload.
+// Package load is snipeload, the tool for load tests and experiments.
 //
-// It drives real dispatcher processes and stand-in backend servers, always
-// bounded in time and count, and measures response time over the ideal and
-// messages per task. The processes are this program, started again with hidden
-// commands; the daemons themselves start nothing.
+// It drives real dispatcher processes and stand-ins for backend servers, always bounded
+// in time and count, and measures the response time over the ideal and the messages per
+// task. The processes are this program, started again with hidden commands; the daemons
+// themselves start nothing.
 package load
 
 import (
@@ -21,7 +21,7 @@
 	"snipehub.example/stand"
 )
 
-// ErrSafety means that a run broke what must always hold.
+// ErrSafety means that a run violated a guarantee.
 var ErrSafety = errors.New("load: what must be 0 is not")
 
 // Command returns the command line of snipeload.
@@ -83,7 +83,7 @@
 	return checkSafety(all)
 }
 
-// bounded runs with a time limit that no run of an allowed scenario reaches.
+// runWithTimeout runs with a timeout that no run of an accepted scenario reaches.
 func runWithTimeout(ctx context.Context, d Deployment, s Scenario, o Options) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.length()+2*callerTimeout+time.Minute)
 	defer cancel()
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// ReadReports reads what "run" has written.
+// ReadReports reads a file that "run" has written.
 func ReadReports(path string) ([]Report, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/load/compare.go
+++ b/load/compare.go
@@ -10,7 +10,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// quantity is one measure of a report that compare looks at.
+// quantity is one measurement of a report that Compare compares.
 type quantity struct {
 	name    string
 	valueOf func(r Report) float64
@@ -28,19 +28,19 @@
 	{"dispatcher µs a task", func(r Report) float64 { return r.Cost.TaskMicros }},
 }
 
-// Difference compares one quantity over the repeated runs of two sides.
+// Difference compares one quantity over the repeated runs of two files.
 type Difference struct {
 	Group, Quantity string
-	// A and B are means; RunsA and RunsB are how many runs they are of.
+	// A and B are means of RunsA and RunsB runs.
 	A, B         float64
 	RunsA, RunsB int
-	// Noise tells that the ranges of the repeated runs overlap, so that the
-	// difference may be chance. With a single run on a side nothing is known
-	// of its noise, and Noise is true.
+	// WithinNoise is set if the ranges of the repeated runs overlap, so that the
+	// difference may be random. It is also set if a side has a single run, whose noise is
+	// unknown.
 	WithinNoise bool
 }
 
-// Ratio is B over A; 0 when A is 0.
+// Ratio returns B over A, or 0 if A is 0.
 func (d Difference) Ratio() float64 {
 	if d.A == 0 {
 		return 0
@@ -48,8 +48,8 @@
 	return d.B / d.A
 }
 
-// Compare sets the runs of two files side by side, by deployment and scenario,
-// and by policy unless each side has a single one.
+// Compare compares the runs of two files by deployment and scenario, and also by policy
+// unless each file has a single one.
 func Compare(a, b []Report) []Difference {
 	key := groupKey(a, b)
 	left, right := groups(a, key), groups(b, key)
--- a/load/compare_test.go
+++ b/load/compare_test.go
@@ -11,7 +11,7 @@
 	return Report{Deployment: "d", Scenario: "s", Policy: policy, Ratio: Quantiles{P50: p50}, CDF: []Point{{1, 0}, {p50, 1}}}
 }
 
-// A difference counts only when the ranges of the repeated runs lie apart.
+// A difference is significant only if the ranges of the repeated runs don't overlap.
 func TestCompare(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -38,7 +38,7 @@
 	}
 }
 
-// The suite replaces the marked part of a page and nothing else.
+// The suite must replace the marked part of a page and nothing else.
 func TestReplaceInPage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
 	if err := os.WriteFile(path, []byte("a\n"+pageBegin+"\nold\n"+pageEnd+"\nz\n"), 0o600); err != nil {
--- a/load/demo.go
+++ b/load/demo.go
@@ -53,8 +53,8 @@
 	return checkSafety([]Report{r})
 }
 
-// demoDeployment is one data centre, with a VM for each dispatcher, on ports
-// that are free now.
+// demoDeployment returns a deployment of one data centre, with a VM for each dispatcher,
+// on currently free ports.
 func demoDeployment(dispatchers, workers, cores int) (Deployment, error) {
 	ports, err := freePorts(2 + workers + 2*dispatchers)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return d, d.validate()
 }
 
-// freePorts finds n ports of the loopback address that are free now.
+// freePorts returns n currently free ports of the loopback address.
 func freePorts(n int) ([]netip.AddrPort, error) {
 	out := make([]netip.AddrPort, n)
 	for i := range out {
--- a/load/fit.go
+++ b/load/fit.go
@@ -5,26 +5,27 @@
 	"math"
 )
 
-// Fit is a straight line through points by least squares.
+// Fit is a straight line fitted to points by least squares.
 type Fit struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
-	// SlopeError is the standard error of the slope; 0 with two points, which
-	// always lie on a line.
+	// SlopeError is the standard error of the slope; 0 with two points, which always lie
+	// on a line.
 	SlopeError float64 `json:"slope_error"`
-	// R2 is the part of the variance that the line explains.
+	// R2 is the share of the variance that the line explains.
 	R2 float64 `json:"r2"`
-	// Mean is the mean of Y, which stands for the line where it is flat.
+	// Mean is the mean of Y, which At returns if the line is flat.
 	Mean float64 `json:"mean"`
-	// Freedom is the number of points beyond the two that a line needs.
+	// Freedom is the number of points beyond the two that determine a line.
 	Freedom int `json:"freedom"`
 }
 
-// student is Student's t for a two-sided 95% by degrees of freedom, from 1.
+// studentT95 is the two-sided 95% quantile of Student's t distribution by degrees of
+// freedom, from 1.
 var studentT95 = []float64{12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306}
 
-// flat tells that the slope can't be told from none with 95%. A line through
-// few scattered points would otherwise be drawn out to any size.
+// isFlat reports whether the slope does not differ from 0 with 95% confidence. A line
+// through a few scattered points would otherwise be extrapolated to any size.
 func (f Fit) isFlat() bool {
 	if f.Freedom < 1 {
 		return f.Slope <= 0
@@ -32,18 +33,18 @@
 	return f.Slope <= studentT95[min(f.Freedom, len(studentT95))-1]*f.SlopeError
 }
 
-// weight is how much a point counts in a fit.
+// pointWeight returns the weight of a point in a fit.
 type pointWeight func(p Point) float64
 
-// absolute makes the fit minimise the squares of the errors, relative those of
-// the errors as shares of Y: over sizes of several magnitudes the largest would
-// otherwise decide alone.
+// absoluteErrors makes the fit minimize the squares of the errors, relativeErrors those
+// of the errors relative to Y: over sizes of several orders of magnitude, the largest
+// would otherwise dominate.
 var (
 	absoluteErrors pointWeight = func(Point) float64 { return 1 }
 	relativeErrors pointWeight = func(p Point) float64 { return 1 / max(p.Y*p.Y, 1e-12) }
 )
 
-// fit returns the line through the points; there must be two with different X.
+// fit returns the line through the points, of which at least two must have different X.
 func fit(points []Point, w pointWeight) Fit {
 	var sum, mx, my float64
 	for _, p := range points {
@@ -70,7 +71,7 @@
 	return f
 }
 
-// At is the line's value at x, and the mean where the line is flat.
+// At returns the line's value at x, or the mean if the line is flat.
 func (f Fit) At(x float64) float64 {
 	if f.isFlat() {
 		return f.Mean
@@ -78,7 +79,7 @@
 	return f.Intercept + f.Slope*x
 }
 
-// String writes the slope with its error.
+// String returns the slope with its error.
 func (f Fit) String() string {
 	return fmt.Sprintf("%.4g ± %.2g (intercept %.4g, R² %.3f)", f.Slope, f.SlopeError, f.Intercept, f.R2)
 }
@@ -86,7 +87,7 @@
 // Slope is a measured dependence of a cost on a size.
 type Slope struct {
 	Name string `json:"name"`
-	// X and Y say what the points are, with units.
+	// X and Y describe the coordinates of the points, with units.
 	X      string  `json:"x"`
 	Y      string  `json:"y"`
 	Points []Point `json:"points"`
--- a/load/lossaccount.go
+++ b/load/lossaccount.go
@@ -303,8 +303,8 @@
 
 // lastLineOf returns when an incarnation wrote its last line.
 func (a *lossAccount) lastLineOf(id string) time.Time {
-	for _, lives := range a.incarnations {
-		for _, l := range lives {
+	for _, incarnations := range a.incarnations {
+		for _, l := range incarnations {
 			if l.id == id {
 				return l.until
 			}
--- a/load/losscause.go
+++ b/load/losscause.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// These are the causes of loss. A cause that ends in a space is followed by the reason of
-// the refusal or answer, or by how the run ended.
+// These are the causes that a job is counted under. One that ends in a space is followed
+// by the reason of the refusal or answer, or by how the run ended.
 const (
 	causeInTime            = "in time"
 	causeLateWaiting       = "late: waited for a worker"
--- a/load/losses.go
+++ b/load/losses.go
@@ -129,7 +129,7 @@
 	return first
 }
 
-// total returns the share of all jobs together, including those that callers sent but no
+// total returns the share of all jobs together. It includes jobs that callers sent but no
 // log contains.
 func (a *lossAccount) total() map[string]*lossShare {
 	parts := a.splitBy(func(*loggedJob) string { return "all" })
--- a/load/losses_test.go
+++ b/load/losses_test.go
@@ -179,7 +179,7 @@
 // dayWithTimeouts is a day of 200 jobs of 100 to 300 ms, each of one task, half of them
 // on workers that take twice as long. Estimates deviate in both directions. timeoutOf
 // returns the caller's timeout for a job with an objective.
-func dayWithTimeouts(timeoutOf func(aim time.Duration) time.Duration) *lossAccount {
+func dayWithTimeouts(timeoutOf func(objective time.Duration) time.Duration) *lossAccount {
 	a := newLossAccount()
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for i := range 200 {
@@ -214,11 +214,11 @@
 // Guards against a wrong cause of a late answer. Neither the estimate nor the run time
 // show whether the task had much work, the worker was slow, or the first request was
 // lost; the callers' timeouts do, where they follow the objective.
-func TestLimitsTell(t *testing.T) {
-	follows := func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim }
+func TestTimeoutsImplyCause(t *testing.T) {
+	follows := func(objective time.Duration) time.Duration { return 1500*time.Millisecond + 3*objective }
 	fixed := func(time.Duration) time.Duration { return 3 * time.Second }
-	scattered := func(aim time.Duration) time.Duration {
-		return 1500*time.Millisecond + 3*aim + time.Duration(aim.Milliseconds()*7919%2000)*time.Millisecond
+	scattered := func(objective time.Duration) time.Duration {
+		return 1500*time.Millisecond + 3*objective + time.Duration(objective.Milliseconds()*7919%2000)*time.Millisecond
 	}
 	begin := time.Date(2026, 1, 1, 0, 1, 0, 0, time.UTC)
 	const work = 200 * time.Millisecond
@@ -233,11 +233,11 @@
 	}{
 		{"as estimated", follows, work, work, 0, causeInTime, 0},
 		{"estimated too long", follows, 2 * work, work, 0, causeInTime, 0},
-		{"long on a worker that nobody knew to be slow", follows, work, 5 * work, 0, causeLateOnWorker, 0},
+		{"long on a worker not known to be slow", follows, work, 5 * work, 0, causeLateOnWorker, 0},
 		{"sent before", follows, work, work, 1300 * time.Millisecond, causeLateFirstUnlogged, 1300 * time.Millisecond},
-		{"a limit that tells nothing: long work", fixed, work, 5 * work, 0, causeInTime, 0},
-		{"limits that scatter", scattered, work, 5 * work, 0, causeInTime, 0},
-		{"a limit that tells nothing: short", fixed, work, work, 1300 * time.Millisecond, causeInTime, 0},
+		{"fixed timeouts: long work", fixed, work, 5 * work, 0, causeInTime, 0},
+		{"scattered timeouts", scattered, work, 5 * work, 0, causeInTime, 0},
+		{"fixed timeouts: a short one", fixed, work, work, 1300 * time.Millisecond, causeInTime, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := dayWithTimeouts(c.timeoutOf)
@@ -255,8 +255,8 @@
 }
 
 // A job that was refused or lost has no measured work: its timeout implies it.
-func TestLimitTellsWorkOfRefused(t *testing.T) {
-	a := dayWithTimeouts(func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim })
+func TestTimeoutImpliesWorkOfRefused(t *testing.T) {
+	a := dayWithTimeouts(func(objective time.Duration) time.Duration { return 1500*time.Millisecond + 3*objective })
 	at := time.Date(2026, 1, 1, 0, 1, 0, 0, time.UTC)
 	const work, estimate = 250 * time.Millisecond, 120 * time.Millisecond
 	timeout := 1500*time.Millisecond + 3*objectiveOf(work)
--- a/load/lossoutage.go
+++ b/load/lossoutage.go
@@ -16,8 +16,8 @@
 // start of a process.
 func (a *lossAccount) outages() []span {
 	var uptimes []span
-	for _, lives := range a.incarnations {
-		for _, l := range lives {
+	for _, incarnations := range a.incarnations {
+		for _, l := range incarnations {
 			uptimes = append(uptimes, span{l.from, l.until})
 		}
 	}
--- a/load/measure.go
+++ b/load/measure.go
@@ -29,25 +29,25 @@
 	return histogram{hist: hdrhistogram.New(1, int64(maxTracked*scale), 3), scale: scale}
 }
 
-func (s histogram) add(v float64) {
-	_ = s.hist.RecordValue(min(max(int64(v*s.scale), 1), s.hist.HighestTrackableValue()))
+func (h histogram) add(v float64) {
+	_ = h.hist.RecordValue(min(max(int64(v*h.scale), 1), h.hist.HighestTrackableValue()))
 }
 
-func (s histogram) quantile(q float64) float64 { return float64(s.hist.ValueAtQuantile(q)) / s.scale }
+func (h histogram) quantile(q float64) float64 { return float64(h.hist.ValueAtQuantile(q)) / h.scale }
 
-func (s histogram) quantiles() Quantiles {
+func (h histogram) quantiles() Quantiles {
 	return Quantiles{
-		N: s.hist.TotalCount(), P50: s.quantile(50), P90: s.quantile(90), P99: s.quantile(99),
-		Max: float64(s.hist.Max()) / s.scale,
+		N: h.hist.TotalCount(), P50: h.quantile(50), P90: h.quantile(90), P99: h.quantile(99),
+		Max: float64(h.hist.Max()) / h.scale,
 	}
 }
 
-func (s histogram) cdf() []Point {
+func (h histogram) cdf() []Point {
 	var out []Point
 	for q := 0.0; q <= 99.95; q++ {
-		out = append(out, Point{s.quantile(q), q / 100})
+		out = append(out, Point{h.quantile(q), q / 100})
 	}
-	return append(out, Point{s.quantile(99.9), 0.999})
+	return append(out, Point{h.quantile(99.9), 0.999})
 }
 
 func (o outcome) ratio() float64 { return float64(o.response) / float64(o.ideal) }
--- a/load/measure_test.go
+++ b/load/measure_test.go
@@ -136,7 +136,7 @@
 }
 
 // A done answer is valid only if each task has its own answer.
-func TestWhole(t *testing.T) {
+func TestAnswersEachTask(t *testing.T) {
 	tests := []struct {
 		name  string
 		tasks []string
--- a/load/model.go
+++ b/load/model.go
@@ -16,8 +16,8 @@
 	"snipehub.example/model"
 )
 
-// planning are the planner's policies that are compared: the default, and the default
-// with one part changed.
+// comparedPolicies are the planner's policies that are compared: the default, and the
+// default with one part changed.
 var comparedPolicies = []struct {
 	name   string
 	policy cell.Policy
@@ -70,7 +70,7 @@
 	}
 }
 
-// comparePlanning plays the day with each policy and writes a table.
+// comparePolicies plays the day with each policy and writes a table.
 func comparePolicies(w io.Writer, site func() model.Config, day model.Day, seeds int) []curve {
 	fmt.Fprintf(w, "%-24s %-16s %-18s %-8s %-8s %-8s %s\n", "policy", "worth", "to default", "worst", "late", "refused", "by kind")
 	var curves []curve
@@ -114,7 +114,7 @@
 	return strings.Join(out, ", ")
 }
 
-// differences are those of paired values, v over base.
+// differences returns the differences of paired values, v minus base.
 func differences(v, base []float64) []float64 {
 	out := make([]float64, len(v))
 	for i := range v {
@@ -123,7 +123,7 @@
 	return out
 }
 
-// meanError returns the mean and its standard error.
+// meanAndError returns the mean and its standard error.
 func meanAndError(v []float64) (mean, err float64) {
 	for _, x := range v {
 		mean += x / float64(len(v))
--- a/load/model_test.go
+++ b/load/model_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Days differ by far more than policies do, so a policy is judged by what it earns more on
-// the same days.
+// Days differ far more than policies do, so a policy is judged by its gain on the same
+// days.
 func TestPairedDifference(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Both users' deployments are as the brief gives them.
+// The deployments of both users must be as they specified them.
 func TestExamples(t *testing.T) {
 	tests := []struct {
 		name           string
@@ -49,7 +49,7 @@
 	}
 }
 
-// With a seed the plan is the same each time, and offers what its phases say.
+// The plan must be the same each time for a seed, and offer the load of its phases.
 func TestPlan(t *testing.T) {
 	d, err := ReadDeployment("../examples/lakeshore/deployment.toml")
 	if err != nil {
@@ -113,8 +113,8 @@
 	}
 }
 
-// A scenario of one's own is read over the table's defaults; an unknown key or a
-// value out of range is an error.
+// A user's scenario file is read with the defaults of the built-in scenarios; an unknown
+// key or a value out of range is an error.
 func TestScenarioFile(t *testing.T) {
 	s, err := FindScenario("../examples/scenarios/morning.toml")
 	if err != nil || s.length() != 12*time.Second || s.Actions[0].Kind != SlowWorker {
--- a/load/plot.go
+++ b/load/plot.go
@@ -38,15 +38,15 @@
 	color.RGBA{R: 0x56, G: 0xb4, B: 0xe9, A: 0xff},
 }
 
-// drawing is a plot before it is written.
+// drawing describes a plot to be written.
 type drawing struct {
 	name, title, x, y string
 	logX              bool
 	curves            []curve
 }
 
-// drawings returns the plots of the reports: for each deployment and scenario
-// the distribution of the ratio and, where the load changes, its course.
+// drawings returns the plots of the reports: for each deployment and scenario the
+// distribution of the ratio and, where the load changes, the rates over time.
 func drawings(all []Report) []drawing {
 	var out []drawing
 	byGroup := groups(all, func(r Report) string { return r.Deployment + "-" + r.Scenario })
@@ -105,7 +105,7 @@
 	return out
 }
 
-// save writes the plot to dir; the format is that of the extension.
+// save writes the plot to dir, in the format of that file extension.
 func (d drawing) save(dir, format string) error {
 	p := plot.New()
 	p.Title.Text = d.title
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// xys returns the points; on a logarithmic axis those left of 0.9 stand there.
+// xys returns the points. On a logarithmic axis, X is at least 0.9.
 func (c curve) xys(logX bool) plotter.XYs {
 	out := make(plotter.XYs, len(c.points))
 	for i, p := range c.points {
--- a/load/recovery.go
+++ b/load/recovery.go
@@ -12,7 +12,8 @@
 	"snipehub.example/model"
 )
 
-// lossAt is when processes are lost, from the first request: any learning is over.
+// lossTime is when processes are lost, after the first request: any learning of estimates
+// is over by then.
 const lossTime = 3 * time.Second
 
 func recoveryCommand() *cli.Command {
@@ -40,7 +41,7 @@
 	}
 }
 
-// calmDay is a day at six tenths of the sheets' load.
+// calmDay returns a day at six tenths of the specified load.
 func calmDay(site func() model.Config, seed int) model.Config {
 	cfg := site()
 	cfg.Seed, cfg.Load = uint64(seed), 0.6
@@ -48,8 +49,8 @@
 	return cfg
 }
 
-// tableRecovery writes the table and returns how many promises were broken.
-func writeRecoveryTable(w io.Writer, site func() model.Config, seeds int) (broken int) {
+// writeRecoveryTable writes the table and returns how many guarantees were violated.
+func writeRecoveryTable(w io.Writer, site func() model.Config, seeds int) (violations int) {
 	noLoss := model.Loss{Fault: func(int) func(*model.World) { return func(*model.World) {} }}
 	baselines := make([]model.Recovery, seeds)
 	for i := range baselines {
@@ -66,14 +67,14 @@
 			lost += float64(r.Lost-p.Lost) / float64(seeds)
 			refused += float64(r.Refused-p.Refused) / float64(seeds)
 			late += float64(r.Late-p.Late) / float64(seeds)
-			broken += len(r.Broken)
+			violations += len(r.Broken)
 		}
 		fmt.Fprintf(w, "| %s | %s | %s | %s | %.1f | %.1f | %.1f |\n", l.Name, medianAndMax(gap), medianAndMax(others), medianAndMax(inUse), lost, refused, late)
 	}
-	return broken
+	return violations
 }
 
-// spread shows the median and the longest.
+// medianAndMax formats the median and the longest duration.
 func medianAndMax(d []time.Duration) string {
 	slices.Sort(d)
 	return fmt.Sprintf("%d, %d ms", d[len(d)/2].Milliseconds(), d[len(d)-1].Milliseconds())
--- a/load/site.go
+++ b/load/site.go
@@ -12,15 +12,15 @@
 	"snipehub.example/model"
 )
 
-// siteFlag chooses one of the model's deployments.
+// siteFlag returns the flag that selects one of the model's deployments.
 func siteFlag() cli.Flag {
 	return &cli.StringFlag{Name: "site", Value: "lakeshore", Usage: "one of " + siteNames()}
 }
 
-// siteNames names the model's deployments.
+// siteNames returns the names of the model's deployments.
 func siteNames() string { return strings.Join(slices.Sorted(maps.Keys(model.Sites)), ", ") }
 
-// siteOf returns the deployment that siteFlag names.
+// siteFromFlag returns the deployment that siteFlag selects.
 func siteFromFlag(c *cli.Command) (func() model.Config, error) {
 	site, ok := model.Sites[c.String("site")]
 	if !ok {
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -13,13 +13,13 @@
 	"snipehub.example/stand"
 )
 
-// slopeOf is one measurement of the slopes command.
+// slopeMeasurement is one measurement of the slopes command.
 type slopeMeasurement struct {
 	name string
 	run  func(ctx context.Context) ([]Slope, error)
 }
 
-// slopes is what "snipeload slopes" measures, in this order.
+// slopeMeasurements lists the measurements of "snipeload slopes", in their order.
 var slopeMeasurements = []slopeMeasurement{
 	{"cpu", cpuSlopes},
 	{"kept", keptSlopes},
@@ -30,7 +30,7 @@
 	{"claims", claimSlopes},
 }
 
-// The names of the slopes that the capacity page is computed from.
+// These are the names of the slopes that the capacity page is computed from.
 const (
 	slopeCPU       = "processor time of a job"
 	slopeKept      = "memory of kept answers"
@@ -47,8 +47,8 @@
 	slopeLogReads  = "log reads by members"
 )
 
-// cpuSlopes measures the dispatcher's processor time of a job by its tasks: the
-// slope is the cost of a task, the intercept that of a job.
+// cpuSlopes measures the dispatcher's processor time per job by the number of its tasks:
+// the slope is the cost of a task, the intercept that of a job.
 func cpuSlopes(ctx context.Context) ([]Slope, error) {
 	b, err := newBench(ctx)
 	if err != nil {
@@ -69,15 +69,15 @@
 	return []Slope{newSlope(slopeCPU, "tasks of the job", "µs of dispatcher", points, relativeErrors)}, nil
 }
 
-// ticketLife is how many jobs are submitted under one ticket when answers are
-// to be kept: a window forgets what lies further back.
+// jobsPerTicket is the number of jobs submitted under one ticket if their answers are to
+// be kept: the ticket's window drops jobs further back.
 const jobsPerTicket = 1000
 
-// keptTasks is the size of the larger of two kinds of kept answers.
+// largeAnswerTasks is the number of tasks of the larger of two kinds of kept answers.
 const largeAnswerTasks = 20
 
-// keptSlopes measures the dispatcher's memory by the answers that it keeps, of
-// one task and of several.
+// keptSlopes measures the dispatcher's memory by the number of answers that it keeps, for
+// answers of one task and of several.
 func keptSlopes(ctx context.Context) ([]Slope, error) {
 	one, err := measureKept(ctx, 1, jobsPerTicket)
 	if err != nil {
@@ -93,8 +93,8 @@
 	}, nil
 }
 
-// kept reads the memory of a dispatcher after each of eight steps, in which
-// every client brings so many jobs.
+// measureKept reads the memory of a dispatcher after each of eight steps, in which every
+// client submits perClient jobs.
 func measureKept(ctx context.Context, tasks, perClient int) ([]Point, error) {
 	b, err := newBench(ctx)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return points, nil
 }
 
-// ticketSlopes measures the dispatcher's memory by the tickets that it holds.
+// ticketSlopes measures the dispatcher's memory by the number of tickets that it holds.
 func ticketSlopes(ctx context.Context) ([]Slope, error) {
 	b, err := newBench(ctx)
 	if err != nil {
@@ -136,8 +136,8 @@
 	return []Slope{newSlope(slopeTicket, "tickets", "bytes resident", points, absoluteErrors)}, nil
 }
 
-// queueSlopes measures the dispatcher's memory by the tasks that wait, while
-// the backend server is frozen.
+// queueSlopes measures the dispatcher's memory by the number of waiting tasks, while the
+// backend server is frozen.
 func queueSlopes(ctx context.Context) ([]Slope, error) {
 	b, err := newBench(ctx)
 	if err != nil {
@@ -166,12 +166,12 @@
 	return []Slope{newSlope(slopeQueue, "waiting tasks", "bytes resident", points, absoluteErrors)}, nil
 }
 
-// memberSizes begin where a heartbeat no longer has room for all members: below,
-// the cost grows with each member, and the line would not tell of larger sizes.
+// memberCounts start where a heartbeat can't hold all members any more: below, the cost
+// grows with each member, and the line would not apply to larger sizes.
 var memberCounts = []int{24, 48, 72, 96}
 
-// memberSlopes measures what an idle dispatcher spends on control by the
-// number of dispatchers.
+// memberSlopes measures what an idle dispatcher spends on control by the number of
+// dispatchers.
 func memberSlopes(ctx context.Context) ([]Slope, error) {
 	out := []Slope{
 		{Name: slopeIdleCPU, Y: "µs a second, each"},
@@ -205,7 +205,7 @@
 	idleWindow = 5 * time.Second
 )
 
-// idle brings up a deployment without load and returns what memberSlopes
+// measureIdle starts a deployment without load and returns the values that memberSlopes
 // lists, in that order.
 func measureIdle(ctx context.Context, d Deployment) ([]float64, error) {
 	running, err := Deploy(ctx, d)
@@ -233,8 +233,8 @@
 	}, nil
 }
 
-// traffic is the bytes that all dispatchers have read and written, the
-// answers to this tool included.
+// trafficBytes returns the number of bytes that all dispatchers have read and written,
+// including the answers to this tool.
 func (r *Running) trafficBytes() int64 {
 	var sum int64
 	for _, p := range r.dispatchers {
@@ -261,7 +261,7 @@
 	return out, nil
 }
 
-// String writes the fit and its points.
+// String returns the fit and its points.
 func (s Slope) String() string {
 	text := fmt.Sprintf("%s: %s of %s by %s\n ", s.Name, s.Fit, s.Y, s.X)
 	for _, p := range s.Points {
--- a/load/slopescommand.go
+++ b/load/slopescommand.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// SlopeFile is what "snipeload slopes" writes.
+// SlopeFile is the output file of "snipeload slopes".
 type SlopeFile struct {
 	At      time.Time `json:"at"`
 	Commit  string    `json:"commit"`
@@ -19,7 +19,7 @@
 	Slopes  []Slope   `json:"slopes"`
 }
 
-// slopesLimit bounds all measurements of slopes together.
+// slopesTimeout bounds all measurements of slopes together.
 const slopesTimeout = 10 * time.Minute
 
 func slopesCommand() *cli.Command {
--- a/load/suite.go
+++ b/load/suite.go
@@ -12,13 +12,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// pair is a deployment and a scenario of the suite.
+// suiteRun is a deployment and a scenario of the suite.
 type suiteRun struct {
 	deployment, scenario string
 }
 
-// mainPairs are what the policies are compared by. With four policies they
-// take about six minutes.
+// defaultSuiteRuns are the runs by which the policies are compared. With four policies
+// they take about six minutes.
 var defaultSuiteRuns = []suiteRun{
 	{"lakeshore", "steady80"},
 	{"lakeshore", "skew"},
@@ -28,7 +28,7 @@
 	{"teranga", "rack"},
 }
 
-// The marks between which the suite writes its tables into a page.
+// These marks enclose the part of a page that the suite replaces by its tables.
 const (
 	pageBegin = "<!-- written by snipeload: begin -->"
 	pageEnd   = "<!-- written by snipeload: end -->"
@@ -116,8 +116,8 @@
 	return runWithTimeout(ctx, d, s, o)
 }
 
-// markdown writes the reports as tables, one for each deployment and scenario
-// in the order in which they were run.
+// markdown returns the reports as tables, one for each deployment and scenario in the
+// order in which they were run.
 func markdown(all []Report) string {
 	var b bytes.Buffer
 	m := all[0].Machine
@@ -140,7 +140,8 @@
 	return b.String()
 }
 
-// plotLinks are Markdown images of the reports' plots, as seen from the page.
+// plotLinks returns Markdown images of the reports' plots, with paths relative to the
+// page.
 func plotLinks(all []Report, page, dir, format string) string {
 	rel, err := filepath.Rel(filepath.Dir(page), dir)
 	if err != nil {
@@ -161,7 +162,7 @@
 		s.DoubleStarts, s.LostAnswers, s.NotRunButRan, s.WrongAnswers, s.Conflicts)
 }
 
-// replaceInPage puts text between the marks of a page.
+// replaceInPage replaces the text between the marks of a page.
 func replaceInPage(path, text string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/load/tableslopes.go
+++ b/load/tableslopes.go
@@ -13,11 +13,11 @@
 	"snipehub.example/tables"
 )
 
-// tableSizes are numbers of backend server rows, up to the letter's.
+// rowCounts are numbers of backend server rows, up to the expected size.
 var rowCounts = []int{1000, 2000, 4000, 8000, 13000}
 
-// tableSlopes measures the tables in this process: memory by rows, the time
-// that a reader needs to apply an edit of one row, and the edit's bytes.
+// tableSlopes measures the tables in this process: their memory by rows, the time that a
+// reader needs to apply an edit of one row, and the size of the edit.
 func tableSlopes(context.Context) ([]Slope, error) {
 	var memory, apply, size []Point
 	for _, n := range rowCounts {
@@ -42,8 +42,8 @@
 	}, nil
 }
 
-// editOnce applies an edit of one row several times and returns the mean time,
-// decoding included, and the edit's size on the log.
+// measureEdit applies an edit of one row several times and returns the mean time,
+// including decoding, and the size of the edit on the log.
 func measureEdit(st *tables.State, n int) (time.Duration, int, error) {
 	row := serverRow(n / 2)
 	row.Leaving = true
@@ -67,7 +67,7 @@
 	return time.Since(began) / rounds, len(b), nil
 }
 
-// manyRows is tables with n backend servers, 190 teams and 40 routes and pools.
+// largeTables returns tables with n backend servers, 190 teams, and 40 routes and pools.
 func largeTables(n int) tables.Rows {
 	var r tables.Rows
 	for i := range tablePools {
@@ -94,7 +94,7 @@
 	}
 }
 
-// heap is the bytes of live objects.
+// heapBytes returns the size of the live heap objects.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
