--- a/load/act.go
+++ b/load/act.go
@@ -61,6 +61,8 @@
 	return out
 }
 
+// injectFaults sets faults of backend servers at the first control address that accepts
+// them.
 func (d *driver) injectFaults(ctx context.Context, workers []Worker, f stand.WorkerFaults) error {
 	q := make(url.Values)
 	for _, w := range workers {
@@ -77,16 +79,18 @@
 // killVMs kills the dispatchers on the last VMs of the list. The callers' load balancer
 // stops using them; the VM list follows after vmListDelay.
 func (d *driver) killVMs(ctx context.Context, share float64) error {
-	left := len(d.VMs) - int(share*float64(len(d.VMs))+0.5)
+	remaining := len(d.VMs) - int(share*float64(len(d.VMs))+0.5)
 	for i, p := range d.dispatchers {
-		if i%len(d.VMs) >= left {
+		if i%len(d.VMs) >= remaining {
 			p.kill()
 		}
 	}
 	clock.Sleep(ctx, vmListDelay)
-	return d.putVMs(ctx, d.VMs[:left])
+	return d.putVMs(ctx, d.VMs[:remaining])
 }
 
+// runWave calls do for a random share of the jobs in flight. It waits for free slots, not
+// for the last calls.
 func (d *driver) runWave(share float64, do func(f inFlightJob)) {
 	slots := make(chan struct{}, maxWaveCalls)
 	for _, f := range d.inFlight.pickRandom(share) {
--- a/load/drive.go
+++ b/load/drive.go
@@ -13,6 +13,7 @@
 // driver runs a scenario on a deployment.
 type driver struct {
 	*Running
+	// clients holds a client for each caller and dispatcher, in this order.
 	clients   [][]*client.Client
 	maxSpeed  float64
 	startTime time.Time
--- a/load/flight.go
+++ b/load/flight.go
@@ -13,7 +13,8 @@
 	id     ticket.JobID
 	caller int
 	spec   job.Spec
-	// owner is the index of the dispatcher that owns the job.
+	// owner is the index of the dispatcher that the plan gives the job to. It owns the
+	// job unless it was unreachable and another one gave the job id.
 	owner int
 }
 
--- a/load/measure.go
+++ b/load/measure.go
@@ -15,7 +15,7 @@
 	// ratioScale is the number of steps per unit in which ratios are recorded.
 	ratioScale = 1000
 	// maxTracked is the largest ratio, and the largest response time in milliseconds,
-	// that is recorded exactly; larger values count as this one.
+	// that is distinguished; larger values count as this one.
 	maxTracked = 100_000
 )
 
--- a/load/probe.go
+++ b/load/probe.go
@@ -16,9 +16,10 @@
 
 // sample holds the counters of all processes at one time.
 type sample struct {
-	at            time.Time
-	metrics       map[string]float64
-	log           stand.LogCounts
+	at      time.Time
+	metrics map[string]float64
+	log     stand.LogCounts
+	// requests and refused are counted by the backend servers.
 	requests      int64
 	refused       int64
 	dispatcherCPU time.Duration
--- a/load/suite.go
+++ b/load/suite.go
@@ -58,9 +58,9 @@
 	}
 	var all []Report
 	began := time.Now()
-	for _, p := range runs {
+	for _, sr := range runs {
 		for _, policy := range c.StringSlice("policy") {
-			r, err := p.run(ctx, Options{Policy: policy, Seed: c.Uint64("seed")})
+			r, err := sr.run(ctx, Options{Policy: policy, Seed: c.Uint64("seed")})
 			if err != nil {
 				return err
 			}
@@ -104,12 +104,12 @@
 	return out, nil
 }
 
-func (p suiteRun) run(ctx context.Context, o Options) (Report, error) {
-	d, err := ReadDeployment(p.deployment)
+func (r suiteRun) run(ctx context.Context, o Options) (Report, error) {
+	d, err := ReadDeployment(r.deployment)
 	if err != nil {
 		return Report{}, err
 	}
-	s, err := FindScenario(p.scenario)
+	s, err := FindScenario(r.scenario)
 	if err != nil {
 		return Report{}, err
 	}
