--- a/load/act.go
+++ b/load/act.go
@@ -76,8 +76,9 @@
 	return errors.New("no control address knows the backend server")
 }
 
-// killVMs kills the dispatchers on the last VMs of the list. The callers' load balancer
-// stops using them; the VM list follows after vmListDelay.
+// killVMs kills the dispatchers on the last VMs of the list, and removes these from the
+// VM list after vmListDelay. Callers don't need the VM list: they retry at
+// random dispatchers, as behind a load balancer.
 func (d *driver) killVMs(ctx context.Context, share float64) error {
 	remaining := len(d.VMs) - int(share*float64(len(d.VMs))+0.5)
 	for i, p := range d.dispatchers {
@@ -95,7 +96,7 @@
 	slots := make(chan struct{}, maxWaveCalls)
 	for _, f := range d.inFlight.pickRandom(share) {
 		slots <- struct{}{}
-		d.waves.Go(func() {
+		d.actionGroup.Go(func() {
 			defer func() { <-slots }()
 			do(f)
 		})
@@ -104,15 +105,15 @@
 
 func (d *driver) cancelJob(ctx context.Context, f inFlightJob) {
 	d.inFlight.markCancelled(f.id.String())
-	_, _ = d.clients[f.caller][f.owner].Cancel(ctx, d.places[f.owner].callerAddr, f.id)
+	_, _ = d.clients[f.caller][f.owner].Cancel(ctx, d.endpoints[f.owner].callerAddr, f.id)
 }
 
 // resubmit submits the job again to the next dispatcher, which forwards it.
 func (d *driver) resubmit(ctx context.Context, f inFlightJob) {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	to := (f.owner + 1) % len(d.places)
-	a, err := d.clients[f.caller][to].Put(ctx, d.places[to].callerAddr, f.id, f.spec)
+	to := (f.owner + 1) % len(d.endpoints)
+	a, err := d.clients[f.caller][to].Put(ctx, d.endpoints[to].callerAddr, f.id, f.spec)
 	d.mu.Lock()
 	d.resubmissions++
 	d.mu.Unlock()
--- a/load/arrival.go
+++ b/load/arrival.go
@@ -27,12 +27,12 @@
 func plan(s Scenario, d Deployment, seed uint64) ([]arrival, error) {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	spread := s.ServiceTimes.spread()
-	perJob := s.JobTasks.mean() * spread.Mean().Seconds()
+	secondsPerJob := s.JobTasks.mean() * spread.Mean().Seconds()
 	var out []arrival
 	var begin time.Duration
 	tasks := 0
 	for _, p := range s.Phases {
-		rate := p.Load * d.effectiveCores() / perJob
+		rate := p.Load * d.effectiveCores() / secondsPerJob
 		end := begin + p.Length.D()
 		for t := begin + interarrivalTime(rnd, rate); t < end; t += interarrivalTime(rnd, rate) {
 			a := arrival{at: t, caller: pickCaller(rnd, s.callers(d)), dispatcher: rnd.IntN(d.Dispatchers)}
--- a/load/bench.go
+++ b/load/bench.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// benchService is short, so that a few seconds give many tasks; the stand-in only
+	// benchServiceTime is short, so that a few seconds give many tasks; the stand-in only
 	// waits during it.
-	benchService = 10 * time.Millisecond
-	benchCores   = 4096
-	benchCallers = 8
+	benchServiceTime = 10 * time.Millisecond
+	benchCores       = 4096
+	benchCallers     = 8
 )
 
 // bench is one dispatcher with one large backend server, for measurements of slopes.
@@ -56,7 +56,7 @@
 	}
 }
 
-func (b *bench) entryAddr() netip.AddrPort { return b.places[0].callerAddr }
+func (b *bench) entryAddr() netip.AddrPort { return b.endpoints[0].callerAddr }
 
 // job returns a job of n tasks of the given service time, with the default timeout.
 func (b *bench) job(n int, service time.Duration) job.Spec {
--- a/load/bound.go
+++ b/load/bound.go
@@ -101,18 +101,18 @@
 	fmt.Fprintln(w, "| day | bound | outages | earned | lost | goal: outages | goal: earned |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, d := range s.days {
-		var bounds, outages, earned, goal, got []float64
+		var bounds, outages, earned, outagesByGoal, earnedByGoal []float64
 		violations := 0
 		for seed := range seeds {
 			c := model.Compare(d.config(seed))
 			bounds = append(bounds, c.Bound.Whole)
 			outages = append(outages, c.Outages.Whole)
 			earned = append(earned, c.Result.Parts.Whole)
-			goal = append(goal, c.Outages.By(s.goal))
-			got = append(got, c.Result.Parts.By(s.goal))
+			outagesByGoal = append(outagesByGoal, c.Outages.By(s.goal))
+			earnedByGoal = append(earnedByGoal, c.Result.Parts.By(s.goal))
 			violations += len(c.Result.Broken)
 		}
-		fmt.Fprintf(w, "| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |\n", d.name, mean(bounds), mean(outages), mean(earned), mean(outages)-mean(earned), mean(goal), mean(got))
+		fmt.Fprintf(w, "| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |\n", d.name, mean(bounds), mean(outages), mean(earned), mean(outages)-mean(earned), mean(outagesByGoal), mean(earnedByGoal))
 		if violations > 0 {
 			fmt.Fprintf(w, "%s: %d promises broken\n", d.name, violations)
 		}
--- a/load/capacity.go
+++ b/load/capacity.go
@@ -15,7 +15,7 @@
 // systemSize is the size of the whole system, and the shape of its load.
 type systemSize struct {
 	workers         float64
-	startsPerSecond float64 // tasks a second
+	startsPerSecond float64 // task starts a second
 	teams           float64
 	dataCenters     float64
 	changesPerDay   float64
@@ -30,18 +30,19 @@
 	appendRate float64
 }
 
-// These are the budgets for control on each node.
+// These are the budgets of each node for control: for tables, roster and claims, not for
+// jobs and tasks.
 const (
 	budgetCPU   = 0.012 * 1e6 // µs a second
-	budgetBytes = 25_000
-	budgetRSS   = 64 << 20
+	budgetBytes = 25_000      // bytes a second
+	budgetRSS   = 64 << 20    // bytes
 )
 
 const secondsPerDay = 86400
 
-// expectedSize is the size that the users expect within two years. Jobs and service times
-// are those of the default scenarios: jobs of 1 to 100 tasks cost more per task than
-// those of 1,300.
+// expectedSize returns the size that the users expect within two years. Jobs and service
+// times are those of the default scenarios, which don't make the requirements look too
+// low: jobs of 1 to 100 tasks cost more per task than those of 1,300.
 func expectedSize() systemSize {
 	return systemSize{
 		workers: 13_000, startsPerSecond: 510_000, teams: 190, dataCenters: 7, changesPerDay: 14_000,
@@ -58,7 +59,7 @@
 	return z.startsPerSecond / z.tasksPerJob / z.dispatchers()
 }
 
-func (z systemSize) changes() float64 { return z.changesPerDay / secondsPerDay }
+func (z systemSize) changesPerSecond() float64 { return z.changesPerDay / secondsPerDay }
 
 // requirement is one quantity of a role at a system size.
 type requirement struct {
@@ -110,7 +111,7 @@
 }
 
 // answerBytes returns the memory of a kept answer of the mean job, on the line through
-// the two sizes of answers that are measured.
+// the measured values for answers of one task and of largeAnswerTasks tasks.
 func (z systemSize) answerBytes(f map[string]Fit) float64 {
 	one, large := f[slopeKept].Slope, f[slopeKeptLarge].Slope
 	return one + (large-one)/(largeAnswerTasks-1)*(z.tasksPerJob-1)
@@ -119,14 +120,14 @@
 func readerRequirements(z systemSize, f map[string]Fit) []requirement {
 	const role = "table reader"
 	apply := f[slopeApply]
-	cpu := z.changes() * apply.At(z.workers)
+	cpu := z.changesPerSecond() * apply.At(z.workers)
 	return []requirement{
 		{role: role, quantity: "rows of backend servers", value: z.workers * f[slopeRows].Slope / (1 << 20), unit: "MB", budget: budgetRSS >> 20, source: slopeRows},
 		{
 			role: role, quantity: "processor for edits", value: cpu, unit: "µs/s", budget: budgetCPU, source: slopeApply,
-			budgetReachedAt: sizeAtBudget(apply, budgetCPU/z.changes()), reachedUnit: "rows",
+			budgetReachedAt: sizeAtBudget(apply, budgetCPU/z.changesPerSecond()), reachedUnit: "rows",
 		},
-		{role: role, quantity: "edits", value: z.changes() * f[slopeEditBytes].At(z.workers), unit: "bytes/s", budget: budgetBytes, source: slopeEditBytes},
+		{role: role, quantity: "edits", value: z.changesPerSecond() * f[slopeEditBytes].At(z.workers), unit: "bytes/s", budget: budgetBytes, source: slopeEditBytes},
 	}
 }
 
@@ -165,8 +166,8 @@
 	return []requirement{
 		{role: "operators' client", quantity: "status of every dispatcher", value: n * f[slopeStatus].At(n) / (1 << 20), unit: "MB", source: slopeStatus},
 		{role: "platform", quantity: "polls of the log and the VM list", value: f[slopeLogReads].At(n), unit: "reads/s", source: slopeLogReads},
-		{role: "platform", quantity: "reads woken by edits", value: z.changes() * n, unit: "reads/s", source: "each edit wakes each reader"},
-		{role: "platform", quantity: "appends of edits", value: z.changes(), unit: "appends/s", source: "14,000 changes a day"},
+		{role: "platform", quantity: "reads woken by edits", value: z.changesPerSecond() * n, unit: "reads/s", source: "each edit wakes each reader"},
+		{role: "platform", quantity: "appends of edits", value: z.changesPerSecond(), unit: "appends/s", source: "14,000 changes a day"},
 	}
 }
 
--- a/load/command.go
+++ b/load/command.go
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// ReadReports reads a file that "run" has written.
+// ReadReports reads a file that "run" or "suite" has written.
 func ReadReports(path string) ([]Report, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/load/compare_test.go
+++ b/load/compare_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// The suite must replace the marked part of a page and nothing else.
+// The marked part of a page must be replaced, and nothing else.
 func TestReplaceInPage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
 	if err := os.WriteFile(path, []byte("a\n"+pageBegin+"\nold\n"+pageEnd+"\nz\n"), 0o600); err != nil {
--- a/load/demo.go
+++ b/load/demo.go
@@ -79,7 +79,7 @@
 	for i := range dispatchers {
 		vm := VM{Name: "vm" + itoa(i), Address: rest[0].Addr(), DataCenter: "dc1"}
 		d.VMs = append(d.VMs, vm)
-		d.presetPlaces = append(d.presetPlaces, dispatcherPlace{name: "hub" + itoa(i), vm: vm, callerAddr: rest[2*i], peerAddr: rest[2*i+1]})
+		d.presetEndpoints = append(d.presetEndpoints, dispatcherEndpoint{name: "hub" + itoa(i), vm: vm, callerAddr: rest[2*i], peerAddr: rest[2*i+1]})
 	}
 	return d, d.validate()
 }
--- a/load/deploy.go
+++ b/load/deploy.go
@@ -28,7 +28,7 @@
 	platform       *process
 	workerStandIns []*process
 	dispatchers    []*process
-	places         []dispatcherPlace
+	endpoints      []dispatcherEndpoint
 }
 
 // ErrInUse means that an address of the deployment is in use, most likely by another run.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "deploy")
 	}
-	r := &Running{Deployment: d, dir: dir, places: d.places()}
+	r := &Running{Deployment: d, dir: dir, endpoints: d.endpoints()}
 	if err := r.startAll(ctx); err != nil {
 		r.Close()
 		return nil, err
@@ -64,18 +64,18 @@
 			return err
 		}
 	}
-	for i := range r.places {
+	for i := range r.endpoints {
 		if err := r.startDispatcher(i); err != nil {
 			return err
 		}
 	}
 	for i, at := range r.Controls {
-		if err := r.ready(ctx, r.workerStandIns[i], at, "/stand/starts?view=summary"); err != nil {
+		if err := r.awaitReady(ctx, r.workerStandIns[i], at, "/stand/starts?view=summary"); err != nil {
 			return err
 		}
 	}
-	for i, p := range r.places {
-		if err := r.ready(ctx, r.dispatchers[i], p.callerAddr, "/readyz"); err != nil {
+	for i, p := range r.endpoints {
+		if err := r.awaitReady(ctx, r.dispatchers[i], p.callerAddr, "/readyz"); err != nil {
 			return err
 		}
 	}
@@ -88,7 +88,7 @@
 // their load and records.
 func (r *Running) checkAddressesFree() error {
 	all := append([]netip.AddrPort{r.Platform}, r.Controls...)
-	for _, p := range r.places {
+	for _, p := range r.endpoints {
 		all = append(all, p.callerAddr, p.peerAddr)
 	}
 	for _, w := range r.Workers {
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.ready(ctx, r.platform, r.Platform, "/stand/counts"); err != nil {
+	if err := r.awaitReady(ctx, r.platform, r.Platform, "/stand/counts"); err != nil {
 		return err
 	}
 	if err := r.putVMs(ctx, r.VMs); err != nil {
@@ -121,8 +121,9 @@
 	return err
 }
 
-// startWorkerStandIn starts the stand-in of the i-th part of the backend servers: those
-// of a data centre, if there are as many parts as data centres.
+// startWorkerStandIn starts the i-th stand-in for backend servers. Each simulates
+// consecutive ones of the list, about equally many: those of a data centre, if there are
+// as many stand-ins as data centres.
 func (r *Running) startWorkerStandIn(i int) error {
 	byCores := make(map[int][]string)
 	for n, w := range r.Workers {
@@ -164,12 +165,13 @@
 }
 
 func (r *Running) dispatcherSettings(i int) settings.Config {
-	cfg, p := r.cfg, r.places[i]
+	cfg, p := r.cfg, r.endpoints[i]
 	cfg.Process = settings.Process{DataCenter: p.vm.DataCenter, VM: p.vm.Name, Name: p.name}
 	cfg.Listen.Callers, cfg.Listen.Peers = p.callerAddr, p.peerAddr
 	cfg.Platform.Log, cfg.Platform.VMs = r.Platform, r.Platform
 	cfg.Peers.Seeds, cfg.Peers.Ports = nil, nil
-	for j, o := range r.places {
+	for j, o := range r.endpoints {
+		// The first dispatcher of each VM is a seed.
 		if j < len(r.VMs) {
 			cfg.Peers.Seeds = append(cfg.Peers.Seeds, o.peerAddr)
 		}
@@ -190,8 +192,8 @@
 	return startProcess(filepath.Join(r.dir, name+".log"), args...)
 }
 
-// ready waits until the address answers a request of the path with status 200.
-func (r *Running) ready(ctx context.Context, p *process, at netip.AddrPort, path string) error {
+// awaitReady waits until the address answers a request of the path with status 200.
+func (r *Running) awaitReady(ctx context.Context, p *process, at netip.AddrPort, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
@@ -210,11 +212,11 @@
 	paths, _ := filepath.Glob(filepath.Join(r.dir, "*.log"))
 	var s string
 	for _, p := range paths {
-		if t := logTail(p); t != "" {
+		if t := outputTail(p); t != "" {
 			s += "\n" + filepath.Base(p) + ": " + t
 		}
 	}
-	return s[:min(len(s), 4*maxLogBytes)]
+	return s[:min(len(s), 4*maxOutputBytes)]
 }
 
 // Close kills all processes and removes their files.
--- a/load/deployment.go
+++ b/load/deployment.go
@@ -23,8 +23,8 @@
 	// Platform is the address of the platform stand-in, which serves the log and the VM
 	// list.
 	Platform netip.AddrPort `toml:"platform"`
-	// Dispatchers are assigned to the VMs in turn. On each VM their ports count up from
-	// CallerPort and PeerPort.
+	// Dispatchers is the number of dispatcher processes, which are assigned to the VMs in
+	// turn. On each VM their ports count up from CallerPort and PeerPort.
 	Dispatchers int    `toml:"dispatchers"`
 	CallerPort  uint16 `toml:"caller_port"`
 	PeerPort    uint16 `toml:"peer_port"`
@@ -37,8 +37,8 @@
 
 	cfg  settings.Config
 	rows tables.Rows
-	// presetPlaces replaces the places that follow from VMs, if set.
-	presetPlaces []dispatcherPlace
+	// presetEndpoints replaces the endpoints that follow from VMs, if set.
+	presetEndpoints []dispatcherEndpoint
 }
 
 // Caller is a submitter of jobs, with its share of all jobs.
@@ -65,8 +65,8 @@
 	Speed      float64        `toml:"speed"`
 }
 
-// dispatcherPlace holds the VM and the addresses of one dispatcher process.
-type dispatcherPlace struct {
+// dispatcherEndpoint holds the VM and the addresses of one dispatcher process.
+type dispatcherEndpoint struct {
 	name                 string
 	vm                   VM
 	callerAddr, peerAddr netip.AddrPort
@@ -137,16 +137,16 @@
 // maxDispatchers bounds the dispatcher processes of a deployment.
 const maxDispatchers = 100
 
-// places returns the places of the dispatchers, assigned to the VMs in turn.
-func (d *Deployment) places() []dispatcherPlace {
-	if d.presetPlaces != nil {
-		return d.presetPlaces
+// endpoints returns the endpoints of the dispatchers, assigned to the VMs in turn.
+func (d *Deployment) endpoints() []dispatcherEndpoint {
+	if d.presetEndpoints != nil {
+		return d.presetEndpoints
 	}
-	out := make([]dispatcherPlace, d.Dispatchers)
+	out := make([]dispatcherEndpoint, d.Dispatchers)
 	for i := range out {
 		vm := d.VMs[i%len(d.VMs)]
 		n := uint16(i / len(d.VMs))
-		out[i] = dispatcherPlace{
+		out[i] = dispatcherEndpoint{
 			name:       "hub" + itoa(int(n)),
 			vm:         vm,
 			callerAddr: netip.AddrPortFrom(vm.Address, d.CallerPort+n),
--- a/load/drive.go
+++ b/load/drive.go
@@ -18,7 +18,8 @@
 	maxSpeed  float64
 	startTime time.Time
 	inFlight  *inFlightJobs
-	waves     sync.WaitGroup
+	// actionGroup waits for the actions and for the calls of their waves.
+	actionGroup sync.WaitGroup
 
 	mu       sync.Mutex
 	outcomes []outcome
@@ -30,7 +31,7 @@
 	d := &driver{Running: r, maxSpeed: r.maxSpeed(), inFlight: newInFlightJobs()}
 	for _, c := range r.Callers {
 		var byDispatcher []*client.Client
-		for _, p := range r.places {
+		for _, p := range r.endpoints {
 			byDispatcher = append(byDispatcher, client.New(client.Config{Entries: []netip.AddrPort{p.callerAddr}, Token: c.Token}))
 		}
 		d.clients = append(d.clients, byDispatcher)
@@ -43,7 +44,7 @@
 func (d *driver) run(ctx context.Context, arrivals []arrival, actions []Action) {
 	d.startTime = time.Now()
 	for _, a := range actions {
-		d.waves.Go(func() {
+		d.actionGroup.Go(func() {
 			if clock.Sleep(ctx, time.Until(d.startTime.Add(a.At.D()))) {
 				d.act(ctx, a)
 			}
@@ -62,5 +63,5 @@
 		})
 	}
 	jobs.Wait()
-	d.waves.Wait()
+	d.actionGroup.Wait()
 }
--- a/load/fit.go
+++ b/load/fit.go
@@ -14,7 +14,7 @@
 	SlopeError float64 `json:"slope_error"`
 	// R2 is the share of the variance that the line explains.
 	R2 float64 `json:"r2"`
-	// Mean is the mean of Y, which At returns if the line is flat.
+	// Mean is the weighted mean of Y, which At returns if the line is flat.
 	Mean float64 `json:"mean"`
 	// Freedom is the number of points beyond the two that determine a line.
 	Freedom int `json:"freedom"`
@@ -24,8 +24,9 @@
 // freedom, from 1.
 var studentT95 = []float64{12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306}
 
-// isFlat reports whether the slope does not differ from 0 with 95% confidence. A line
-// through a few scattered points would otherwise be extrapolated to any size.
+// isFlat reports whether the slope is not above 0 with 95% confidence; a falling line
+// counts as flat too. A line through a few scattered points would otherwise be
+// extrapolated to any size.
 func (f Fit) isFlat() bool {
 	if f.Freedom < 1 {
 		return f.Slope <= 0
--- a/load/flight.go
+++ b/load/flight.go
@@ -14,7 +14,7 @@
 	caller int
 	spec   job.Spec
 	// owner is the index of the dispatcher that the plan gives the job to. It owns the
-	// job unless it was unreachable and another one gave the job id.
+	// job unless it was unreachable and another one issued the job id.
 	owner int
 }
 
--- a/load/lossaccount.go
+++ b/load/lossaccount.go
@@ -23,20 +23,22 @@
 	// task, from which the objective was computed. resolveJob replaces objective by the
 	// one that follows from work.
 	objective, estimate time.Duration
-	tasks, cpu          int
+	// cpu is what each task uses, in thousandths of a core.
+	tasks, cpu int
 	// admittedAt and answers cover all requests with the job's id, ordered by time.
 	admittedAt []time.Time
 	answers    []jobAnswer
 	runs       map[string]*loggedRun
-	// runFailure is how a run ended that did not end as done.
+	// runFailure is how a run ended that started and was not done; empty if there was none.
 	runFailure string
-	lastRun    *loggedRun
+	// lastRun is the done run that ended last.
+	lastRun *loggedRun
 
 	// work is the actual work of its longest task, at ordinary worker speed.
 	work time.Duration
 	// waitedBefore is how long its caller had waited before a request reached a process.
 	waitedBefore time.Duration
-	// entryCutOff is set if its entry lost the connection to a process that continued to
+	// entryCutOff is set if its entry lost the session with a process that continued to
 	// run.
 	entryCutOff bool
 	// entryDied is set if its entry ended.
@@ -56,7 +58,7 @@
 	grantedAt, endedAt time.Time
 	took               time.Duration
 	// factor is the ratio of run time to estimate that was known of the worker at the
-	// grant.
+	// grant. calibrateFactors replaces it where timeouts imply the work.
 	factor float64
 }
 
@@ -163,7 +165,8 @@
 		a.dataCenters[source] = l.DataCenter
 		a.incarnations[source] = append(a.incarnations[source], incarnation{id: l.ID, from: l.Time})
 	}
-	// A process reads its settings before it logs that it has started.
+	// A process reads its settings before it logs that it has started, so that this line
+	// does not belong to the incarnation before.
 	if s := a.incarnations[source]; len(s) > 0 && l.Event != event.SettingsRead && l.Time.After(s[len(s)-1].until) {
 		s[len(s)-1].until = l.Time
 	}
@@ -272,18 +275,18 @@
 const maxLogSilence = time.Second
 
 func (a *lossAccount) hasEntryDied(j *loggedJob) bool {
-	for i, l := range a.incarnations[j.entry] {
-		if j.firstSeen.Before(l.from) || j.firstSeen.After(l.until) {
+	for i, inc := range a.incarnations[j.entry] {
+		if j.firstSeen.Before(inc.from) || j.firstSeen.After(inc.until) {
 			continue
 		}
-		return i < len(a.incarnations[j.entry])-1 || a.lastLine.Sub(l.until) > maxLogSilence
+		return i < len(a.incarnations[j.entry])-1 || a.lastLine.Sub(inc.until) > maxLogSilence
 	}
 	return false
 }
 
-// minCutOff is the least time that a process continues to log after others lost the
-// session with it, if it was cut off and did not end. The session is not restored within
-// this time.
+// minCutOff is the shortest loss of a session that counts as a cut. The process at the
+// other end must also continue to log for longer than that: otherwise it ended and was not
+// cut off.
 const minCutOff = 200 * time.Millisecond
 
 func (a *lossAccount) wasEntryCutOff(j *loggedJob) bool {
@@ -304,9 +307,9 @@
 // lastLineOf returns when an incarnation wrote its last line.
 func (a *lossAccount) lastLineOf(id string) time.Time {
 	for _, incarnations := range a.incarnations {
-		for _, l := range incarnations {
-			if l.id == id {
-				return l.until
+		for _, inc := range incarnations {
+			if inc.id == id {
+				return inc.until
 			}
 		}
 	}
--- a/load/losscause.go
+++ b/load/losscause.go
@@ -84,8 +84,8 @@
 	}
 	waited := j.lastRun.grantedAt.Sub(j.firstSeen)
 	messages := age - waited - j.lastRun.took
-	// Run time counts as a delay only beyond what a task may take that is answered in
-	// time.
+	// Run time counts as a delay only where it exceeds undelayedWorkShare of the time that
+	// messages and waiting left of the objective.
 	remaining := max(j.objective-messages-waited, 0)
 	excess := j.lastRun.took - time.Duration(undelayedWorkShare*float64(remaining))
 	switch max(waited, messages, excess) {
--- a/load/losses.go
+++ b/load/losses.go
@@ -129,13 +129,13 @@
 	return first
 }
 
-// total returns the share of all jobs together. It includes jobs that callers sent but no
-// log contains.
+// total returns the share of all jobs together, under the key "all". It includes jobs that
+// callers sent but no log contains.
 func (a *lossAccount) total() map[string]*lossShare {
 	parts := a.splitBy(func(*loggedJob) string { return "all" })
 	s, jobs, cause := parts["all"], a.reportedJobs, causeUnlogged
 	if jobs == 0 {
-		jobs, cause = len(a.jobs)+a.unseenJobs(), causeUnloggedByRate
+		jobs, cause = len(a.jobs)+a.unloggedJobs(), causeUnloggedByRate
 	}
 	if s == nil || jobs <= s.jobs {
 		return parts
@@ -175,8 +175,10 @@
 	return "9 and more"
 }
 
+// byName orders the rows of a table by name.
 func byName(_ map[string]*lossShare) func(x, y string) int { return cmp.Compare[string] }
 
+// byLoss orders the rows of a table by the share served, the smallest first.
 func byLoss(s map[string]*lossShare) func(x, y string) int {
 	return func(x, y string) int {
 		return cmp.Or(cmp.Compare(s[x].served, s[y].served), cmp.Compare(x, y))
--- a/load/losses_test.go
+++ b/load/losses_test.go
@@ -65,13 +65,13 @@
 		t.Fatal(err)
 	}
 	a.resolve()
-	for place, s := range a.splitBy(func(j *loggedJob) string { return j.dataCenter }) {
+	for dataCenter, s := range a.splitBy(func(j *loggedJob) string { return j.dataCenter }) {
 		sum := 0.0
 		for _, v := range s.causes {
 			sum += v
 		}
 		if sum < 0.999 || sum > 1.001 || s.jobs != 3 {
-			t.Errorf("%s: %d jobs, parts add up to %v", place, s.jobs, sum)
+			t.Errorf("%s: %d jobs, parts add up to %v", dataCenter, s.jobs, sum)
 		}
 	}
 }
@@ -345,7 +345,7 @@
 		// ends and starts are the times of the two processes.
 		ends, starts [2]time.Duration
 		down         time.Duration
-		unseenJobs   int
+		unloggedJobs int
 	}{
 		{
 			"all at once",
@@ -384,10 +384,10 @@
 			if down != c.down {
 				t.Errorf("down for %v, want %v", down, c.down)
 			}
-			if n := a.unseenJobs(); n < c.unseenJobs-1 || n > c.unseenJobs+1 {
-				t.Errorf("%d unseen, want %d", n, c.unseenJobs)
+			if n := a.unloggedJobs(); n < c.unloggedJobs-1 || n > c.unloggedJobs+1 {
+				t.Errorf("%d unlogged, want %d", n, c.unloggedJobs)
 			}
-			if s := a.total()["all"]; s.jobs != len(a.jobs)+a.unseenJobs() || (s.causes[causeUnloggedByRate] > 0) != (c.unseenJobs > 0) {
+			if s := a.total()["all"]; s.jobs != len(a.jobs)+a.unloggedJobs() || (s.causes[causeUnloggedByRate] > 0) != (c.unloggedJobs > 0) {
 				t.Errorf("%+v", s)
 			}
 		})
--- a/load/losslimits.go
+++ b/load/losslimits.go
@@ -38,9 +38,9 @@
 const (
 	// minLineJobs is the least number of jobs that a line is fitted to.
 	minLineJobs = 60
-	// maxLineDeviation bounds the median deviation of the work that the timeouts imply
-	// from the measured work, as a part of the median deviation of the median work from
-	// it.
+	// maxLineDeviation bounds how far the work that the timeouts imply deviates from the
+	// measured work, relative to how far the median work of all jobs deviates from it.
+	// Both deviations are medians over the jobs.
 	maxLineDeviation = 0.5
 	// maxTaskDeviation bounds the relative deviation of a task's work from the work that
 	// the timeout implies.
@@ -66,7 +66,8 @@
 	timeoutsFollow       bool
 }
 
-// work returns the work that a job's timeout implies, 0 if it implies none.
+// work returns the work that a job's timeout implies, 0 if it implies none. It is the
+// impliedWork of the functions below, as opposed to the job's own field work.
 func (q *queueJobs) work(j *loggedJob) time.Duration {
 	if !q.timeoutsFollow || j.timeout <= 0 {
 		return 0
@@ -80,7 +81,8 @@
 }
 
 // points returns two points: the medians of the objectives and timeouts of the jobs with
-// the shorter timeouts, and of those with the longer ones.
+// the shorter timeouts, and of those with the longer ones. It also sets the work of all
+// jobs to the measured work, which timeoutsMatchWork compares with.
 func (q *queueJobs) points() []Point {
 	var known []*loggedJob
 	for _, j := range q.jobs {
@@ -149,6 +151,7 @@
 	}
 	fitTimeouts(queues)
 	calibrateFactors(queues)
+	// The factors change the measured work.
 	fitTimeouts(queues)
 	for _, q := range queues {
 		for _, j := range q.jobs {
@@ -210,10 +213,11 @@
 	return missing
 }
 
-// calibrateFactors sets the factor of runs to the median ratio of their worker, for jobs
-// whose timeouts imply their work. The ratios are scaled so that estimates are right in
-// total. The factors known at the grants are means of ratios to single estimates, and too
-// high by their spread.
+// calibrateFactors sets the factor of runs to the median ratio of run time to implied work
+// on their worker, for jobs whose timeouts imply their work. The ratios are scaled so that
+// estimates are right in total. The factors known at the grants, which it replaces, are
+// means of ratios of run times to single estimates: since estimates scatter, these means
+// are too high.
 func calibrateFactors(queues []*queueJobs) {
 	ratios := make(map[string][]float64)
 	eachRunWithImpliedWork(queues, func(_ *loggedJob, r *loggedRun, impliedWork float64) {
--- a/load/lossoutage.go
+++ b/load/lossoutage.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// minOutage is the shortest time without any process that counts as an outage. Processes
-// log continuously, and their last lines before a sudden end are lost.
+// minOutage is the shortest time without any process that counts as an outage. A shorter
+// one can be a mere gap in the logs: processes log continuously, but their last lines
+// before a sudden end are lost.
 const minOutage = 300 * time.Millisecond
 
 // span is a period of time.
@@ -17,8 +18,8 @@
 func (a *lossAccount) outages() []span {
 	var uptimes []span
 	for _, incarnations := range a.incarnations {
-		for _, l := range incarnations {
-			uptimes = append(uptimes, span{l.from, l.until})
+		for _, inc := range incarnations {
+			uptimes = append(uptimes, span{inc.from, inc.until})
 		}
 	}
 	slices.SortFunc(uptimes, func(x, y span) int { return x.from.Compare(y.from) })
@@ -35,9 +36,10 @@
 	return out
 }
 
-// unseenJobs returns how many jobs are in no log, by the rate of the day: those of
-// callers that sent while no process ran, and did not retry before their timeout expired.
-func (a *lossAccount) unseenJobs() int {
+// unloggedJobs estimates how many jobs are in no log, from the rate at which jobs were
+// sent while processes ran: those of callers that sent while no process ran, and did not
+// retry before their timeout expired.
+func (a *lossAccount) unloggedJobs() int {
 	begin, end := a.firstSent(), a.firstSent()
 	for _, j := range a.jobs {
 		if j.sent().After(end) {
--- a/load/measure.go
+++ b/load/measure.go
@@ -10,7 +10,8 @@
 const (
 	// warmUp is left out of the quantiles: the system is still empty then.
 	warmUp = 2 * time.Second
-	// rampUp is the longest service time of a default task.
+	// rampUp is left out of the goodput at the start of a long phase. It is the longest
+	// service time of a default task.
 	rampUp = 3 * time.Second
 	// ratioScale is the number of steps per unit in which ratios are recorded.
 	ratioScale = 1000
--- a/load/measure_test.go
+++ b/load/measure_test.go
@@ -110,11 +110,11 @@
 	}
 	ok := outcome{id: "j", verdict: verdictDone, tasks: answer(`{"a": 1}`).Tasks}
 	tests := []struct {
-		name   string
-		o      outcome
-		starts []string
-		again  []job.Answer
-		want   Safety
+		name            string
+		o               outcome
+		starts          []string
+		resubmitAnswers []job.Answer
+		want            Safety
 	}{
 		{"one start", ok, []string{"j/0/0", "j/1/0"}, []job.Answer{answer(`{"a":1}`)}, Safety{}},
 		{"two attempts started", ok, []string{"j/0/0", "j/0/1", "j/0/2"}, nil, Safety{DoubleStarts: 1}},
@@ -128,7 +128,7 @@
 		for _, id := range tt.starts {
 			starts = append(starts, stand.Start{Task: id})
 		}
-		got := verify([]outcome{tt.o}, starts, map[string][]job.Answer{"j": tt.again})
+		got := verify([]outcome{tt.o}, starts, map[string][]job.Answer{"j": tt.resubmitAnswers})
 		if got != tt.want {
 			t.Errorf("%s: %+v, want %+v", tt.name, got, tt.want)
 		}
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("%s: %v cores, %d dispatchers, %d workers", tt.name, d.effectiveCores(), d.Dispatchers, len(d.Workers))
 		}
 		seen := make(map[string]bool)
-		for _, p := range d.places() {
+		for _, p := range d.endpoints() {
 			seen[p.callerAddr.String()], seen[p.peerAddr.String()] = true, true
 		}
 		if len(seen) != 96 {
--- a/load/probe.go
+++ b/load/probe.go
@@ -33,7 +33,7 @@
 	out := sample{at: time.Now(), metrics: make(map[string]float64)}
 	for i, p := range r.dispatchers {
 		var text string
-		if !p.alive() || get(ctx, r.places[i].callerAddr, "/metrics", &text) != nil {
+		if !p.alive() || get(ctx, r.endpoints[i].callerAddr, "/metrics", &text) != nil {
 			continue
 		}
 		parseMetrics(text, out.metrics)
@@ -80,7 +80,7 @@
 	}
 }
 
-// setDifference sets the counts to the exchanges between two samples.
+// setDifference sets the counts, except Repeats, to the exchanges between two samples.
 func (m *Messages) setDifference(before, after sample, tasks int) {
 	n := func(name meter.Name) int64 { return int64(after.metrics[string(name)] - before.metrics[string(name)]) }
 	m.Refusals = after.refused - before.refused
--- a/load/process.go
+++ b/load/process.go
@@ -18,8 +18,8 @@
 	done chan struct{}
 }
 
-// maxLogBytes bounds the part of a process's output that is shown.
-const maxLogBytes = 2000
+// maxOutputBytes bounds the part of a process's output that is shown.
+const maxOutputBytes = 2000
 
 // startProcess starts this program with the arguments and writes its output to a file.
 func startProcess(output string, args ...string) (*process, error) {
@@ -100,11 +100,11 @@
 	return sum
 }
 
-// logTail returns the end of a process's output, for error messages.
-func logTail(path string) string {
+// outputTail returns the end of a process's output, for error messages.
+func outputTail(path string) string {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return ""
 	}
-	return string(b[max(0, len(b)-maxLogBytes):])
+	return string(b[max(0, len(b)-maxOutputBytes):])
 }
--- a/load/report.go
+++ b/load/report.go
@@ -27,10 +27,10 @@
 	// Sizes is Ratio by the size of jobs.
 	Sizes []SizeClass `json:"sizes"`
 	// Goodput is, for each phase, the tasks per second of done jobs that ended in it,
-	// without the ramp at its start.
+	// without rampUp at the start of a long phase.
 	Goodput []float64 `json:"goodput"`
-	// Refusals counts the jobs that were refused or have an unknown result, by refusal
-	// code.
+	// Refusals counts the jobs whose final answer was a refusal, by its code. Besides the
+	// refused jobs these can be unknown and cancelled ones.
 	Refusals map[string]int `json:"refusals"`
 	Messages Messages       `json:"messages"`
 	Fairness Fairness       `json:"fairness"`
--- a/load/run.go
+++ b/load/run.go
@@ -16,7 +16,8 @@
 	Seed   uint64
 }
 
-// settleDelay is the delay between the last answer and the reading of the recorded
+// settleDelay is the delay before each sample of the counters, since the metrics of a
+// dispatcher can be a second old. After the last answer it also gives time for late
 // starts: a task that was reported as "not run" but starts late must still be counted.
 const settleDelay = time.Second
 
@@ -35,7 +36,6 @@
 	}
 	defer running.Close()
 	dr := newDriver(running)
-	// The metrics of a dispatcher can be a second old.
 	clock.Sleep(ctx, settleDelay)
 	before := running.takeSample(ctx)
 	dr.run(ctx, arrivals, s.Actions)
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -12,8 +12,8 @@
 	"snipehub.example/stand"
 )
 
-// Scenario describes the load that is offered to a deployment and the faults that are
-// injected meanwhile.
+// Scenario describes the load that is offered to a deployment and the actions that are
+// executed meanwhile.
 type Scenario struct {
 	Number int    `toml:"number"`
 	Name   string `toml:"name"`
@@ -63,36 +63,37 @@
 	return stand.Spread{Min: s.Min.D(), Max: s.Max.D(), Long: s.Long.D(), LongShare: s.LongShare}
 }
 
-// Fault is a failure of the system, or an action of its callers, at a point in time.
-type Fault string
+// ActionKind is what an action does: it injects a fault, or makes callers act in a wave.
+type ActionKind string
 
-// The faults.
+// The kinds of actions.
 const (
 	// FailWorker makes one backend server fail every task that it starts.
-	FailWorker Fault = "fail_worker"
+	FailWorker ActionKind = "fail_worker"
 	// SlowWorker makes one backend server ten times slower.
-	SlowWorker Fault = "slow_worker"
+	SlowWorker ActionKind = "slow_worker"
 	// FreezeWorker makes one backend server stop answering.
-	FreezeWorker Fault = "freeze_worker"
+	FreezeWorker ActionKind = "freeze_worker"
 	// RackGone removes all backend servers of a rack.
-	RackGone Fault = "rack_gone"
+	RackGone ActionKind = "rack_gone"
 	// KillVMs kills the dispatchers on a share of the VMs, and removes these from the VM
 	// list after vmListDelay.
-	KillVMs Fault = "kill_vms"
+	KillVMs ActionKind = "kill_vms"
 	// CancelWave cancels a share of the jobs in flight.
-	CancelWave Fault = "cancel_wave"
+	CancelWave ActionKind = "cancel_wave"
 	// ResubmitWave submits a share of the jobs in flight again, each to another
 	// dispatcher.
-	ResubmitWave Fault = "resubmit_wave"
+	ResubmitWave ActionKind = "resubmit_wave"
 	// LogDown takes the platform's log and VM list down.
-	LogDown Fault = "log_down"
+	LogDown ActionKind = "log_down"
 )
 
-// Action injects a fault at a time after the start of the arrivals.
+// Action is something that happens at a time after the start of the arrivals.
 type Action struct {
-	At    settings.Duration `toml:"at"`
-	Kind  Fault             `toml:"do"`
-	Share float64           `toml:"share"`
+	At   settings.Duration `toml:"at"`
+	Kind ActionKind        `toml:"do"`
+	// Share is the share of the VMs for KillVMs, and of the jobs in flight for waves.
+	Share float64 `toml:"share"`
 }
 
 // These bound a run. A scenario that lasts longer is rejected, and so is one that plans
--- a/load/scenarios.go
+++ b/load/scenarios.go
@@ -10,8 +10,8 @@
 	return Phase{Length: settings.Duration(d), Load: load}
 }
 
-func newAction(d time.Duration, do Fault, share float64) Action {
-	return Action{At: settings.Duration(d), Kind: do, Share: share}
+func newAction(d time.Duration, kind ActionKind, share float64) Action {
+	return Action{At: settings.Duration(d), Kind: kind, Share: share}
 }
 
 var (
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -55,11 +55,11 @@
 		return nil, err
 	}
 	defer b.Close()
-	b.runJobs(ctx, b.job(8, benchService), 4, 500, 5*time.Second)
+	b.runJobs(ctx, b.job(8, benchServiceTime), 4, 500, 5*time.Second)
 	var points []Point
 	for _, n := range []int{1, 4, 16, 64, 256, 1000} {
 		before, _ := b.usage()
-		jobs := b.runJobs(ctx, b.job(n, benchService), max(1, 8/n), int64(max(6000/n, 16)), 8*time.Second)
+		jobs := b.runJobs(ctx, b.job(n, benchServiceTime), max(1, 8/n), int64(max(6000/n, 16)), 8*time.Second)
 		after, _ := b.usage()
 		if jobs == 0 {
 			return nil, errors.Errorf("slopes: no job of %d tasks was done", n)
@@ -155,7 +155,7 @@
 	const step, perJob = 20, 1000
 	for i := range 6 {
 		for n := range step {
-			wg.Go(func() { b.submitOnce(ctx, b.clients[n%len(b.clients)], b.job(perJob, benchService)) })
+			wg.Go(func() { b.submitOnce(ctx, b.clients[n%len(b.clients)], b.job(perJob, benchServiceTime)) })
 		}
 		if !clock.Sleep(ctx, 1500*time.Millisecond) {
 			return nil, ctx.Err()
@@ -220,7 +220,7 @@
 	}
 	after, bytesAfter := running.takeSample(ctx), running.trafficBytes()
 	var status string
-	if err := get(ctx, running.places[0].callerAddr, "/status", &status); err != nil {
+	if err := get(ctx, running.endpoints[0].callerAddr, "/status", &status); err != nil {
 		return nil, err
 	}
 	seconds, n := after.at.Sub(before.at).Seconds(), float64(d.Dispatchers)
--- a/load/submit.go
+++ b/load/submit.go
@@ -83,9 +83,9 @@
 	for {
 		id, err := d.clients[a.caller][n].Next(ctx)
 		if err == nil || !errors.Is(err, client.ErrTransport) || !clock.Sleep(ctx, minRetryDelay/10) {
-			return id, d.places[n].callerAddr, err
+			return id, d.endpoints[n].callerAddr, err
 		}
-		n = rand.IntN(len(d.places))
+		n = rand.IntN(len(d.endpoints))
 	}
 }
 
@@ -113,7 +113,7 @@
 			return errors.Wrap(client.ErrGaveUp, o.id)
 		}
 		o.repeats++
-		entry = d.places[rand.IntN(len(d.places))].callerAddr
+		entry = d.endpoints[rand.IntN(len(d.endpoints))].callerAddr
 	}
 }
 
--- a/load/suite.go
+++ b/load/suite.go
@@ -28,7 +28,8 @@
 	{"teranga", "rack"},
 }
 
-// These marks enclose the part of a page that the suite replaces by its tables.
+// These marks enclose the part of a page that "suite" and "capacity" replace by their
+// tables.
 const (
 	pageBegin = "<!-- written by snipeload: begin -->"
 	pageEnd   = "<!-- written by snipeload: end -->"
