--- a/load/compare_test.go
+++ b/load/compare_test.go
@@ -11,7 +11,7 @@
 	return Report{Deployment: "d", Scenario: "s", Policy: policy, Ratio: Quantiles{P50: p50}, CDF: []Point{{1, 0}, {p50, 1}}}
 }
 
-// A difference counts only when the ranges of the repeated runs lie apart.
+// A difference is significant only if the ranges of the repeated runs don't overlap.
 func TestCompare(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -32,13 +32,13 @@
 			t.Errorf("%s: %d differences, want %d", tt.name, len(got), tt.n)
 			continue
 		}
-		if tt.n > 0 && (!near(got[0].Ratio(), tt.ratio, 1e-9) || got[0].Noise != tt.noise) {
+		if tt.n > 0 && (!near(got[0].Ratio(), tt.ratio, 1e-9) || got[0].WithinNoise != tt.noise) {
 			t.Errorf("%s: %+v, ratio %v", tt.name, got[0], got[0].Ratio())
 		}
 	}
 }
 
-// The suite replaces the marked part of a page and nothing else.
+// The marked part of a page must be replaced, and nothing else.
 func TestReplaceInPage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
 	if err := os.WriteFile(path, []byte("a\n"+pageBegin+"\nold\n"+pageEnd+"\nz\n"), 0o600); err != nil {
