--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -39,16 +39,16 @@
 	Objective time.Duration `json:"aim"`
 	// Timeout bounds a request; 0 means that the route sets none.
 	Timeout time.Duration `json:"timeout"`
-	// Ticketed is set if a worker accepts a task only with a ticket of the
+	// NeedsTicket is set if a worker accepts a task only with a ticket of the
 	// platform's adviser, that is, if the platform's record of the route has advice.
-	Ticketed bool `json:"ticketed,omitempty"`
+	NeedsTicket bool `json:"ticketed,omitempty"`
 }
 
 // Pool is a group of workers.
 type Pool struct {
 	Name string `json:"name"`
-	// Guarded is set if the workers reject tasks that exceed their capacity.
-	Guarded bool `json:"guarded"`
+	// EnforcesCapacity is set if the workers reject tasks that exceed their capacity.
+	EnforcesCapacity bool `json:"guarded"`
 	// Connections is the maximum number of connections to one worker; 0 means no
 	// limit.
 	Connections int `json:"connections"`
@@ -110,14 +110,14 @@
 	return host
 }
 
-// Shelf holds the catalog in force. It is safe for concurrent use.
-type Shelf struct {
+// Store holds the catalog in force. It is safe for concurrent use.
+type Store struct {
 	current atomic.Pointer[Catalog]
 }
 
 // Current returns the catalog in force, or an empty one of version 0 before the
 // first Put.
-func (s *Shelf) Current() *Catalog {
+func (s *Store) Current() *Catalog {
 	if c := s.current.Load(); c != nil {
 		return c
 	}
@@ -126,7 +126,7 @@
 
 // Put brings a catalog into force if its version is higher than the current one,
 // and reports whether it did.
-func (s *Shelf) Put(c *Catalog) bool {
+func (s *Store) Put(c *Catalog) bool {
 	for {
 		old := s.current.Load()
 		if old != nil && c.Version <= old.Version {
--- a/certificate/certificate.go
+++ b/certificate/certificate.go
@@ -79,8 +79,8 @@
 	return earliest
 }
 
-// Callers returns the TLS configuration of the server for callers, nil for plain HTTP.
-func (s *Set) Callers() *tls.Config {
+// CallerServer returns the TLS configuration of the server for callers, nil for plain HTTP.
+func (s *Set) CallerServer() *tls.Config {
 	if s.callers == nil {
 		return nil
 	}
--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -109,7 +109,7 @@
 	dir := t.TempDir()
 	cfg := makeFiles(t, dir)
 	s := load(t, cfg)
-	before, _ := s.Callers().GetCertificate(nil)
+	before, _ := s.CallerServer().GetCertificate(nil)
 	oldKey, err := os.ReadFile(cfg.CallerKey)
 	if err != nil {
 		t.Fatal(err)
@@ -128,14 +128,14 @@
 	if _, err := s.Refresh(); err == nil {
 		t.Error("no error for a certificate without its key")
 	}
-	if now, _ := s.Callers().GetCertificate(nil); now != before {
+	if now, _ := s.CallerServer().GetCertificate(nil); now != before {
 		t.Error("the old pair is not in use")
 	}
 	writeKey(newKey)
 	if changed, err := s.Refresh(); err != nil || !changed {
 		t.Errorf("changed %v, %v", changed, err)
 	}
-	if now, _ := s.Callers().GetCertificate(nil); now == before {
+	if now, _ := s.CallerServer().GetCertificate(nil); now == before {
 		t.Error("the new pair is not in use")
 	}
 	if err := connect(t, load(t, cfg).PeerClient(), s.PeerServer()); err != nil {
--- a/claim/core.go
+++ b/claim/core.go
@@ -82,7 +82,7 @@
 	case v == TooOld:
 		return id, nil, refusalFor(TooOld)
 	case v == NothingRead || c.logDown:
-		return id, nil, refusal.New(refusal.LogDown, "").After(retryAfter)
+		return id, nil, refusal.New(refusal.LogDown, "").WithRetryAfter(retryAfter)
 	case KeyTime(k).After(now.Add(c.cfg.Skew)):
 		return id, nil, refusalFor(TooEarly)
 	}
@@ -95,11 +95,11 @@
 		return p, nil
 	}
 	if len(c.pending) >= c.cfg.Pending {
-		return nil, refusal.New(refusal.KeysBusy, "too many keys wait for the log").After(retryAfter)
+		return nil, refusal.New(refusal.KeysBusy, "too many keys wait for the log").WithRetryAfter(retryAfter)
 	}
 	id, err := c.reserve(key.Caller)
 	if err != nil {
-		return nil, refusal.New(refusal.KeysBusy, err.Error()).After(retryAfter)
+		return nil, refusal.New(refusal.KeysBusy, err.Error()).WithRetryAfter(retryAfter)
 	}
 	p := &Pending{Done: make(chan struct{}), claim: Claim{key, id}, requestedAt: now}
 	c.pending[key] = p
@@ -109,7 +109,7 @@
 
 func refusalFor(v Verdict) error {
 	if v == TooEarly {
-		return refusal.New(refusal.KeyEarly, "").After(retryAfter)
+		return refusal.New(refusal.KeyEarly, "").WithRetryAfter(retryAfter)
 	}
 	return refusal.New(refusal.Forgotten, "the key is older than what the log remembers")
 }
@@ -201,7 +201,7 @@
 func (c *Core) expire(now time.Time) {
 	for _, p := range c.pending {
 		if now.Sub(p.requestedAt) > c.cfg.LogTimeout {
-			c.settle(p, ticket.JobID{}, refusal.New(refusal.LogDown, "").After(retryAfter))
+			c.settle(p, ticket.JobID{}, refusal.New(refusal.LogDown, "").WithRetryAfter(retryAfter))
 		}
 	}
 	unsettled := c.unappended[:0]
--- a/client/client.go
+++ b/client/client.go
@@ -159,7 +159,7 @@
 // it in id.
 func (c *Client) attempt(ctx context.Context, id *ticket.JobID, needNewID bool, submit func(id ticket.JobID) error) error {
 	if needNewID {
-		next, err := c.Next(ctx)
+		next, err := c.NextID(ctx)
 		if err != nil {
 			*id = ticket.JobID{}
 			return err
@@ -228,9 +228,9 @@
 // Unwrap returns ErrTransport, because the outcome is unknown.
 func (e *statusError) Unwrap() error { return ErrTransport }
 
-// Next returns the next identity. It obtains a new ticket if the current one is used up or
+// NextID returns the next identity. It obtains a new ticket if the current one is used up or
 // was dropped.
-func (c *Client) Next(ctx context.Context) (ticket.JobID, error) {
+func (c *Client) NextID(ctx context.Context) (ticket.JobID, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nextSeq >= c.grant.Limit {
@@ -257,8 +257,8 @@
 	return nil
 }
 
-// Renew drops the current ticket, so that the next identity belongs to a new one.
-func (c *Client) Renew() {
+// DropCurrentTicket drops the current ticket, so that the next identity belongs to a new one.
+func (c *Client) DropCurrentTicket() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropCurrentTicket()
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -91,7 +91,7 @@
 // that retries sooner makes an overload worse.
 func TestHonoursRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		entry := &fakeEntry{balancerRefusesFirst: true, refusals: []*refusal.Refusal{refusal.New(refusal.Overloaded, "").After(5 * time.Second)}}
+		entry := &fakeEntry{balancerRefusesFirst: true, refusals: []*refusal.Refusal{refusal.New(refusal.Overloaded, "").WithRetryAfter(5 * time.Second)}}
 		c := client.New(client.Config{Entries: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Transport: entry})
 		if _, err := c.Do(context.Background(), job.Spec{}); err != nil {
 			t.Fatal(err)
--- a/counter/counter.go
+++ b/counter/counter.go
@@ -158,7 +158,7 @@
 	open, ok := c.limiter.acquire(size)
 	if !ok {
 		event.OpenRequestsFull.Log(c.log, "caller", caller.Name)
-		return qualifyRefusal(r, refusal.New(refusal.Busy, "").After(busyRetryAfter))
+		return qualifyRefusal(r, refusal.New(refusal.Busy, "").WithRetryAfter(busyRetryAfter))
 	}
 	c.meter.Gauge(meter.OpenRequests, float64(open))
 	defer func() { c.meter.Gauge(meter.OpenRequests, float64(c.limiter.release(size))) }()
--- a/counter/identity.go
+++ b/counter/identity.go
@@ -39,7 +39,7 @@
 	if !namesIdentity(r) || !errors.As(err, &ref) {
 		return err
 	}
-	return ref.AboutIdentity()
+	return ref.ForNamedIdentity()
 }
 
 // pathID returns the job id in the path. It refuses a request that also has a key.
--- a/dispatch/plan/guard.go
+++ b/dispatch/plan/guard.go
@@ -105,7 +105,7 @@
 	case !p.cluster.MayPlace:
 		return route, refusal.New(refusal.CutOff, "")
 	case !p.reachable(route.Pool):
-		return route, refusal.New(refusal.NoServer, route.Pool).After(minRetryAfter)
+		return route, refusal.New(refusal.NoServer, route.Pool).WithRetryAfter(minRetryAfter)
 	case j.FromPeer && p.Free() == 0 && p.waiting >= p.startableSoon(p.poolQueue(route.Pool)):
 		return route, refusal.New(refusal.Overloaded, "no room for a peer's task")
 	case !now.Before(j.Expires):
@@ -115,17 +115,17 @@
 		return route, refusal.New(refusal.Hopeless, fmt.Sprintf("it takes %v at the least", minDuration))
 	}
 	if p.waiting+j.Tasks > p.cfg.QueuedTasks {
-		return route, refusal.New(refusal.Overloaded, "too many tasks wait").After(p.retryAfter(p.cfg.MaxWait))
+		return route, refusal.New(refusal.Overloaded, "too many tasks wait").WithRetryAfter(p.retryAfter(p.cfg.MaxWait))
 	}
 	if teamWait := p.quotaWait(j); teamWait > p.cfg.MaxWait || now.Add(teamWait).After(j.Expires) {
-		return route, refusal.New(refusal.OverQuota, j.Team).After(p.retryAfter(teamWait))
+		return route, refusal.New(refusal.OverQuota, j.Team).WithRetryAfter(p.retryAfter(teamWait))
 	}
 	expectedWait := p.expectedWait(route.Pool, j)
 	switch {
 	case expectedWait > p.cfg.MaxWait:
-		return route, refusal.New(refusal.Overloaded, "").After(p.retryAfter(expectedWait - p.cfg.MaxWait))
+		return route, refusal.New(refusal.Overloaded, "").WithRetryAfter(p.retryAfter(expectedWait - p.cfg.MaxWait))
 	case expectedWait+p.ownDuration(route.Pool, j) > time.Duration(maxTimeShare*float64(j.Expires.Sub(now))):
-		return route, refusal.New(refusal.Overloaded, "its deadline would pass").After(p.retryAfter(expectedWait))
+		return route, refusal.New(refusal.Overloaded, "its deadline would pass").WithRetryAfter(p.retryAfter(expectedWait))
 	}
 	return route, nil
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -33,7 +33,7 @@
 	select {
 	case d.requests <- r:
 	default:
-		return refusal.New(refusal.Overloaded, "too many submissions at once").After(time.Second)
+		return refusal.New(refusal.Overloaded, "too many submissions at once").WithRetryAfter(time.Second)
 	}
 	t := time.NewTimer(submitTimeout)
 	defer t.Stop()
@@ -46,7 +46,7 @@
 		}
 	case <-t.C:
 		if r.claimed.CompareAndSwap(false, true) {
-			return refusal.New(refusal.Overloaded, "the queue does not answer").After(time.Second)
+			return refusal.New(refusal.Overloaded, "the queue does not answer").WithRetryAfter(time.Second)
 		}
 	}
 	return <-r.answer
@@ -90,7 +90,7 @@
 	now := d.clock.Now()
 	d.planner.SetMayPlace(d.dir.MayPlace(now))
 	if d.reports.len() > d.cfg.QueuedTasks {
-		return refusal.New(refusal.Overloaded, "results wait to be taken").After(time.Second)
+		return refusal.New(refusal.Overloaded, "results wait to be taken").WithRetryAfter(time.Second)
 	}
 	err := d.planner.Submit(now, plan.Job{
 		ID:          s.Job,
--- a/hub/directory.go
+++ b/hub/directory.go
@@ -26,7 +26,7 @@
 
 // Members returns the dispatchers that are not gone, this process included.
 func (d directory) Members(now time.Time) []roster.Known {
-	out := []roster.Known{{Member: d.h.roster.Self(), State: roster.Live, Heard: now}}
+	out := []roster.Known{{Member: d.h.roster.Self(), State: roster.Live, LastHeard: now}}
 	for _, k := range d.h.roster.All(now) {
 		if k.State != roster.Gone {
 			out = append(out, k)
--- a/hub/forward.go
+++ b/hub/forward.go
@@ -106,7 +106,7 @@
 		return show(*held)
 	case failed.Code == refusal.OwnerGone && !certain:
 		// A holder that does not answer now may have the caller's answer.
-		return none, refusal.New(refusal.OwnerUnreachable, "it has stopped, and who holds its answers does not answer").After(unreachableRetryAfter)
+		return none, refusal.New(refusal.OwnerUnreachable, "it has stopped, and who holds its answers does not answer").WithRetryAfter(unreachableRetryAfter)
 	}
 	return none, failed
 }
@@ -122,7 +122,7 @@
 	case k.State == roster.Gone:
 		return k.Address, refusal.New(refusal.OwnerGone, "")
 	case k.State == roster.Suspect:
-		return k.Address, refusal.New(refusal.OwnerUnreachable, "").After(unreachableRetryAfter)
+		return k.Address, refusal.New(refusal.OwnerUnreachable, "").WithRetryAfter(unreachableRetryAfter)
 	}
 	return k.Address, nil
 }
@@ -151,7 +151,7 @@
 			return a.value.Address, nil
 		}
 	}
-	return netip.AddrPort{}, refusal.New(refusal.OwnerUnreachable, "not known here").After(unknownRetryAfter)
+	return netip.AddrPort{}, refusal.New(refusal.OwnerUnreachable, "not known here").WithRetryAfter(unknownRetryAfter)
 }
 
 // find answers a peer's search.
@@ -188,7 +188,7 @@
 	if r := given(context.Cause(ctx)); r != nil {
 		return r
 	}
-	return refusal.New(refusal.OwnerUnreachable, "").After(unreachableRetryAfter)
+	return refusal.New(refusal.OwnerUnreachable, "").WithRetryAfter(unreachableRetryAfter)
 }
 
 // given returns the refusal in an error, or the one that a peer answered.
@@ -218,7 +218,7 @@
 		case ok && k.State == roster.Gone:
 			w.cancel(refusal.New(refusal.OwnerGone, ""))
 		case ok && k.State == roster.Suspect:
-			w.cancel(refusal.New(refusal.OwnerUnreachable, "").After(unreachableRetryAfter))
+			w.cancel(refusal.New(refusal.OwnerUnreachable, "").WithRetryAfter(unreachableRetryAfter))
 		}
 	}
 }
--- a/hub/listen.go
+++ b/hub/listen.go
@@ -45,7 +45,7 @@
 // secure puts TLS on the addresses that have certificates. The operators'
 // address shows the callers' one.
 func (l *listeners) secure(certs *certificate.Set) {
-	if cfg := certs.Callers(); cfg != nil {
+	if cfg := certs.CallerServer(); cfg != nil {
 		l.callers = tls.NewListener(l.callers, cfg)
 		if l.operators != nil {
 			l.operators = tls.NewListener(l.operators, cfg)
--- a/hub/members.go
+++ b/hub/members.go
@@ -22,8 +22,8 @@
 		SuspectAfter: p.SuspectAfter.D(),
 		GoneAfter:    p.GoneAfter.D(),
 		KeepGone:     p.KeepGone.D(),
-		Members:      p.Members,
-		News:         p.News,
+		MaxMembers:   p.Members,
+		MaxNews:      p.News,
 	}
 	rnd := rand.New(rand.NewPCG(h.self.Incarnation, 1))
 	return roster.New(h.member(), cfg, rnd, h.describe, h.memberChanged)
@@ -43,7 +43,7 @@
 func (h *Hub) memberChanged(c roster.Change) {
 	id := event.MemberJoined
 	switch {
-	case c.Self:
+	case c.Disowned:
 		id = event.PresumedGone
 	case c.Full:
 		id = event.RosterFull
@@ -57,11 +57,11 @@
 
 // handleMembers answers what the peers' rosters and tables ask.
 func (h *Hub) handleMembers() {
-	peer.Handle(h.peers, methodBeat, func(_ context.Context, b roster.Beat) (roster.Beat, error) {
+	peer.Handle(h.peers, methodBeat, func(_ context.Context, b roster.Heartbeat) (roster.Heartbeat, error) {
 		return h.roster.Answer(h.clock.Now(), b), nil
 	})
-	peer.Handle(h.peers, methodTables, func(_ context.Context, a tables.Ask) (tables.Body, error) {
-		return h.tables.Body(a)
+	peer.Handle(h.peers, methodTables, func(_ context.Context, a tables.FetchRequest) (tables.FetchReply, error) {
+		return h.tables.FetchReply(a)
 	})
 }
 
@@ -87,7 +87,7 @@
 }
 
 func (h *Hub) beat(ctx context.Context, now time.Time) {
-	b, to := h.roster.Beat(now, h.cfg.Peers.Fanout, h.platform.addresses())
+	b, to := h.roster.Heartbeat(now, h.cfg.Peers.Fanout, h.platform.addresses())
 	for _, addr := range to {
 		if addr != h.cfg.Listen.Peers {
 			go h.beatTo(ctx, addr, b)
@@ -95,12 +95,12 @@
 	}
 }
 
-func (h *Hub) beatTo(ctx context.Context, addr netip.AddrPort, b roster.Beat) {
+func (h *Hub) beatTo(ctx context.Context, addr netip.AddrPort, b roster.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.Peers.Timeout.D())
 	defer cancel()
 	h.meter.Count(meter.Heartbeats, 1)
 	sent := h.clock.Now()
-	answer, err := peer.Call[roster.Beat](ctx, h.dialer, addr, methodBeat, b)
+	answer, err := peer.Call[roster.Heartbeat](ctx, h.dialer, addr, methodBeat, b)
 	now := h.clock.Now()
 	if err != nil {
 		h.meter.Count(meter.HeartbeatsFailed, 1)
@@ -114,7 +114,7 @@
 // learnTables takes what a peer told of its tables: their version, which is
 // fetched when the log does not bring it, and the age of its confirmation.
 func (h *Hub) learnTables(ctx context.Context, addr netip.AddrPort, sent time.Time, m roster.Member) {
-	if h.tables.Wants(h.clock.Now(), m.Tables) && h.fetching.CompareAndSwap(false, true) {
+	if h.tables.ShouldFetch(h.clock.Now(), m.Tables) && h.fetching.CompareAndSwap(false, true) {
 		h.fetch(ctx, addr)
 		h.fetching.Store(false)
 	}
@@ -124,9 +124,9 @@
 }
 
 func (h *Hub) fetch(ctx context.Context, addr netip.AddrPort) {
-	b, err := peer.Call[tables.Body](ctx, h.dialer, addr, methodTables, h.tables.Ask())
+	b, err := peer.Call[tables.FetchReply](ctx, h.dialer, addr, methodTables, h.tables.FetchRequest())
 	if err == nil {
-		err = h.tables.Take(b)
+		err = h.tables.ApplyReply(b)
 	}
 	if err != nil {
 		event.TablesNotFetched.Log(h.log, "peer", addr, "error", err)
--- a/hub/platform.go
+++ b/hub/platform.go
@@ -81,7 +81,7 @@
 		down = err != nil
 		if err == nil {
 			h.platform.take(vms)
-			h.roster.List(h.clock.Now(), vms)
+			h.roster.ApplyVMList(h.clock.Now(), vms)
 		}
 		select {
 		case <-ctx.Done():
--- a/hub/refusals_test.go
+++ b/hub/refusals_test.go
@@ -261,7 +261,7 @@
 			r.id = r.owner.mint().Job(0)
 			got := c.bring(r)
 			entry, _ := refusal.Find(c.code)
-			want := refusal.New(c.code, "").AboutIdentity()
+			want := refusal.New(c.code, "").ForNamedIdentity()
 			if got == nil || got.Code != c.code || got.Ran != want.Ran || got.Again != want.Again {
 				t.Fatalf("got %+v, want %+v", got, entry)
 			}
--- a/hub/standing.go
+++ b/hub/standing.go
@@ -47,7 +47,7 @@
 	}
 	reached := false
 	for _, n := range s.neighbours {
-		if n.Answered.Before(s.thawed) || s.now.Sub(n.Answered) > s.reach {
+		if n.LastAnswered.Before(s.thawed) || s.now.Sub(n.LastAnswered) > s.reach {
 			continue
 		}
 		if s.knowsMore(n) {
@@ -61,8 +61,8 @@
 // knowsMore tells whether a neighbour has newer tables, or had them confirmed
 // within the settle time and this process could not use that.
 func (s standing) knowsMore(n roster.Neighbour) bool {
-	age := n.Told.Age + s.now.Sub(n.Answered)
-	return n.Told.Tables > s.version || n.Told.Confirmed && age <= s.settle
+	age := n.Advertised.Age + s.now.Sub(n.LastAnswered)
+	return n.Advertised.Tables > s.version || n.Advertised.Confirmed && age <= s.settle
 }
 
 // standingEvery is how often the slow part of the rule is worked out.
@@ -83,7 +83,7 @@
 			event.ProcessSuspended.Log(h.log, "gap", g.To.Sub(g.From).Round(time.Millisecond))
 			thawed = g.To
 			h.cutOffOK.Store(false)
-			h.tables.Refresh(g.To)
+			h.tables.Resumed(g.To)
 		case <-sub.C:
 			h.judge(thawed)
 		}
@@ -134,7 +134,7 @@
 // Submit passes the submission on or refuses all of it.
 func (g gate) Submit(s dispatch.Submission) error {
 	if !g.h.mayPlace(g.h.clock.Now()) {
-		return refusal.New(refusal.CutOff, "").After(cutOffRetryAfter)
+		return refusal.New(refusal.CutOff, "").WithRetryAfter(cutOffRetryAfter)
 	}
 	return g.h.place.Submit(s)
 }
--- a/hub/standing_test.go
+++ b/hub/standing_test.go
@@ -21,7 +21,7 @@
 		if age >= 0 {
 			told.Confirmed, told.Age = true, time.Duration(age)*time.Second
 		}
-		return roster.Neighbour{Answered: ago(answered), Told: told}
+		return roster.Neighbour{LastAnswered: ago(answered), Advertised: told}
 	}
 	silent := roster.Neighbour{State: roster.Suspect}
 	type list = []roster.Neighbour
--- a/hub/tables.go
+++ b/hub/tables.go
@@ -10,10 +10,10 @@
 
 func (h *Hub) newTables() *tables.Follower {
 	return tables.New(h.log, h.ledger, tables.Config{
-		Poll:     h.cfg.Tables.Poll.D(),
-		Snapshot: h.cfg.Tables.Snapshot.D(),
-		Settle:   h.cfg.Tables.Settle.D(),
-		Changed:  func() { h.place.TablesChanged() },
+		Poll:             h.cfg.Tables.Poll.D(),
+		SnapshotInterval: h.cfg.Tables.Snapshot.D(),
+		Settle:           h.cfg.Tables.Settle.D(),
+		Changed:          func() { h.place.TablesChanged() },
 	}, rand.New(rand.NewPCG(h.self.Incarnation, 0)))
 }
 
--- a/job/entry.go
+++ b/job/entry.go
@@ -90,7 +90,7 @@
 	case r.Done:
 		return Outcome{Reply: &Reply{Status: r.Status, Type: r.Type, Body: r.Answer}}
 	case r.Ran == refusal.RanNo:
-		return Outcome{Refused: refusal.New(refusal.NoServer, r.Error).After(time.Second)}
+		return Outcome{Refused: refusal.New(refusal.NoServer, r.Error).WithRetryAfter(time.Second)}
 	}
 	return Outcome{Answer: &Answer{Job: id, State: Failed, Error: r.Error, Tasks: []TaskResult{{Ran: r.Ran, Error: r.Error}}}}
 }
--- a/job/owner.go
+++ b/job/owner.go
@@ -224,7 +224,7 @@
 	if errors.As(cause, &dispatchRefusal) && dispatchRefusal.Ran == refusal.RanNo {
 		return dispatchRefusal
 	}
-	return refusal.New(refusal.Overloaded, cause.Error()).After(time.Second)
+	return refusal.New(refusal.Overloaded, cause.Error()).WithRetryAfter(time.Second)
 }
 
 // repeatCancel repeats a cancellation that arrived after the entry was created and before
@@ -295,7 +295,7 @@
 	if owner.Precedes(o.self) {
 		return refusal.New(refusal.OwnerGone, "")
 	}
-	return refusal.New(refusal.OwnerUnreachable, "another process has its address").After(foreignRetryAfter)
+	return refusal.New(refusal.OwnerUnreachable, "another process has its address").WithRetryAfter(foreignRetryAfter)
 }
 
 const foreignRetryAfter = time.Second
--- a/job/table.go
+++ b/job/table.go
@@ -67,11 +67,11 @@
 func (tt *ticketTable) mint(now time.Time, caller string, rangeEnd uint64) (*mintedTicket, error) {
 	if tt.ticketCounts[caller] >= max(1, tt.limits.Tickets/callerShareDivisor) && !tt.retireOldest(now, caller) {
 		tt.refusedTickets++
-		return nil, refusal.New(refusal.Overloaded, "too many tickets of this caller").After(time.Second)
+		return nil, refusal.New(refusal.Overloaded, "too many tickets of this caller").WithRetryAfter(time.Second)
 	}
 	if len(tt.tickets) >= tt.limits.Tickets && !tt.retireOldest(now, "") {
 		tt.refusedTickets++
-		return nil, refusal.New(refusal.Overloaded, "too many tickets").After(time.Second)
+		return nil, refusal.New(refusal.Overloaded, "too many tickets").WithRetryAfter(time.Second)
 	}
 	tt.stream++
 	tt.ticketCounts[caller]++
@@ -204,7 +204,7 @@
 	case v == ticket.BeyondRange:
 		return nil, refusal.New(refusal.OutOfRange, "")
 	case v == ticket.TooFarAhead:
-		return nil, refusal.New(refusal.WindowFull, "").After(windowRetryAfter)
+		return nil, refusal.New(refusal.WindowFull, "").WithRetryAfter(windowRetryAfter)
 	case v == ticket.Start:
 		return nil, refusal.New(refusal.NotSubmitted, "")
 	case v == ticket.Burned && e == nil:
--- a/load/bench.go
+++ b/load/bench.go
@@ -52,7 +52,7 @@
 // renewTickets makes every client take a new ticket.
 func (b *bench) renewTickets() {
 	for _, c := range b.clients {
-		c.Renew()
+		c.DropCurrentTicket()
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // submitOnce submits the job once and reports whether it was done; a refused job was not.
 func (b *bench) submitOnce(ctx context.Context, c *client.Client, s job.Spec) bool {
-	id, err := c.Next(ctx)
+	id, err := c.NextID(ctx)
 	if err != nil {
 		return false
 	}
--- a/load/slopes.go
+++ b/load/slopes.go
@@ -124,8 +124,8 @@
 	var points []Point
 	for i := range 7200 {
 		c := b.clients[i%len(b.clients)]
-		c.Renew()
-		if _, err := c.Next(ctx); err != nil {
+		c.DropCurrentTicket()
+		if _, err := c.NextID(ctx); err != nil {
 			return nil, errors.Wrap(err, "slopes: ticket")
 		}
 		if n := i + 1; n%1200 == 0 {
--- a/load/submit.go
+++ b/load/submit.go
@@ -81,7 +81,7 @@
 func (d *driver) acquireJobID(ctx context.Context, a arrival) (ticket.JobID, netip.AddrPort, error) {
 	n := a.dispatcher
 	for {
-		id, err := d.clients[a.caller][n].Next(ctx)
+		id, err := d.clients[a.caller][n].NextID(ctx)
 		if err == nil || !errors.Is(err, client.ErrTransport) || !clock.Sleep(ctx, minRetryDelay/10) {
 			return id, d.endpoints[n].callerAddr, err
 		}
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -115,7 +115,7 @@
 type Mesh[M any] struct {
 	log      *slog.Logger
 	ln       net.Listener
-	dialPeer peer.Dial
+	dialPeer peer.DialFunc
 	deliver  func(Event[M])
 
 	mu   sync.Mutex
@@ -144,7 +144,7 @@
 // New returns a Mesh that accepts connections on the listener once Serve is called. It
 // calls deliver with each event; while deliver blocks, the sender on the other side is
 // slowed down.
-func New[M any](log *slog.Logger, self Member, ln net.Listener, dialPeer peer.Dial, deliver func(Event[M])) *Mesh[M] {
+func New[M any](log *slog.Logger, self Member, ln net.Listener, dialPeer peer.DialFunc, deliver func(Event[M])) *Mesh[M] {
 	return &Mesh[M]{
 		log:       log,
 		ln:        ln,
@@ -334,7 +334,7 @@
 	}
 	m.mu.Unlock()
 	s.codec.onNotification = s.handle
-	stream := jsonrpc2.NewBufferedStream(peer.Patient(c, SessionTimeout), &s.codec)
+	stream := jsonrpc2.NewBufferedStream(peer.WithWriteTimeout(c, SessionTimeout), &s.codec)
 	s.conn = jsonrpc2.NewConn(ctx, stream, unused{}, jsonrpc2.SetLogger(discardLogger))
 	m.wg.Go(func() { s.run(ctx) })
 	return s
--- a/model/model.go
+++ b/model/model.go
@@ -261,7 +261,7 @@
 }
 
 func (w *World) makeCatalog() *catalog.Catalog {
-	c := &catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: Pool, Guarded: true}}}
+	c := &catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: Pool, EnforcesCapacity: true}}}
 	for _, cl := range w.cfg.Classes {
 		q := catalog.Queue{
 			Name:      cl.Name,
--- a/model/vm.go
+++ b/model/vm.go
@@ -84,7 +84,7 @@
 	n.up, n.frozen, n.leaving = true, false, false
 	n.id = lifeOf(n.index, n.boots)
 	self := mesh.Member{ID: n.id, VM: n.name, DataCenter: n.dc, Cores: n.share}
-	n.core = node.NewCore(w.log.With("vm", n.name), self, &catalog.Shelf{}, w.cfg.Policy)
+	n.core = node.NewCore(w.log.With("vm", n.name), self, &catalog.Store{}, w.cfg.Policy)
 	n.waiters = make(map[entry.Waiter]func(entry.Answer))
 	n.backlog = nil
 	n.reading = mesh.ID{}
--- a/node/core.go
+++ b/node/core.go
@@ -77,7 +77,7 @@
 type Core struct {
 	log      *slog.Logger
 	self     mesh.Member
-	catalogs *catalog.Shelf
+	catalogs *catalog.Store
 	members  map[mesh.ID]peerState
 	// recordedAddrs are the addresses of the processes that the store lists.
 	recordedAddrs map[netip.AddrPort]struct{}
@@ -128,7 +128,7 @@
 }
 
 // NewCore returns the core of a process.
-func NewCore(log *slog.Logger, self mesh.Member, catalogs *catalog.Shelf, policy cell.Policy) *Core {
+func NewCore(log *slog.Logger, self mesh.Member, catalogs *catalog.Store, policy cell.Policy) *Core {
 	return &Core{
 		log:           log,
 		self:          self,
--- a/node/core_test.go
+++ b/node/core_test.go
@@ -27,7 +27,7 @@
 func newCore(n int, known ...int) *Core {
 	self := member(n)
 	self.Number = 0
-	c := NewCore(slog.New(slog.DiscardHandler), self, &catalog.Shelf{}, cell.Policy{})
+	c := NewCore(slog.New(slog.DiscardHandler), self, &catalog.Store{}, cell.Policy{})
 	var addrs []netip.AddrPort
 	for _, k := range append(known, n) {
 		addrs = append(addrs, member(k).ID.Address)
--- a/node/node.go
+++ b/node/node.go
@@ -97,7 +97,7 @@
 	log      *slog.Logger
 	clock    *clock.Service
 	meter    *meter.Meter
-	catalogs *catalog.Shelf
+	catalogs *catalog.Store
 	mesh     *mesh.Mesh[Message]
 	core     *Core
 	ln       listeners
@@ -151,7 +151,7 @@
 		DataCenter: cfg.DataCenter,
 		Cores:      cfg.Cores,
 	}
-	catalogs := &catalog.Shelf{}
+	catalogs := &catalog.Store{}
 	n := &Node{
 		cfg:            cfg,
 		platform:       p,
--- a/node/store.go
+++ b/node/store.go
@@ -43,10 +43,10 @@
 
 // follower returns a follower of a topic. If readFor is not nil, the topic is read only
 // while it does not return "", and from the start when its result changes.
-func (n *Node) follower(cfg registry.Config, s registry.Source, readFor func() string, emit func(context.Context, registry.News)) *registry.Follower {
+func (n *Node) follower(cfg registry.Config, s registry.Source, readFor func() string, emit func(context.Context, registry.Update)) *registry.Follower {
 	cfg.Timeout = storeTimeout
 	f := registry.New(cfg, n.log, s, readFor, emit)
-	f.Count = func(ok bool) {
+	f.OnCall = func(ok bool) {
 		name := meter.StoreReads
 		if !ok {
 			name = meter.StoreFailures
@@ -59,7 +59,7 @@
 
 // followOperator brings the operator's configuration into force.
 func (n *Node) followOperator() *registry.Follower {
-	return n.follower(registry.Config{Name: topicOperator, Wait: operatorPollWait}, n.platform.Operator, nil, func(ctx context.Context, news registry.News) {
+	return n.follower(registry.Config{Name: topicOperator, Wait: operatorPollWait}, n.platform.Operator, nil, func(ctx context.Context, news registry.Update) {
 		for _, r := range news.Records {
 			if n.platform.IsCatalog(r) {
 				n.applyCatalog(ctx, r)
@@ -112,11 +112,11 @@
 
 // followWorkers reads the workers' records while this process is the list reader.
 func (n *Node) followWorkers() *registry.Follower {
-	return n.follower(registry.Config{Name: topicWorkers, Pause: workersPollInterval}, n.platform.WorkerList, n.plannerToReadFor, func(ctx context.Context, news registry.News) {
+	return n.follower(registry.Config{Name: topicWorkers, Pause: workersPollInterval}, n.platform.WorkerList, n.plannerToReadFor, func(ctx context.Context, news registry.Update) {
 		var workers []cell.ListedWorker
 		var removed []string
 		for _, r := range news.Records {
-			if r.Dropped {
+			if r.Removed {
 				removed = append(removed, r.Key)
 				continue
 			}
@@ -127,7 +127,7 @@
 			}
 			workers = append(workers, l)
 		}
-		l := cell.WorkerList{Full: news.Whole, Workers: workers, Removed: removed}
+		l := cell.WorkerList{Full: news.Full, Workers: workers, Removed: removed}
 		n.enqueue(ctx, func(now time.Time, c *Core) { c.WorkersListed(now, l) })
 	})
 }
@@ -142,8 +142,8 @@
 // followMembers follows the list of processes.
 func (n *Node) followMembers() *registry.Follower {
 	tracker := newRecordTracker(n.cfg.Peers)
-	return n.follower(registry.Config{Name: topicMembers, Wait: membersPollWait}, n.platform.Members, nil, func(ctx context.Context, news registry.News) {
-		if news.Whole {
+	return n.follower(registry.Config{Name: topicMembers, Wait: membersPollWait}, n.platform.Members, nil, func(ctx context.Context, news registry.Update) {
+		if news.Full {
 			tracker.clear()
 		}
 		for _, r := range news.Records {
@@ -161,7 +161,7 @@
 		event.RecordUnreadable.Log(n.log, "topic", topicMembers, "key", r.Key, "error", err)
 		return
 	}
-	if r.Dropped {
+	if r.Removed {
 		tracker.remove(a)
 		return
 	}
--- a/operator/editor.go
+++ b/operator/editor.go
@@ -75,7 +75,7 @@
 		if err != nil {
 			return nil, err
 		}
-		e.replay.Page(p)
+		e.replay.ApplyPage(p)
 		if len(p.Records) > 0 {
 			continue
 		}
@@ -153,7 +153,7 @@
 			}
 			continue
 		}
-		for _, n := range e.replay.Page(p) {
+		for _, n := range e.replay.ApplyPage(p) {
 			if n.Edit == edit.ID && n.Applied {
 				return Outcome{Version: n.Offset, Edit: edit.ID}, nil
 			}
--- a/operator/watch.go
+++ b/operator/watch.go
@@ -64,7 +64,7 @@
 		case len(p.Records) == 0 && !future:
 			return nil
 		}
-		for _, r := range records(p, e.replay.Page(p)) {
+		for _, r := range records(p, e.replay.ApplyPage(p)) {
 			if !wanted(r) {
 				continue
 			}
@@ -80,7 +80,7 @@
 }
 
 // records joins what was read with what the replay made of it.
-func records(p ledger.Page, notes []tables.Note) []record {
+func records(p ledger.Page, notes []tables.RecordResult) []record {
 	read := make(map[ledger.Offset]ledger.Record, len(p.Records))
 	for _, rec := range p.Records {
 		read[rec.Offset] = rec
--- a/peer/dialer.go
+++ b/peer/dialer.go
@@ -22,14 +22,14 @@
 type Dialer struct {
 	tls     *tls.Config
 	timeout time.Duration
-	open    Dial
+	open    DialFunc
 
 	mu    sync.Mutex
 	links map[netip.AddrPort]*link
 }
 
-// Dial opens a connection, as net.Dialer.DialContext does.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+// DialFunc opens a connection, as net.Dialer.DialContext does.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // link is the connection to one peer.
 type link struct {
@@ -46,7 +46,7 @@
 
 // NewDialer returns a dialer that opens connections with open; a nil config means
 // plain TCP. The timeout bounds the opening of a connection, and each write.
-func NewDialer(cfg *tls.Config, timeout time.Duration, open Dial) *Dialer {
+func NewDialer(cfg *tls.Config, timeout time.Duration, open DialFunc) *Dialer {
 	return &Dialer{tls: cfg, timeout: timeout, open: open, links: make(map[netip.AddrPort]*link)}
 }
 
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -74,8 +74,10 @@
 	return c.Conn.Write(b)
 }
 
-// Patient returns a connection whose writes fail after the timeout.
-func Patient(c net.Conn, timeout time.Duration) net.Conn { return boundedWriteConn{c, timeout} }
+// WithWriteTimeout returns a connection whose writes fail after the timeout.
+func WithWriteTimeout(c net.Conn, timeout time.Duration) net.Conn {
+	return boundedWriteConn{c, timeout}
+}
 
 func newStream(c net.Conn, timeout time.Duration) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewBufferedStream(boundedWriteConn{c, timeout}, frameCodec{maxFrameBytes})
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -75,18 +75,18 @@
 	return &Refusal{Code: code, Sentence: s, Ran: e.Ran, Again: e.Again}
 }
 
-// After returns a copy of r that asks the caller to retry after d.
-func (r *Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter returns a copy of r that asks the caller to retry after d.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	c := *r
 	c.RetryAfterMS = max(d.Milliseconds(), 1)
 	return &c
 }
 
-// AboutIdentity returns r, or a changed copy, as it must read if the request names an identity
+// ForNamedIdentity returns r, or a changed copy, as it must read if the request names an identity
 // and was refused before the identity's owner was asked. "Not run" would then hold only for
 // this copy of the submission. An earlier copy may be running, and a caller that took "not
 // run" to hold for the identity would order a second time.
-func (r *Refusal) AboutIdentity() *Refusal {
+func (r *Refusal) ForNamedIdentity() *Refusal {
 	switch r.Code {
 	case BadRequest, Unauthorized, TooLarge:
 		c := *r
--- a/refusal/refusal_test.go
+++ b/refusal/refusal_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, code := range []refusal.Code{refusal.BadRequest, refusal.Unauthorized, refusal.TooLarge} {
-		if r := refusal.New(code, "").AboutIdentity(); r.Ran != refusal.RanUnknown || r.Again == refusal.AgainNew {
+		if r := refusal.New(code, "").ForNamedIdentity(); r.Ran != refusal.RanUnknown || r.Again == refusal.AgainNew {
 			t.Errorf("%s: ran is %s and again is %s for a request with an identity", code, r.Ran, r.Again)
 		}
 	}
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -33,12 +33,12 @@
 	Key    string
 	Value  []byte
 	Offset Offset
-	// Dropped is set if the key was deleted.
-	Dropped bool
+	// Removed is set if the key was deleted.
+	Removed bool
 }
 
-// ErrForgotten is returned if the store no longer keeps the requested records.
-var ErrForgotten = errors.New("registry: records are no longer kept")
+// ErrGap is returned if the store no longer keeps the requested records.
+var ErrGap = errors.New("registry: records are no longer kept")
 
 // Source is one topic of the store.
 type Source interface {
@@ -50,11 +50,11 @@
 	Read(ctx context.Context, from Offset, wait time.Duration) ([]Record, Offset, error)
 }
 
-// News is an update that a follower emits.
-type News struct {
-	// Whole is set if Records holds the latest record of every key; otherwise it
+// Update is an update that a follower emits.
+type Update struct {
+	// Full is set if Records holds the latest record of every key; otherwise it
 	// holds the records added since the previous update.
-	Whole   bool
+	Full    bool
 	Records []Record
 	// Next is the offset after the last record.
 	Next Offset
@@ -90,12 +90,12 @@
 	cfg    Config
 	log    *slog.Logger
 	source Source
-	emit   func(ctx context.Context, n News)
+	emit   func(ctx context.Context, n Update)
 	// recipient names who gets the updates; "" suspends reading.
 	recipient func() string
-	// Count, if not nil, is called after each call to the source with whether it
+	// OnCall, if not nil, is called after each call to the source with whether it
 	// succeeded, but not after one that returned ErrForgotten.
-	Count func(ok bool)
+	OnCall func(ok bool)
 
 	mu sync.Mutex
 	// confirmed is the start of the last successful read.
@@ -106,7 +106,7 @@
 // New returns a follower that passes updates to emit. If recipient is not nil, the
 // follower reads only while recipient returns a name other than "", and reads
 // everything again when the name changes, since earlier updates went to somebody else.
-func New(cfg Config, log *slog.Logger, source Source, recipient func() string, emit func(context.Context, News)) *Follower {
+func New(cfg Config, log *slog.Logger, source Source, recipient func() string, emit func(context.Context, Update)) *Follower {
 	if recipient == nil {
 		recipient = func() string { return fixedRecipient }
 	}
@@ -148,7 +148,7 @@
 		n, err := f.readOnce(ctx, next, full)
 		switch {
 		case ctx.Err() != nil:
-		case errors.Is(err, ErrForgotten):
+		case errors.Is(err, ErrGap):
 			full = true
 		case err != nil:
 			f.recordFailure(err)
@@ -158,7 +158,7 @@
 			f.recordSuccess(n.At)
 			retryDelay = minRetryDelay
 			next, full = n.Next, false
-			if n.Whole || len(n.Records) > 0 {
+			if n.Full || len(n.Records) > 0 {
 				f.emit(ctx, n)
 			}
 			clock.Sleep(ctx, f.cfg.Pause)
@@ -171,8 +171,8 @@
 // the first read of a process that becomes the planner.
 const idlePollInterval = 50 * time.Millisecond
 
-func (f *Follower) readOnce(ctx context.Context, from Offset, full bool) (News, error) {
-	n := News{Whole: full, At: time.Now()}
+func (f *Follower) readOnce(ctx context.Context, from Offset, full bool) (Update, error) {
+	n := Update{Full: full, At: time.Now()}
 	var err error
 	if full {
 		ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout)
@@ -198,8 +198,8 @@
 }
 
 func (f *Follower) reportCall(ok bool) {
-	if f.Count != nil {
-		f.Count(ok)
+	if f.OnCall != nil {
+		f.OnCall(ok)
 	}
 }
 
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -71,7 +71,7 @@
 	case fail != nil:
 		return nil, 0, fail
 	case gap && !full:
-		return nil, 0, ErrForgotten
+		return nil, 0, ErrGap
 	}
 	return out, next, nil
 }
@@ -84,10 +84,10 @@
 		var mu sync.Mutex
 		text := ""
 		cfg := Config{Name: "t", Wait: time.Second, Timeout: 500 * time.Millisecond}
-		f := New(cfg, slog.New(slog.DiscardHandler), s, recipient, func(_ context.Context, n News) {
+		f := New(cfg, slog.New(slog.DiscardHandler), s, recipient, func(_ context.Context, n Update) {
 			mu.Lock()
 			defer mu.Unlock()
-			if n.Whole {
+			if n.Full {
 				text += "|"
 			}
 			for _, r := range n.Records {
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -33,18 +33,18 @@
 	maxPickTries = 16
 )
 
-// Beat returns the next heartbeat of this process. The caller fills in self, except for
+// Heartbeat returns the next heartbeat of this process. The caller fills in self, except for
 // owner, address and count.
-func (t *MemberTable) Beat(self Member) Beat {
+func (t *MemberTable) Heartbeat(self Member) Heartbeat {
 	join := t.joining || t.behind
 	t.behind = false
-	return Beat{From: t.nextSelf(self), Join: join, Size: len(t.active), News: t.news(t.cfg.News)}
+	return Heartbeat{From: t.nextSelf(self), Join: join, Size: len(t.active), News: t.news(t.cfg.MaxNews)}
 }
 
 // Answer returns the answer to a heartbeat, which must have been passed to Received
 // before.
-func (t *MemberTable) Answer(self Member, to Beat) Beat {
-	out := Beat{From: t.nextSelf(self), Size: len(t.active), News: t.news(t.cfg.News)}
+func (t *MemberTable) Answer(self Member, to Heartbeat) Heartbeat {
+	out := Heartbeat{From: t.nextSelf(self), Size: len(t.active), News: t.news(t.cfg.MaxNews)}
 	if to.Join {
 		out.News = t.addRandom(out.News, joinAnswerMembers)
 	}
@@ -197,10 +197,10 @@
 // its own tables are outdated.
 type Neighbour struct {
 	State State
-	// Answered is when the latest call that the member answered was sent, or zero; Told
-	// is the state that its latest answer gave.
-	Answered time.Time
-	Told     Member
+	// LastAnswered is when the latest call that the member answered was sent, or zero.
+	// Advertised is what its latest answer said of it.
+	LastAnswered time.Time
+	Advertised   Member
 }
 
 // Neighbours returns the other members of the data centre that are not gone.
--- a/roster/list.go
+++ b/roster/list.go
@@ -67,7 +67,7 @@
 		t.missingSince[v] = now
 		return
 	}
-	silentSince := later(later(missingSince, e.knownSince), e.Heard)
+	silentSince := later(later(missingSince, e.knownSince), e.LastHeard)
 	if e.State == Suspect && now.Sub(silentSince) >= t.cfg.GoneAfter {
 		t.markGone(now, e)
 	}
--- a/roster/member.go
+++ b/roster/member.go
@@ -55,9 +55,9 @@
 type Known struct {
 	Member
 	State State `json:"state"`
-	// Heard is when a heartbeat last reported the member as live with a higher Count, or,
+	// LastHeard is when a heartbeat last reported the member as live with a higher Count, or,
 	// for a gone member, when it became gone.
-	Heard time.Time `json:"heard"`
+	LastHeard time.Time `json:"heard"`
 }
 
 // News is the state of another member as the sender of a heartbeat knows it: live,
@@ -67,8 +67,8 @@
 	State State
 }
 
-// Beat is a heartbeat, or the answer to one.
-type Beat struct {
+// Heartbeat is a heartbeat, or the answer to one.
+type Heartbeat struct {
 	From Member
 	// Join asks for many members at once, because the sender is new.
 	Join bool
@@ -82,6 +82,6 @@
 	Known
 	// Full is set if the member could not be added because the roster is full.
 	Full bool
-	// Self is set if other members hold this process to be gone.
-	Self bool
+	// Disowned is set if other members hold this process to be gone.
+	Disowned bool
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -42,20 +42,20 @@
 	return m
 }
 
-// Beat returns the next heartbeat of this process and up to n addresses to send it to.
+// Heartbeat returns the next heartbeat of this process and up to n addresses to send it to.
 // others are addresses at which there may be members.
-func (r *Roster) Beat(now time.Time, n int, others []netip.AddrPort) (heartbeat Beat, to []netip.AddrPort) {
+func (r *Roster) Heartbeat(now time.Time, n int, others []netip.AddrPort) (heartbeat Heartbeat, to []netip.AddrPort) {
 	self := r.currentSelf(now)
 	r.withTable(func(t *MemberTable) {
 		t.Tick(now)
 		to = t.Targets(n, others)
-		heartbeat = t.Beat(self)
+		heartbeat = t.Heartbeat(self)
 	})
 	return heartbeat, to
 }
 
 // Answer processes a peer's heartbeat and returns the answer to it.
-func (r *Roster) Answer(now time.Time, in Beat) (out Beat) {
+func (r *Roster) Answer(now time.Time, in Heartbeat) (out Heartbeat) {
 	self := r.currentSelf(now)
 	r.withTable(func(t *MemberTable) {
 		t.Received(now, in)
@@ -66,7 +66,7 @@
 
 // Answered processes the answer to a heartbeat that was sent to the address at the given
 // time.
-func (r *Roster) Answered(sent, now time.Time, to netip.AddrPort, in Beat) {
+func (r *Roster) Answered(sent, now time.Time, to netip.AddrPort, in Heartbeat) {
 	r.withTable(func(t *MemberTable) { t.Answered(sent, now, to, in) })
 }
 
@@ -75,8 +75,8 @@
 	r.withTable(func(t *MemberTable) { t.Failed(now, to) })
 }
 
-// List processes the platform's VM list.
-func (r *Roster) List(now time.Time, vms []ledger.VM) {
+// ApplyVMList processes the platform's VM list.
+func (r *Roster) ApplyVMList(now time.Time, vms []ledger.VM) {
 	r.withTable(func(t *MemberTable) { t.ApplyVMList(now, vms) })
 }
 
--- a/roster/sim_test.go
+++ b/roster/sim_test.go
@@ -50,8 +50,8 @@
 	SuspectAfter: 3 * time.Second,
 	GoneAfter:    time.Minute,
 	KeepGone:     10 * time.Minute,
-	Members:      8192,
-	News:         16,
+	MaxMembers:   8192,
+	MaxNews:      16,
 }
 
 func newSim(n int, seed uint64) *sim {
@@ -91,7 +91,7 @@
 		}
 		n.table.Tick(s.now)
 		to := n.table.Targets(2, s.seeds)
-		b := n.table.Beat(Member{})
+		b := n.table.Heartbeat(Member{})
 		for _, a := range to {
 			if deliver := s.call(n, a, b); deliver != nil {
 				deliver(s.now)
@@ -102,7 +102,7 @@
 
 // call sends a heartbeat and returns a function that delivers the answer to the sender,
 // or nil if there is no answer.
-func (s *sim) call(n *node, a netip.AddrPort, b Beat) func(now time.Time) {
+func (s *sim) call(n *node, a netip.AddrPort, b Heartbeat) func(now time.Time) {
 	if a == n.addr {
 		return nil
 	}
@@ -117,7 +117,7 @@
 	return func(now time.Time) { n.table.Answered(sent, now, a, out) }
 }
 
-func (s *sim) wire(b Beat) Beat {
+func (s *sim) wire(b Heartbeat) Heartbeat {
 	if !s.encode {
 		return b
 	}
@@ -127,7 +127,7 @@
 	}
 	s.bytes += len(text)
 	s.calls++
-	var out Beat
+	var out Heartbeat
 	if err := json.Unmarshal(text, &out); err != nil {
 		panic(err)
 	}
--- a/roster/table.go
+++ b/roster/table.go
@@ -19,10 +19,10 @@
 	GoneAfter time.Duration
 	// KeepGone is how long gone members are kept.
 	KeepGone time.Duration
-	// Members is the maximum number of members that are kept, including gone ones.
-	Members int
-	// News is the maximum number of other members in a heartbeat.
-	News int
+	// MaxMembers is the maximum number of members that are kept, including gone ones.
+	MaxMembers int
+	// MaxNews is the maximum number of other members in a heartbeat.
+	MaxNews int
 }
 
 // MemberTable is what one process knows of the others. It is a deterministic state
@@ -92,7 +92,7 @@
 
 // Received processes a heartbeat from a peer. It may have been delayed for long, so it
 // proves only that its sender once ran.
-func (t *MemberTable) Received(now time.Time, heartbeat Beat) {
+func (t *MemberTable) Received(now time.Time, heartbeat Heartbeat) {
 	t.merge(now, heartbeat.From, Live, true)
 	for _, n := range heartbeat.News {
 		t.merge(now, n.Member, n.State, false)
@@ -102,7 +102,7 @@
 
 // Answered processes the answer to a heartbeat that was sent to the address at the given
 // time.
-func (t *MemberTable) Answered(sent, now time.Time, to netip.AddrPort, answer Beat) {
+func (t *MemberTable) Answered(sent, now time.Time, to netip.AddrPort, answer Heartbeat) {
 	known := len(t.byOwner)
 	t.Received(now, answer)
 	t.joinAnswers++
@@ -189,7 +189,7 @@
 	if m.Owner == t.self.Owner {
 		if s == Gone && !t.disownedReported {
 			t.disownedReported = true
-			t.changes = append(t.changes, Change{Known: Known{Member: m, State: Gone}, Self: true})
+			t.changes = append(t.changes, Change{Known: Known{Member: m, State: Gone}, Disowned: true})
 		}
 		return
 	}
@@ -214,7 +214,7 @@
 }
 
 func (t *MemberTable) add(now time.Time, m Member, s State) {
-	if len(t.byOwner) >= t.cfg.Members && !t.evictOne() {
+	if len(t.byOwner) >= t.cfg.MaxMembers && !t.evictOne() {
 		if !t.fullReported {
 			t.changes = append(t.changes, Change{Known: Known{Member: m, State: s}, Full: true})
 		}
@@ -222,7 +222,7 @@
 		return
 	}
 	t.fullReported = false
-	e := &entry{Known: Known{Member: m, State: Live, Heard: now}, knownSince: now, activeIndex: len(t.active)}
+	e := &entry{Known: Known{Member: m, State: Live, LastHeard: now}, knownSince: now, activeIndex: len(t.active)}
 	t.byOwner[m.Owner] = e
 	t.byAddress[m.Address] = append(t.byAddress[m.Address], e)
 	t.active = append(t.active, e)
@@ -243,7 +243,7 @@
 	if m.Address != e.Address {
 		m.Address = e.Address
 	}
-	e.Member, e.State, e.Heard, e.unansweredSince = m, Live, now, time.Time{}
+	e.Member, e.State, e.LastHeard, e.unansweredSince = m, Live, now, time.Time{}
 	if news {
 		t.announce(e)
 	}
@@ -257,7 +257,7 @@
 
 // markGone makes an incarnation gone for good.
 func (t *MemberTable) markGone(now time.Time, e *entry) {
-	e.State, e.Heard = Gone, now
+	e.State, e.LastHeard = Gone, now
 	last := t.active[len(t.active)-1]
 	t.active[e.activeIndex], last.activeIndex = last, e.activeIndex
 	t.active = t.active[:len(t.active)-1]
@@ -280,7 +280,7 @@
 // them is told that it is unknown, which is true and lets the caller retry with the same
 // id, whereas "gone" would be final.
 func (t *MemberTable) forgetExpired(now time.Time) {
-	for len(t.gone) > 0 && now.Sub(t.gone[0].Heard) >= t.cfg.KeepGone {
+	for len(t.gone) > 0 && now.Sub(t.gone[0].LastHeard) >= t.cfg.KeepGone {
 		t.forget(t.gone[0])
 	}
 }
@@ -294,7 +294,7 @@
 	}
 	var oldest *entry
 	for _, e := range t.active {
-		if e.State == Suspect && (oldest == nil || e.Heard.Before(oldest.Heard)) {
+		if e.State == Suspect && (oldest == nil || e.LastHeard.Before(oldest.LastHeard)) {
 			oldest = e
 		}
 	}
--- a/roster/table_test.go
+++ b/roster/table_test.go
@@ -102,7 +102,7 @@
 				if n == nil || n.suspended {
 					return
 				}
-				if deliver := f.call(n, simAddress(to), n.table.Beat(Member{})); deliver != nil {
+				if deliver := f.call(n, simAddress(to), n.table.Heartbeat(Member{})); deliver != nil {
 					f.lateAnswers = append(f.lateAnswers, deliver)
 				}
 			},
@@ -223,7 +223,7 @@
 // and suspect members first; a forgotten member is unknown, not gone.
 func TestMemberTableIsBounded(t *testing.T) {
 	cfg := simConfig
-	cfg.Members = 10
+	cfg.MaxMembers = 10
 	s := newSim(3, 1)
 	s.cfg = cfg
 	table := s.start(0, 1).table
@@ -231,14 +231,14 @@
 		return Member{Owner: ticket.Owner{DataCenter: "d", VM: "v", Process: "p", Incarnation: uint64(i)}, Address: simAddress(i), Count: 1}
 	}
 	for i := 1; i <= 20; i++ {
-		table.Received(s.now, Beat{From: member(i)})
+		table.Received(s.now, Heartbeat{From: member(i)})
 	}
 	if table.Len() != 10 || !table.fullReported {
 		t.Fatalf("%d members, want 10", table.Len())
 	}
 	table.Failed(s.now, simAddress(3))
 	table.Tick(s.now.Add(time.Minute))
-	table.Received(s.now.Add(time.Minute), Beat{From: member(30)})
+	table.Received(s.now.Add(time.Minute), Heartbeat{From: member(30)})
 	if _, ok := table.Find(member(3).Owner); ok {
 		t.Error("the suspect member was kept instead of a live one")
 	}
@@ -255,16 +255,16 @@
 	s := newSim(2, 1)
 	table := s.start(0, 1).table
 	neighbour := Member{Owner: ticket.Owner{DataCenter: table.self.Owner.DataCenter, VM: "vm9", Process: "hub", Incarnation: 1}, Address: simAddress(9)}
-	heartbeat := func(count uint64, v tables.Version) Beat {
+	heartbeat := func(count uint64, v tables.Version) Heartbeat {
 		m := neighbour
 		m.Count, m.Tables = count, v
-		return Beat{From: m}
+		return Heartbeat{From: m}
 	}
 	first, second := s.now, s.now.Add(time.Second)
 	table.Answered(second, second.Add(time.Millisecond), neighbour.Address, heartbeat(2, 7))
 	table.Answered(first, second.Add(2*time.Millisecond), neighbour.Address, heartbeat(1, 5))
 	n := table.Neighbours()
-	if len(n) != 1 || n[0].Told.Tables != 7 || !n[0].Answered.Equal(second) {
+	if len(n) != 1 || n[0].Advertised.Tables != 7 || !n[0].LastAnswered.Equal(second) {
 		t.Errorf("%+v", n)
 	}
 	// In the other order the later answer belongs to the earlier call; the neighbour had
@@ -272,7 +272,7 @@
 	table.Answered(second.Add(time.Second), second.Add(time.Second), neighbour.Address, heartbeat(3, 7))
 	table.Answered(second, second.Add(2*time.Second), neighbour.Address, heartbeat(4, 8))
 	n = table.Neighbours()
-	if n[0].Told.Tables != 8 || !n[0].Answered.Equal(second.Add(time.Second)) {
+	if n[0].Advertised.Tables != 8 || !n[0].LastAnswered.Equal(second.Add(time.Second)) {
 		t.Errorf("%+v", n)
 	}
 }
@@ -283,10 +283,10 @@
 		s.start(i, 1)
 	}
 	s.second()
-	text, _ := json.Marshal(s.nodes[simAddress(0)].table.Beat(Member{Confirmed: true, Age: time.Second}))
+	text, _ := json.Marshal(s.nodes[simAddress(0)].table.Heartbeat(Member{Confirmed: true, Age: time.Second}))
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var b Beat
+		var b Heartbeat
 		if json.Unmarshal(text, &b) != nil {
 			return
 		}
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -39,7 +39,7 @@
 }
 
 // MarshalJSON encodes the heartbeat in its compact form.
-func (b Beat) MarshalJSON() ([]byte, error) {
+func (b Heartbeat) MarshalJSON() ([]byte, error) {
 	w := wireHeartbeat{From: toWire(b.From, Live), Join: b.Join, Size: b.Size, News: make([]wireMember, 0, len(b.News))}
 	if b.From.Confirmed {
 		ms := b.From.Age.Milliseconds()
@@ -52,7 +52,7 @@
 }
 
 // UnmarshalJSON reads what MarshalJSON writes.
-func (b *Beat) UnmarshalJSON(text []byte) error {
+func (b *Heartbeat) UnmarshalJSON(text []byte) error {
 	var w wireHeartbeat
 	if err := json.Unmarshal(text, &w); err != nil {
 		return errors.Wrap(ErrHeartbeat, err.Error())
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	out := Beat{From: from, Join: w.Join, Size: w.Size, News: make([]News, 0, len(w.News))}
+	out := Heartbeat{From: from, Join: w.Join, Size: w.Size, News: make([]News, 0, len(w.News))}
 	for _, m := range w.News {
 		member, state, err := fromWire(m)
 		if err != nil {
--- a/tables/edit_test.go
+++ b/tables/edit_test.go
@@ -96,14 +96,14 @@
 	f.Add(snap)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := NewReplay()
-		r.Page(ledger.Page{First: 5, Next: 6, Records: []ledger.Record{{Offset: 5, Data: b}}})
-		if _, err := r.Take(Body{Snapshot: b}); err == nil && r.Complete() {
+		r.ApplyPage(ledger.Page{First: 5, Next: 6, Records: []ledger.Record{{Offset: 5, Data: b}}})
+		if _, err := r.ApplyReply(FetchReply{Snapshot: b}); err == nil && r.Complete() {
 			if _, err := Build(r.State().Version, r.State().Rows()); err != nil {
 				t.Fatalf("adopted inconsistent tables: %v", err)
 			}
 		}
 		c := NewReplay()
-		for _, n := range c.Page(ledger.Page{Next: 1, Records: []ledger.Record{{Data: b}}}) {
+		for _, n := range c.ApplyPage(ledger.Page{Next: 1, Records: []ledger.Record{{Data: b}}}) {
 			if n.Applied != (c.State().Version == 0) {
 				t.Fatal("Note.Applied does not tell whether the record took effect")
 			}
--- a/tables/follow.go
+++ b/tables/follow.go
@@ -24,8 +24,8 @@
 type Config struct {
 	// Poll is how long one read waits for new records.
 	Poll time.Duration
-	// Snapshot is the shortest time between two snapshots on the log.
-	Snapshot time.Duration
+	// SnapshotInterval is the shortest time between two snapshots on the log.
+	SnapshotInterval time.Duration
 	// Settle is the time within which a change is in force everywhere.
 	Settle time.Duration
 	// Changed is called after each change of the version in force. It must not block.
@@ -74,7 +74,7 @@
 		replay:    NewReplay(),
 		complete:  true,
 		holds:     NewHolds(cfg.Settle),
-		schedule:  NewSnapshotSchedule(time.Now(), cfg.Snapshot, rnd),
+		schedule:  NewSnapshotSchedule(time.Now(), cfg.SnapshotInterval, rnd),
 		interrupt: func() {},
 		skipWait:  true,
 	}
@@ -157,7 +157,7 @@
 		event.LogTruncated.Log(f.log, "end", p.End, "read", f.replay.Next())
 		return
 	}
-	for _, n := range f.replay.Page(p) {
+	for _, n := range f.replay.ApplyPage(p) {
 		f.logResult(n)
 	}
 	f.publish()
@@ -166,7 +166,7 @@
 	}
 }
 
-func (f *Follower) logResult(n Note) {
+func (f *Follower) logResult(n RecordResult) {
 	switch {
 	case n.Snapshot:
 		f.schedule.Restart(time.Now())
@@ -236,11 +236,11 @@
 	}
 }
 
-// Refresh is called after this process was suspended until the given time. The clock may
+// Resumed is called after this process was suspended until the given time. The clock may
 // have stood still as well (a suspended VM), so the age of the confirmation is not known:
 // the state counts as unconfirmed, and the log is read at once. Answers to calls from
 // before that time confirm nothing.
-func (f *Follower) Refresh(until time.Time) {
+func (f *Follower) Resumed(until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.notBefore = until
@@ -249,10 +249,10 @@
 	f.interrupt()
 }
 
-// Wants reports whether to ask a peer that has the version: if it is newer and the log
+// ShouldFetch reports whether to ask a peer that has the version: if it is newer and the log
 // does not answer here, or if a snapshot is missing. While the log answers, it delivers
 // the edit itself, and a peer would only deliver it a second time.
-func (f *Follower) Wants(now time.Time, v Version) bool {
+func (f *Follower) ShouldFetch(now time.Time, v Version) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.replay.Complete() {
@@ -261,27 +261,27 @@
 	return v > f.State().Version && now.Sub(f.lastRead) > 2*f.cfg.Poll
 }
 
-// Ask returns the request to send to a peer.
-func (f *Follower) Ask() Ask {
+// FetchRequest returns the request to send to a peer.
+func (f *Follower) FetchRequest() FetchRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.replay.Ask()
+	return f.replay.FetchRequest()
 }
 
-// Body answers a peer's request.
-func (f *Follower) Body(a Ask) (Body, error) {
+// FetchReply answers a peer's request.
+func (f *Follower) FetchReply(a FetchRequest) (FetchReply, error) {
 	f.mu.Lock()
 	p, ok := f.replay.EditsSince(a)
 	st, through, hasBasis := f.replay.SnapshotBasis()
 	f.mu.Unlock()
 	switch {
 	case ok:
-		return Body{Page: &p}, nil
+		return FetchReply{Page: &p}, nil
 	case !hasBasis:
-		return Body{}, nil
+		return FetchReply{}, nil
 	}
 	b, err := f.snapshot(st, through, a.From)
-	return Body{Snapshot: b}, err
+	return FetchReply{Snapshot: b}, err
 }
 
 // compressedSnapshot is a compressed snapshot with the state and offset that it was made
@@ -310,11 +310,11 @@
 	return b, nil
 }
 
-// Take applies a peer's answer.
-func (f *Follower) Take(b Body) error {
+// ApplyReply applies a peer's answer.
+func (f *Follower) ApplyReply(b FetchReply) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	notes, err := f.replay.Take(b)
+	notes, err := f.replay.ApplyReply(b)
 	if err != nil {
 		return err
 	}
--- a/tables/follow_test.go
+++ b/tables/follow_test.go
@@ -44,7 +44,7 @@
 }
 
 func (l *fakeLog) follower(seed uint64) *Follower {
-	cfg := Config{Poll: 2 * time.Second, Snapshot: 10 * time.Minute, Settle: 8 * time.Second, Changed: func() {}}
+	cfg := Config{Poll: 2 * time.Second, SnapshotInterval: 10 * time.Minute, Settle: 8 * time.Second, Changed: func() {}}
 	return New(slog.New(slog.DiscardHandler), l, cfg, rand.New(rand.NewPCG(seed, 0)))
 }
 
@@ -113,8 +113,8 @@
 			late.readOnce(t.Context())
 			fresh.readOnce(t.Context())
 		}
-		b, err := fresh.Body(Ask{NeedSnapshot: true})
-		if err != nil || joined.Take(b) != nil {
+		b, err := fresh.FetchReply(FetchRequest{NeedSnapshot: true})
+		if err != nil || joined.ApplyReply(b) != nil {
 			t.Fatal("no snapshot from a peer")
 		}
 		for _, f := range []*Follower{late, fresh, joined} {
--- a/tables/replay.go
+++ b/tables/replay.go
@@ -83,8 +83,8 @@
 // Next returns the offset to read from.
 func (r *Replay) Next() ledger.Offset { return r.next }
 
-// Note is the result of processing one record.
-type Note struct {
+// RecordResult is the result of processing one record.
+type RecordResult struct {
 	Offset ledger.Offset
 	Edit   string
 	// Applied is set if the edit took effect here.
@@ -97,12 +97,12 @@
 	Err error
 }
 
-// Page processes records read from Next on, from the log or from a peer.
-func (r *Replay) Page(p ledger.Page) []Note {
+// ApplyPage processes records read from Next on, from the log or from a peer.
+func (r *Replay) ApplyPage(p ledger.Page) []RecordResult {
 	if p.First > r.next {
 		r.skipTo(p.First)
 	}
-	var notes []Note
+	var notes []RecordResult
 	for _, rec := range p.Records {
 		if rec.Offset < r.next {
 			continue
@@ -122,7 +122,7 @@
 	r.recent.clear()
 }
 
-func (r *Replay) process(rec ledger.Record) Note {
+func (r *Replay) process(rec ledger.Record) RecordResult {
 	r.next = rec.Offset + 1
 	if isSnapshot(rec.Data) {
 		return r.processSnapshot(rec)
@@ -133,8 +133,8 @@
 	return r.apply(rec)
 }
 
-func (r *Replay) apply(rec ledger.Record) Note {
-	n := Note{Offset: rec.Offset}
+func (r *Replay) apply(rec ledger.Record) RecordResult {
+	n := RecordResult{Offset: rec.Offset}
 	e, err := DecodeEdit(rec)
 	if err != nil {
 		n.Err = err
@@ -154,12 +154,12 @@
 
 // addPending keeps an edit that can't be checked yet. If there are too many, it drops the
 // oldest: the replay then needs a snapshot that was taken later.
-func (r *Replay) addPending(rec ledger.Record) Note {
+func (r *Replay) addPending(rec ledger.Record) RecordResult {
 	dropped, overflowed := r.pendingEdits.add(rec)
 	if overflowed {
 		r.readFrom = dropped + 1
 	}
-	return Note{Offset: rec.Offset, Discarded: overflowed}
+	return RecordResult{Offset: rec.Offset, Discarded: overflowed}
 }
 
 // addRecent keeps an edit that took effect for peers that lag.
@@ -171,8 +171,8 @@
 
 // processSnapshot adopts a snapshot from the log only if records are missing: a complete
 // replay has read everything that the snapshot contains, and more.
-func (r *Replay) processSnapshot(rec ledger.Record) Note {
-	n := Note{Offset: rec.Offset, Snapshot: true}
+func (r *Replay) processSnapshot(rec ledger.Record) RecordResult {
+	n := RecordResult{Offset: rec.Offset, Snapshot: true}
 	if r.complete {
 		return n
 	}
@@ -234,29 +234,31 @@
 	return r.state, r.next - 1, true
 }
 
-// Ask is a process's request to a peer that has a newer version.
-type Ask struct {
+// FetchRequest is a process's request to a peer that has a newer version.
+type FetchRequest struct {
 	// From is the next offset that the requester needs.
 	From ledger.Offset `json:"from"`
 	// NeedSnapshot requests a snapshot, because the requester can't apply edits.
 	NeedSnapshot bool `json:"whole,omitempty"`
 }
 
-// Body is a peer's answer to Ask: the edits from an offset on, a compressed snapshot, or
-// neither if the peer has nothing to give.
-type Body struct {
+// FetchReply is the answer to a FetchRequest: the edits from an offset on, a compressed
+// snapshot, or neither if the peer has nothing to give.
+type FetchReply struct {
 	Page     *ledger.Page `json:"page,omitempty"`
 	Snapshot []byte       `json:"snapshot,omitempty"`
 }
 
-// Ask returns the request to send to a peer.
-func (r *Replay) Ask() Ask { return Ask{From: r.next, NeedSnapshot: !r.complete} }
+// FetchRequest returns the request to send to a peer.
+func (r *Replay) FetchRequest() FetchRequest {
+	return FetchRequest{From: r.next, NeedSnapshot: !r.complete}
+}
 
 // EditsSince answers a peer that lags with the edits from an offset on. It returns false
 // if the peer needs a snapshot, or if this replay is incomplete or no longer keeps all of
 // these edits. Only edits that took effect are sent: the others change no state, wherever
 // they are read.
-func (r *Replay) EditsSince(a Ask) (ledger.Page, bool) {
+func (r *Replay) EditsSince(a FetchRequest) (ledger.Page, bool) {
 	if !r.complete || a.NeedSnapshot || a.From < r.recentFrom {
 		return ledger.Page{}, false
 	}
@@ -266,10 +268,10 @@
 	return ledger.Page{First: a.From, Next: r.next, Records: slices.Clone(r.recent.records[i:])}, true
 }
 
-// Take applies a peer's answer.
-func (r *Replay) Take(b Body) ([]Note, error) {
+// ApplyReply applies a peer's answer.
+func (r *Replay) ApplyReply(b FetchReply) ([]RecordResult, error) {
 	if b.Page != nil && b.Page.First <= r.next {
-		return r.Page(*b.Page), nil
+		return r.ApplyPage(*b.Page), nil
 	}
 	if len(b.Snapshot) == 0 {
 		return nil, nil
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -33,7 +33,7 @@
 
 type peerReply struct {
 	to   int
-	body Body
+	body FetchReply
 }
 
 func newReplaySim(readers int) *replaySim {
@@ -76,16 +76,16 @@
 	return ledger.Page{First: w.first, Next: next, End: end, Records: w.records[from:next]}
 }
 
-func (w *replaySim) answer(from int, a Ask) Body {
+func (w *replaySim) answer(from int, a FetchRequest) FetchReply {
 	r := w.readers[from]
 	if p, ok := r.EditsSince(a); ok {
-		return Body{Page: &p}
+		return FetchReply{Page: &p}
 	}
 	if s, through, ok := r.SnapshotBasis(); ok {
 		b, _ := NewSnapshot(s, through).Encode()
-		return Body{Snapshot: b}
+		return FetchReply{Snapshot: b}
 	}
-	return Body{}
+	return FetchReply{}
 }
 
 // check compares every reader with the reference: a complete one has the version that the
@@ -128,7 +128,7 @@
 		},
 		"good edit": func(t *rapid.T) {
 			r := w.readers[reader.Draw(t, "editor")]
-			r.Page(w.page(r.Next(), len(w.records)))
+			r.ApplyPage(w.page(r.Next(), len(w.records)))
 			name := fmt.Sprint("pool", len(w.records))
 			b, _ := json.Marshal(Edit{ID: name, Base: r.State().Version, Put: Rows{Pools: []Pool{{Name: name, Half: "north"}}}})
 			w.append(t, b)
@@ -141,7 +141,7 @@
 		"append junk": func(t *rapid.T) { w.append(t, []byte("junk")) },
 		"read": func(t *rapid.T) {
 			r := w.readers[reader.Draw(t, "reader")]
-			r.Page(w.page(r.Next(), rapid.IntRange(0, 4).Draw(t, "records")))
+			r.ApplyPage(w.page(r.Next(), rapid.IntRange(0, 4).Draw(t, "records")))
 		},
 		"forget": func(t *rapid.T) {
 			w.first = ledger.Offset(rapid.IntRange(int(w.first), len(w.records)).Draw(t, "first"))
@@ -159,16 +159,16 @@
 		},
 		"ask peer": func(t *rapid.T) {
 			i, j := reader.Draw(t, "asker"), reader.Draw(t, "peer")
-			reply := peerReply{i, w.answer(j, w.readers[i].Ask())}
+			reply := peerReply{i, w.answer(j, w.readers[i].FetchRequest())}
 			w.pendingReplies = append(w.pendingReplies, reply)
 			if rapid.Bool().Draw(t, "at once") {
-				_, _ = w.readers[i].Take(reply.body)
+				_, _ = w.readers[i].ApplyReply(reply.body)
 			}
 		},
 		"deliver": func(t *rapid.T) {
 			if len(w.pendingReplies) > 0 {
 				reply := rapid.SampledFrom(w.pendingReplies).Draw(t, "letter")
-				_, _ = w.readers[reply.to].Take(reply.body)
+				_, _ = w.readers[reply.to].ApplyReply(reply.body)
 			}
 		},
 		"restart": func(t *rapid.T) {
@@ -184,7 +184,7 @@
 // the newest version.
 func (w *replaySim) endFaults(t *rapid.T) {
 	for _, r := range w.readers {
-		r.Page(w.page(r.Next(), len(w.records)))
+		r.ApplyPage(w.page(r.Next(), len(w.records)))
 	}
 	snapshotAppended := false
 	for _, r := range w.readers {
@@ -195,7 +195,7 @@
 		}
 	}
 	for i, r := range w.readers {
-		r.Page(w.page(r.Next(), len(w.records)))
+		r.ApplyPage(w.page(r.Next(), len(w.records)))
 		if snapshotAppended && r.State().Version != w.version(ledger.Offset(len(w.records))) {
 			t.Fatalf("reader %d stays at version %d", i, r.State().Version)
 		}
@@ -212,19 +212,19 @@
 		return b
 	}
 	author := NewReplay()
-	author.Page(ledger.Page{Next: 1, Records: []ledger.Record{{Offset: 0, Data: edit(ledger.None, "a")}}})
+	author.ApplyPage(ledger.Page{Next: 1, Records: []ledger.Record{{Offset: 0, Data: edit(ledger.None, "a")}}})
 	s, through, _ := author.SnapshotBasis()
 	snap, err := NewSnapshot(s, through).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh := NewReplay()
-	fresh.Page(ledger.Page{First: 2, Next: 3, Records: []ledger.Record{{Offset: 2, Data: snap}}})
+	fresh.ApplyPage(ledger.Page{First: 2, Next: 3, Records: []ledger.Record{{Offset: 2, Data: snap}}})
 	if fresh.Complete() {
 		t.Fatal("the reader is complete without the edit at offset 1")
 	}
 	informed := NewReplay()
-	informed.Page(ledger.Page{First: 1, Next: 3, Records: []ledger.Record{{Offset: 1, Data: edit(0, "b")}, {Offset: 2, Data: snap}}})
+	informed.ApplyPage(ledger.Page{First: 1, Next: 3, Records: []ledger.Record{{Offset: 1, Data: edit(0, "b")}, {Offset: 2, Data: snap}}})
 	if !informed.Complete() || informed.State().Version != 1 {
 		t.Fatalf("a reader that has the edit is at version %d", informed.State().Version)
 	}
