--- a/load/bound_test.go
+++ b/load/bound_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The table has a row for each day of a site file, and names what was not played: without
-// that a day would seem to be borne that was never tried.
+// The table has a row for each day of a site file and names what was not played:
+// otherwise a day would seem to be handled that was never tried.
 func TestBoundOfSiteFile(t *testing.T) {
 	var out strings.Builder
 	cmd := Command()
@@ -27,7 +27,7 @@
 
 func TestBoundOfUnknownSite(t *testing.T) {
 	for _, name := range []string{"nowhere", "bound_test.go"} {
-		if _, err := boundSiteOf(name); err == nil {
+		if _, err := findBoundSite(name); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
--- a/load/compare.go
+++ b/load/compare.go
@@ -10,10 +10,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// quantity is one measure of a report that compare looks at.
+// quantity is one measurement of a report that Compare compares.
 type quantity struct {
-	name string
-	of   func(r Report) float64
+	name    string
+	valueOf func(r Report) float64
 }
 
 var quantities = []quantity{
@@ -28,19 +28,19 @@
 	{"dispatcher µs a task", func(r Report) float64 { return r.Cost.TaskMicros }},
 }
 
-// Difference compares one quantity over the repeated runs of two sides.
+// Difference compares one quantity over the repeated runs of two files.
 type Difference struct {
 	Group, Quantity string
-	// A and B are means; RunsA and RunsB are how many runs they are of.
+	// A and B are means of RunsA and RunsB runs.
 	A, B         float64
 	RunsA, RunsB int
-	// Noise tells that the ranges of the repeated runs overlap, so that the
-	// difference may be chance. With a single run on a side nothing is known
-	// of its noise, and Noise is true.
-	Noise bool
+	// WithinNoise is set if the ranges of the repeated runs overlap, so that the
+	// difference may be random. It is also set if a side has a single run, whose noise is
+	// unknown.
+	WithinNoise bool
 }
 
-// Ratio is B over A; 0 when A is 0.
+// Ratio returns B over A, or 0 if A is 0.
 func (d Difference) Ratio() float64 {
 	if d.A == 0 {
 		return 0
@@ -48,8 +48,8 @@
 	return d.B / d.A
 }
 
-// Compare sets the runs of two files side by side, by deployment and scenario,
-// and by policy unless each side has a single one.
+// Compare compares the runs of two files by deployment and scenario, and also by policy
+// unless each file has a single one.
 func Compare(a, b []Report) []Difference {
 	key := groupKey(a, b)
 	left, right := groups(a, key), groups(b, key)
@@ -63,25 +63,25 @@
 	var out []Difference
 	for _, k := range names {
 		for _, q := range quantities {
-			out = append(out, differ(k, q, left[k], right[k]))
+			out = append(out, newDifference(k, q, left[k], right[k]))
 		}
 	}
 	return out
 }
 
-func differ(group string, q quantity, a, b []Report) Difference {
-	lowA, meanA, highA := bounds(a, q.of)
-	lowB, meanB, highB := bounds(b, q.of)
+func newDifference(group string, q quantity, a, b []Report) Difference {
+	lowA, meanA, highA := rangeAndMean(a, q.valueOf)
+	lowB, meanB, highB := rangeAndMean(b, q.valueOf)
 	return Difference{
 		Group: group, Quantity: q.name, A: meanA, B: meanB, RunsA: len(a), RunsB: len(b),
-		Noise: len(a) < 2 || len(b) < 2 || lowA <= highB && lowB <= highA,
+		WithinNoise: len(a) < 2 || len(b) < 2 || lowA <= highB && lowB <= highA,
 	}
 }
 
-func bounds(all []Report, of func(r Report) float64) (low, mean, high float64) {
-	low, high = of(all[0]), of(all[0])
+func rangeAndMean(all []Report, valueOf func(r Report) float64) (low, mean, high float64) {
+	low, high = valueOf(all[0]), valueOf(all[0])
 	for _, r := range all {
-		v := of(r)
+		v := valueOf(r)
 		low, high = min(low, v), max(high, v)
 		mean += v / float64(len(all))
 	}
@@ -148,7 +148,7 @@
 	switch {
 	case d.RunsA < 2 || d.RunsB < 2:
 		return "noise not known: one run"
-	case d.Noise:
+	case d.WithinNoise:
 		return "within the noise"
 	}
 	return "differs"
--- a/load/drive.go
+++ b/load/drive.go
@@ -10,47 +10,49 @@
 	"snipehub.example/clock"
 )
 
-// drive is one run of a scenario on a deployment.
-type drive struct {
+// driver runs a scenario on a deployment.
+type driver struct {
 	*Running
-	clients [][]*client.Client
-	fastest float64
-	began   time.Time
-	flying  *flights
-	waves   sync.WaitGroup
+	// clients holds a client for each caller and dispatcher, in this order.
+	clients   [][]*client.Client
+	maxSpeed  float64
+	startTime time.Time
+	inFlight  *inFlightJobs
+	// actionGroup waits for the actions and for the calls of their waves.
+	actionGroup sync.WaitGroup
 
 	mu       sync.Mutex
 	outcomes []outcome
-	// resubmissions counts the calls of resubmission waves.
+	// resubmissions counts the calls of all resubmission waves.
 	resubmissions int
 }
 
-func newDrive(r *Running) *drive {
-	d := &drive{Running: r, fastest: r.fastest(), flying: newFlights()}
+func newDriver(r *Running) *driver {
+	d := &driver{Running: r, maxSpeed: r.maxSpeed(), inFlight: newInFlightJobs()}
 	for _, c := range r.Callers {
-		var at []*client.Client
-		for _, p := range r.places {
-			at = append(at, client.New(client.Config{Entries: []netip.AddrPort{p.callers}, Token: c.Token}))
+		var byDispatcher []*client.Client
+		for _, p := range r.endpoints {
+			byDispatcher = append(byDispatcher, client.New(client.Config{Entries: []netip.AddrPort{p.callerAddr}, Token: c.Token}))
 		}
-		d.clients = append(d.clients, at)
+		d.clients = append(d.clients, byDispatcher)
 	}
 	return d
 }
 
-// run submits the arrivals, each at its time, carries out the actions, and
-// waits for the end of everything.
-func (d *drive) run(ctx context.Context, arrivals []arrival, actions []Action) {
-	d.began = time.Now()
+// run submits each job at its arrival time, executes the actions, and waits until all
+// have ended.
+func (d *driver) run(ctx context.Context, arrivals []arrival, actions []Action) {
+	d.startTime = time.Now()
 	for _, a := range actions {
-		d.waves.Go(func() {
-			if clock.Sleep(ctx, time.Until(d.began.Add(a.At.D()))) {
+		d.actionGroup.Go(func() {
+			if clock.Sleep(ctx, time.Until(d.startTime.Add(a.At.D()))) {
 				d.act(ctx, a)
 			}
 		})
 	}
 	var jobs sync.WaitGroup
 	for _, a := range arrivals {
-		if !clock.Sleep(ctx, time.Until(d.began.Add(a.at))) {
+		if !clock.Sleep(ctx, time.Until(d.startTime.Add(a.at))) {
 			break
 		}
 		jobs.Go(func() {
@@ -61,5 +63,5 @@
 		})
 	}
 	jobs.Wait()
-	d.waves.Wait()
+	d.actionGroup.Wait()
 }
--- a/load/losses_test.go
+++ b/load/losses_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// dayLog is a day of six jobs, as two processes log it: in time; late since the estimate
-// was wrong, which is in time by the work it was; late on a slow worker; late since it
-// waited; refused; and lost with its process.
+// dayLog is a day of six jobs, as two processes log it: a in time; b late since the
+// estimate was wrong, which counts as in time by its work; c late on a slow worker; d
+// late since it waited; e refused; f lost with its process.
 const dayLog = `
  0.1 vm-1 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc1"}
  0.1 vm-2 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc2"}
@@ -39,45 +39,45 @@
 `
 
 func TestLossesHaveOneCauseEach(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(dayLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(dayLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	for _, c := range []struct{ job, cause, place string }{
-		{"a", inTime, "dc1"},
-		{"b", inTime, "dc1"},
-		{"c", lateWorker, "dc1"},
-		{"d", lateRoom, "dc2"},
-		{"e", refusedAt + "others_first", "dc2"},
-		{"f", noAnswer, "dc2"},
+	a.resolve()
+	for _, c := range []struct{ job, cause, dataCenter string }{
+		{"a", causeInTime, "dc1"},
+		{"b", causeInTime, "dc1"},
+		{"c", causeLateOnWorker, "dc1"},
+		{"d", causeLateWaiting, "dc2"},
+		{"e", causeRefusedInTime + "others_first", "dc2"},
+		{"f", causeNoAnswer, "dc2"},
 	} {
 		j := a.jobs[c.job]
-		if got := j.cause(); got != c.cause || j.place != c.place {
-			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.place, c.cause, c.place)
+		if got := j.cause(); got != c.cause || j.dataCenter != c.dataCenter {
+			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.dataCenter, c.cause, c.dataCenter)
 		}
 	}
 }
 
 func TestLossesAddUp(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(dayLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(dayLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	for place, s := range a.split(func(j *lostJob) string { return j.place }) {
+	a.resolve()
+	for dataCenter, s := range a.splitBy(func(j *loggedJob) string { return j.dataCenter }) {
 		sum := 0.0
 		for _, v := range s.causes {
 			sum += v
 		}
 		if sum < 0.999 || sum > 1.001 || s.jobs != 3 {
-			t.Errorf("%s: %d jobs, parts add up to %v", place, s.jobs, sum)
+			t.Errorf("%s: %d jobs, parts add up to %v", dataCenter, s.jobs, sum)
 		}
 	}
 }
 
-// troubleLog is what trouble leaves in logs: vm-1 is cut off from vm-2 at second 2, for a
-// second; vm-3 is killed at second 5. The log ends at second 20.
+// troubleLog is the log of a day with faults: vm-1 is cut off from vm-2 at second 2, for
+// a second; vm-3 is killed at second 5. The log ends at second 20.
 const troubleLog = `
  0.1 vm-1 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc1","id":"one"}
  0.1 vm-2 {"time":"2026-01-01T00:00:00Z","event":100,"data_center":"dc2","id":"two"}
@@ -111,38 +111,38 @@
  0.1 vm-2 {"time":"2026-01-01T00:00:20Z","event":920,"job":"open","queue":"q","tasks":1,"cpu":10,"estimate_ms":100,"aim_ms":220,"patience_ms":9000}
 `
 
-// Callers saw no answers, or late ones, around a cut and a killed process. What became of a
-// job is told by the lines of others: a process that goes on writing was cut off, one that
-// does not has ended.
+// Guards against wrong causes when jobs have no answer, or a late one, after a lost
+// session or a killed process. The lines of other processes decide: a process that
+// continues to log was cut off, one that does not has ended.
 func TestLossesOfTrouble(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(troubleLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(troubleLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
+	a.resolve()
 	for _, c := range []struct {
 		job, cause string
 		credit     float64
 	}{
-		{"cut", cutOff + "caller_left", 0},
-		{"late", cutLate, 0.2},
-		{"dead", deadEntry, 0},
-		{"again", lateEntry, 0},
-		{"busy", lateRoom, 0},
-		{"twice", lateAnswer, 0},
-		{"slow", refusedLo + "planner_silent", 0},
-		{"ends", refusedAt + "process_ends", 0},
-		{"open", noAnswer, 0},
+		{"cut", causeCutOff + "caller_left", 0},
+		{"late", causeLateAtCut, 0.2},
+		{"dead", causeEntryLost, 0},
+		{"again", causeLateEntryLost, 0},
+		{"busy", causeLateWaiting, 0},
+		{"twice", causeLateAnswerLost, 0},
+		{"slow", causeRefusedLate + "planner_silent", 0},
+		{"ends", causeRefusedInTime + "process_ends", 0},
+		{"open", causeNoAnswer, 0},
 	} {
 		j := a.jobs[c.job]
-		if got := j.cause(); got != c.cause || j.credit(lateWorth) != c.credit {
-			t.Errorf("job %s: %q, earns %v, want %q, %v", c.job, got, j.credit(lateWorth), c.cause, c.credit)
+		if got := j.cause(); got != c.cause || j.credit(defaultLateWorth) != c.credit {
+			t.Errorf("job %s: %q, earns %v, want %q, %v", c.job, got, j.credit(defaultLateWorth), c.cause, c.credit)
 		}
 	}
 }
 
-// Logs of one file each have no prefix that tells the process, and come one after the
-// other: a job that was sent to two processes is one job, whichever file comes first.
+// Guards against counting a job twice that was sent to two processes. Logs in a file per
+// process have no prefix with its name and are read one after the other, in any order.
 func TestLossesOfFiles(t *testing.T) {
 	dir := t.TempDir()
 	var names []string
@@ -158,119 +158,120 @@
 			t.Fatal(err)
 		}
 	}
-	a := newAccount()
-	if err := a.read(nil, names); err != nil {
+	a := newLossAccount()
+	if err := a.readLogs(nil, names); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	for _, c := range []struct{ job, cause, place string }{
-		{"again", lateEntry, "dc3"},
-		{"twice", lateAnswer, "dc1"},
-		{"dead", deadEntry, "dc3"},
-		{"cut", cutOff + "caller_left", "dc1"},
+	a.resolve()
+	for _, c := range []struct{ job, cause, dataCenter string }{
+		{"again", causeLateEntryLost, "dc3"},
+		{"twice", causeLateAnswerLost, "dc1"},
+		{"dead", causeEntryLost, "dc3"},
+		{"cut", causeCutOff + "caller_left", "dc1"},
 	} {
 		j := a.jobs[c.job]
-		if got := j.cause(); got != c.cause || j.place != c.place {
-			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.place, c.cause, c.place)
+		if got := j.cause(); got != c.cause || j.dataCenter != c.dataCenter {
+			t.Errorf("job %s: %q at %s, want %q at %s", c.job, got, j.dataCenter, c.cause, c.dataCenter)
 		}
 	}
 }
 
-// limitDay is a day of 200 jobs of 100 to 300 ms, each of one task, half of them on workers
-// that take twice as long. Estimates are off to either side. limit returns what callers wait
-// for a job with an objective.
-func limitDay(limit func(aim time.Duration) time.Duration) *account {
-	a := newAccount()
+// dayWithTimeouts is a day of 200 jobs of 100 to 300 ms, each of one task, half of them
+// on workers that take twice as long. Estimates deviate in both directions. timeoutOf
+// returns the caller's timeout for a job with an objective.
+func dayWithTimeouts(timeoutOf func(objective time.Duration) time.Duration) *lossAccount {
+	a := newLossAccount()
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for i := range 200 {
 		work := 100*time.Millisecond + time.Duration(i)*time.Millisecond
-		guess := time.Duration(float64(work) * []float64{0.6, 1.4, 1}[i%3])
+		estimate := time.Duration(float64(work) * []float64{0.6, 1.4, 1}[i%3])
 		factor := float64(1 + i%2)
-		a.oneTask(fmt.Sprint(i), begin.Add(time.Duration(i)*time.Second/10), guess, limit(aimOf(work)), factor,
+		a.addOneTaskJob(fmt.Sprint(i), begin.Add(time.Duration(i)*time.Second/10), estimate, timeoutOf(objectiveOf(work)), factor,
 			time.Duration(float64(work)*factor))
 	}
 	return a
 }
 
-// aimOf is the objective of some work.
-func aimOf(work time.Duration) time.Duration { return 60*time.Millisecond + 2*work }
+// objectiveOf returns the objective of a job with this work.
+func objectiveOf(work time.Duration) time.Duration { return 60*time.Millisecond + 2*work }
 
-// oneTask adds a job whose only task took some time.
-func (a *account) oneTask(id string, at time.Time, guess, limit time.Duration, factor float64, took time.Duration) {
+// addOneTaskJob adds a job whose only task ran for took.
+func (a *lossAccount) addOneTaskJob(id string, at time.Time, estimate, timeout time.Duration, factor float64, took time.Duration) {
 	worker := fmt.Sprintf("w%v", factor)
 	for _, l := range []logLine{
 		{
-			Time: at, Event: 920, Job: id, Queue: "q", Tasks: 1, CPU: 10, GuessMS: guess.Milliseconds(),
-			AimMS: aimOf(guess).Milliseconds(), PatienceMS: limit.Milliseconds(),
+			Time: at, Event: 920, Job: id, Queue: "q", Tasks: 1, CPU: 10, EstimateMS: estimate.Milliseconds(),
+			ObjectiveMS: objectiveOf(estimate).Milliseconds(), TimeoutMS: timeout.Milliseconds(),
 		},
 		{Time: at, Event: 924, Job: id, Task: id + ".0", Worker: worker, Factor: factor},
 		{Time: at.Add(took), Event: 925, Job: id, Task: id + ".0", Worker: worker, How: "done", TookMS: took.Milliseconds()},
 		{Time: at.Add(took), Event: 922, Job: id, Status: "completed"},
 	} {
-		a.take("vm", l)
+		a.addLine("vm", l)
 	}
 }
 
-// A caller is answered late, and neither the estimate nor the time on the worker tell
-// whether the work was long, the worker slow, or the first request lost. How long the
-// callers say that they wait does, where it follows the objective.
-func TestLimitsTell(t *testing.T) {
-	follows := func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim }
+// Guards against a wrong cause of a late answer. Neither the estimate nor the run time
+// show whether the task had much work, the worker was slow, or the first request was
+// lost; the callers' timeouts do, where they follow the objective.
+func TestTimeoutsImplyCause(t *testing.T) {
+	follows := func(objective time.Duration) time.Duration { return 1500*time.Millisecond + 3*objective }
 	fixed := func(time.Duration) time.Duration { return 3 * time.Second }
-	scattered := func(aim time.Duration) time.Duration {
-		return 1500*time.Millisecond + 3*aim + time.Duration(aim.Milliseconds()*7919%2000)*time.Millisecond
+	scattered := func(objective time.Duration) time.Duration {
+		return 1500*time.Millisecond + 3*objective + time.Duration(objective.Milliseconds()*7919%2000)*time.Millisecond
 	}
 	begin := time.Date(2026, 1, 1, 0, 1, 0, 0, time.UTC)
 	const work = 200 * time.Millisecond
 	for _, c := range []struct {
-		name  string
-		limit func(time.Duration) time.Duration
-		// guess and took are of the job that is looked at, less what its limit lacks.
-		guess, took, less time.Duration
-		cause             string
-		away              time.Duration
+		name      string
+		timeoutOf func(time.Duration) time.Duration
+		// estimate and took are those of the tested job, and shortBy is what its timeout
+		// lacks.
+		estimate, took, shortBy time.Duration
+		cause                   string
+		waitedBefore            time.Duration
 	}{
-		{"as estimated", follows, work, work, 0, inTime, 0},
-		{"estimated too long", follows, 2 * work, work, 0, inTime, 0},
-		{"long on a worker that nobody knew to be slow", follows, work, 5 * work, 0, lateWorker, 0},
-		{"sent before", follows, work, work, 1300 * time.Millisecond, lateReturn, 1300 * time.Millisecond},
-		{"a limit that tells nothing: long work", fixed, work, 5 * work, 0, inTime, 0},
-		{"limits that scatter", scattered, work, 5 * work, 0, inTime, 0},
-		{"a limit that tells nothing: short", fixed, work, work, 1300 * time.Millisecond, inTime, 0},
+		{"as estimated", follows, work, work, 0, causeInTime, 0},
+		{"estimated too long", follows, 2 * work, work, 0, causeInTime, 0},
+		{"long on a worker not known to be slow", follows, work, 5 * work, 0, causeLateOnWorker, 0},
+		{"sent before", follows, work, work, 1300 * time.Millisecond, causeLateFirstUnlogged, 1300 * time.Millisecond},
+		{"fixed timeouts: long work", fixed, work, 5 * work, 0, causeInTime, 0},
+		{"scattered timeouts", scattered, work, 5 * work, 0, causeInTime, 0},
+		{"fixed timeouts: a short one", fixed, work, work, 1300 * time.Millisecond, causeInTime, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := limitDay(c.limit)
-			a.oneTask("it", begin, c.guess, c.limit(aimOf(work))-c.less, 1, c.took)
-			a.settle()
+			a := dayWithTimeouts(c.timeoutOf)
+			a.addOneTaskJob("it", begin, c.estimate, c.timeoutOf(objectiveOf(work))-c.shortBy, 1, c.took)
+			a.resolve()
 			j := a.jobs["it"]
 			if got := j.cause(); got != c.cause {
 				t.Errorf("%q, want %q", got, c.cause)
 			}
-			if off := (j.away - c.away).Abs(); off > 100*time.Millisecond {
-				t.Errorf("had waited %v, want %v", j.away, c.away)
+			if off := (j.waitedBefore - c.waitedBefore).Abs(); off > 100*time.Millisecond {
+				t.Errorf("had waited %v, want %v", j.waitedBefore, c.waitedBefore)
 			}
 		})
 	}
 }
 
-// A job refused or lost has no work that was measured: the limit tells it.
-func TestLimitTellsWorkOfRefused(t *testing.T) {
-	a := limitDay(func(aim time.Duration) time.Duration { return 1500*time.Millisecond + 3*aim })
+// A job that was refused or lost has no measured work: its timeout implies it.
+func TestTimeoutImpliesWorkOfRefused(t *testing.T) {
+	a := dayWithTimeouts(func(objective time.Duration) time.Duration { return 1500*time.Millisecond + 3*objective })
 	at := time.Date(2026, 1, 1, 0, 1, 0, 0, time.UTC)
-	const work, guess = 250 * time.Millisecond, 120 * time.Millisecond
-	limit := 1500*time.Millisecond + 3*aimOf(work)
-	a.take("vm", logLine{
-		Time: at, Event: 920, Job: "it", Queue: "q", Tasks: 1, CPU: 10, GuessMS: guess.Milliseconds(),
-		AimMS: aimOf(guess).Milliseconds(), PatienceMS: limit.Milliseconds(),
+	const work, estimate = 250 * time.Millisecond, 120 * time.Millisecond
+	timeout := 1500*time.Millisecond + 3*objectiveOf(work)
+	a.addLine("vm", logLine{
+		Time: at, Event: 920, Job: "it", Queue: "q", Tasks: 1, CPU: 10, EstimateMS: estimate.Milliseconds(),
+		ObjectiveMS: objectiveOf(estimate).Milliseconds(), TimeoutMS: timeout.Milliseconds(),
 	})
-	a.take("vm", logLine{Time: at, Event: 922, Job: "it", Status: "refused", Why: "others_first"})
-	a.settle()
+	a.addLine("vm", logLine{Time: at, Event: 922, Job: "it", Status: "refused", Why: "others_first"})
+	a.resolve()
 	j := a.jobs["it"]
 	if off := math.Abs(float64(j.work)/float64(work) - 1); off > 0.05 {
 		t.Errorf("work %v, want %v", j.work, work)
 	}
-	if off := math.Abs(float64(j.aim)/float64(aimOf(work)) - 1); off > 0.05 {
-		t.Errorf("objective %v, want %v", j.aim, aimOf(work))
+	if off := math.Abs(float64(j.objective)/float64(objectiveOf(work)) - 1); off > 0.05 {
+		t.Errorf("objective %v, want %v", j.objective, objectiveOf(work))
 	}
 }
 
@@ -278,8 +279,8 @@
 	for _, c := range []struct {
 		name  string
 		worth map[string]string
-		// want is what each of the jobs counts: two of queue q, with one and three units
-		// of work, and one of queue r.
+		// want is the weight of each job: two of queue q, with one and three units of
+		// work, and one of queue r.
 		want []float64
 		ok   bool
 	}{
@@ -289,19 +290,19 @@
 		{"not a number", map[string]string{"q": "2", "r": "much"}, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newAccount()
+			a := newLossAccount()
 			at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			for i, queue := range []string{"q", "q", "r"} {
-				a.take("vm", logLine{
+				a.addLine("vm", logLine{
 					Time: at, Event: 920, Job: fmt.Sprint(i), Queue: queue, Tasks: []int{1, 3, 7}[i], CPU: 1000,
-					GuessMS: 100, AimMS: 220,
+					EstimateMS: 100, ObjectiveMS: 220,
 				})
 			}
-			a.settle()
-			if err := a.value(c.worth); (err == nil) != c.ok {
+			a.resolve()
+			if err := a.setWorth(c.worth); (err == nil) != c.ok {
 				t.Fatalf("value: %v", err)
 			}
-			w := a.weigh()
+			w := a.jobWeights()
 			for i, want := range c.want {
 				if got := w[a.jobs[fmt.Sprint(i)]]; math.Abs(got-want) > 1e-9 {
 					t.Errorf("job %d counts %v, want %v", i, got, want)
@@ -311,18 +312,18 @@
 	}
 }
 
-// Jobs that callers sent and no process ever saw are in no log; told how many there were,
-// the account counts them as lost.
+// Jobs that reached no process are in no log. The account counts them as lost if the
+// callers report how many they sent.
 func TestLossesCountAsked(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(dayLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(dayLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
-	before := a.whole()["all"]
-	a.asked = 8
-	s := a.whole()["all"]
-	if s.jobs != 8 || math.Abs(s.causes[noProcess]-0.25) > 1e-9 || math.Abs(s.served-before.served*0.75) > 1e-9 {
+	a.resolve()
+	before := a.total()["all"]
+	a.reportedJobs = 8
+	s := a.total()["all"]
+	if s.jobs != 8 || math.Abs(s.causes[causeUnlogged]-0.25) > 1e-9 || math.Abs(s.served-before.served*0.75) > 1e-9 {
 		t.Errorf("%+v", s)
 	}
 	sum := 0.0
@@ -334,16 +335,17 @@
 	}
 }
 
-// All processes lose power at once, and callers whose time is shorter than the outage never
-// reach one: no log has their jobs. How many there were follows from the others' rate.
+// Guards against overlooking jobs of an outage: all processes lose power at once, and
+// callers whose timeout is shorter than the outage never reach one, so that no log has
+// their jobs. Their number follows from the rate of the others.
 func TestLossesOfOutage(t *testing.T) {
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
 		name string
-		// ends and starts are of the two processes.
+		// ends and starts are the times of the two processes.
 		ends, starts [2]time.Duration
 		down         time.Duration
-		unseen       int
+		unloggedJobs int
 	}{
 		{
 			"all at once",
@@ -359,22 +361,22 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newAccount()
+			a := newLossAccount()
 			for i, vm := range []string{"vm-1", "vm-2"} {
 				end, start := begin.Add(c.ends[i]), begin.Add(c.starts[i])
-				a.take(vm, logLine{Time: begin, Event: 100, ID: vm + "/1"})
-				a.take(vm, logLine{Time: end, Event: 802})
-				a.take(vm, logLine{Time: start, Event: 811})
-				a.take(vm, logLine{Time: start, Event: 100, ID: vm + "/2"})
-				a.take(vm, logLine{Time: begin.Add(31 * time.Second), Event: 802})
+				a.addLine(vm, logLine{Time: begin, Event: 100, ID: vm + "/1"})
+				a.addLine(vm, logLine{Time: end, Event: 802})
+				a.addLine(vm, logLine{Time: start, Event: 811})
+				a.addLine(vm, logLine{Time: start, Event: 100, ID: vm + "/2"})
+				a.addLine(vm, logLine{Time: begin.Add(31 * time.Second), Event: 802})
 			}
-			// Ten jobs a second, but while nobody is there.
+			// Ten jobs a second arrive, except while no process runs.
 			for at := time.Duration(0); at <= 30*time.Second; at += time.Second / 10 {
 				if c.down == 0 || at < c.ends[0] || at >= c.starts[1] {
-					a.take("vm-2", logLine{Time: begin.Add(at), Event: 920, Job: fmt.Sprint(at), Queue: "q", Tasks: 1, CPU: 1, GuessMS: 100, AimMS: 200})
+					a.addLine("vm-2", logLine{Time: begin.Add(at), Event: 920, Job: fmt.Sprint(at), Queue: "q", Tasks: 1, CPU: 1, EstimateMS: 100, ObjectiveMS: 200})
 				}
 			}
-			a.settle()
+			a.resolve()
 			var down time.Duration
 			for _, o := range a.outages() {
 				down += o.until.Sub(o.from)
@@ -382,10 +384,10 @@
 			if down != c.down {
 				t.Errorf("down for %v, want %v", down, c.down)
 			}
-			if n := a.unseen(); n < c.unseen-1 || n > c.unseen+1 {
-				t.Errorf("%d unseen, want %d", n, c.unseen)
+			if n := a.unloggedJobs(); n < c.unloggedJobs-1 || n > c.unloggedJobs+1 {
+				t.Errorf("%d unlogged, want %d", n, c.unloggedJobs)
 			}
-			if s := a.whole()["all"]; s.jobs != len(a.jobs)+a.unseen() || (s.causes[noneByRate] > 0) != (c.unseen > 0) {
+			if s := a.total()["all"]; s.jobs != len(a.jobs)+a.unloggedJobs() || (s.causes[causeUnloggedByRate] > 0) != (c.unloggedJobs > 0) {
 				t.Errorf("%+v", s)
 			}
 		})
@@ -393,11 +395,11 @@
 }
 
 func TestLossesPlot(t *testing.T) {
-	a := newAccount()
-	if err := readLog(strings.NewReader(troubleLog), "", a.take); err != nil {
+	a := newLossAccount()
+	if err := readLog(strings.NewReader(troubleLog), "", a.addLine); err != nil {
 		t.Fatal(err)
 	}
-	a.settle()
+	a.resolve()
 	sum := 0.0
 	layers := a.layers()
 	for _, l := range layers {
--- a/load/plot.go
+++ b/load/plot.go
@@ -38,15 +38,15 @@
 	color.RGBA{R: 0x56, G: 0xb4, B: 0xe9, A: 0xff},
 }
 
-// drawing is a plot before it is written.
+// drawing describes a plot to be written.
 type drawing struct {
 	name, title, x, y string
 	logX              bool
 	curves            []curve
 }
 
-// drawings returns the plots of the reports: for each deployment and scenario
-// the distribution of the ratio and, where the load changes, its course.
+// drawings returns the plots of the reports: for each deployment and scenario the
+// distribution of the ratio and, where the load changes, the rates over time.
 func drawings(all []Report) []drawing {
 	var out []drawing
 	byGroup := groups(all, func(r Report) string { return r.Deployment + "-" + r.Scenario })
@@ -59,7 +59,7 @@
 		g := byGroup[k]
 		out = append(out, distribution(k, g))
 		if len(g[0].Goodput) > 1 {
-			out = append(out, course(k, g))
+			out = append(out, timeCourse(k, g))
 		}
 	}
 	return out
@@ -70,20 +70,20 @@
 		name: name + "-ratio", title: g[0].Title + ", " + g[0].Deployment,
 		x: "response time over ideal", y: "share of jobs", logX: true,
 	}
-	for _, r := range firstOfPolicy(g) {
+	for _, r := range firstPerPolicy(g) {
 		d.curves = append(d.curves, curve{name: r.Policy, points: r.CDF})
 	}
 	return d
 }
 
-func course(name string, g []Report) drawing {
+func timeCourse(name string, g []Report) drawing {
 	d := drawing{name: name + "-time", title: g[0].Title + ", " + g[0].Deployment, x: "seconds", y: "tasks a second"}
 	offered := curve{name: "offered", dashed: true}
 	for i, s := range g[0].Seconds {
 		offered.points = append(offered.points, Point{float64(i), float64(s.Offered)})
 	}
 	d.curves = append(d.curves, offered)
-	for _, r := range firstOfPolicy(g) {
+	for _, r := range firstPerPolicy(g) {
 		c := curve{name: r.Policy}
 		for i, s := range r.Seconds {
 			c.points = append(c.points, Point{float64(i), float64(s.Done)})
@@ -93,7 +93,7 @@
 	return d
 }
 
-func firstOfPolicy(g []Report) []Report {
+func firstPerPolicy(g []Report) []Report {
 	seen := make(map[string]bool)
 	var out []Report
 	for _, r := range g {
@@ -105,7 +105,7 @@
 	return out
 }
 
-// save writes the plot to dir; the format is that of the extension.
+// save writes the plot to dir, in the format of that file extension.
 func (d drawing) save(dir, format string) error {
 	p := plot.New()
 	p.Title.Text = d.title
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// xys returns the points; on a logarithmic axis those left of 0.9 stand there.
+// xys returns the points. On a logarithmic axis, X is at least 0.9.
 func (c curve) xys(logX bool) plotter.XYs {
 	out := make(plotter.XYs, len(c.points))
 	for i, p := range c.points {
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -12,8 +12,8 @@
 	"snipehub.example/settings"
 )
 
-// TestMain lets the test binary stand in for snipeload, which starts itself
-// again for each process of a deployment.
+// TestMain lets the test binary act as snipeload, which starts itself for each process of
+// a deployment.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"snipehubd", "snipestand"}, os.Args[1]) {
 		os.Exit(program.Run(Command()))
@@ -21,25 +21,25 @@
 	os.Exit(m.Run())
 }
 
-// Real processes, a backend server that begins to fail everything, and jobs that
-// are submitted again in mid-flight over the other dispatcher: every job
-// has a final answer, and the backend servers' record agrees with it.
+// Runs real processes with a backend server that starts to fail every task, and jobs that
+// are submitted again in flight to the other dispatcher: every job must have a final
+// answer that agrees with the backend servers' records.
 func TestRun(t *testing.T) {
 	d, err := demoDeployment(2, 3, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := Scenario{
-		Name: "test", JobTasks: Range{Min: 1, Max: 4}, Phases: []Phase{lasting(1500*time.Millisecond, 0.2)},
-		Service: Service{Min: settings.Duration(20 * time.Millisecond), Max: settings.Duration(200 * time.Millisecond)},
-		Actions: []Action{at(500*time.Millisecond, ResubmitWave, 1), at(time.Second, FailWorker, 0)},
+		Name: "test", JobTasks: Range{Min: 1, Max: 4}, Phases: []Phase{newPhase(1500*time.Millisecond, 0.2)},
+		ServiceTimes: ServiceTimes{Min: settings.Duration(20 * time.Millisecond), Max: settings.Duration(200 * time.Millisecond)},
+		Actions:      []Action{newAction(500*time.Millisecond, ResubmitWave, 1), newAction(time.Second, FailWorker, 0)},
 	}
 	r, err := Run(t.Context(), d, s, Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j := r.Jobs
-	if r.Safety.Broken() || j.Offered == 0 || j.Done == 0 || j.Done+j.Failed+j.Refused+j.Unknown != j.Offered {
+	if r.Safety.Violated() || j.Offered == 0 || j.Done == 0 || j.Done+j.Failed+j.Refused+j.Unknown != j.Offered {
 		t.Errorf("safety %+v, jobs %+v", r.Safety, j)
 	}
 	if r.Messages.Repeats == 0 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Two people run the same deployment on a machine at once. The second run is
-// refused; it would otherwise measure the first one's processes.
+// Guards against two simultaneous runs of a deployment on a machine: the second must be
+// refused, since it would measure the processes of the first.
 func TestSecondRunIsRefused(t *testing.T) {
 	d, err := demoDeployment(1, 1, 1)
 	if err != nil {
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -12,35 +12,35 @@
 	"snipehub.example/stand"
 )
 
-// Scenario says what is offered to a deployment and what goes wrong meanwhile.
+// Scenario describes the load that is offered to a deployment and the actions that are
+// executed meanwhile.
 type Scenario struct {
 	Number int    `toml:"number"`
 	Name   string `toml:"name"`
 	Title  string `toml:"title"`
 	Since  string `toml:"since"`
-	// Phases follow each other; jobs arrive by a Poisson process in each.
+	// Phases follow each other. Jobs arrive by a Poisson process in each.
 	Phases []Phase `toml:"phases"`
-	// JobTasks bounds the sizes of jobs, which are drawn evenly on a
+	// JobTasks bounds the number of tasks of a job, which is drawn evenly on a
 	// logarithmic scale.
 	JobTasks Range `toml:"job_tasks"`
-	// Service is the distribution of service times at speed 1; its zero value
-	// means the ordinary one.
-	Service Service `toml:"service"`
-	// Speeds, when set, replace the speeds of the deployment's backend
-	// servers, in turn.
+	// ServiceTimes is the distribution of service times at speed 1. The zero value means
+	// the default one.
+	ServiceTimes ServiceTimes `toml:"service"`
+	// Speeds, if set, replace the speeds of the deployment's backend servers, in turn.
 	Speeds []float64 `toml:"speeds"`
-	// Skew is the share of all jobs that go to the first dispatcher; the rest
-	// is spread evenly over all.
+	// Skew is the share of all jobs that go to the first dispatcher; the rest is spread
+	// evenly over all.
 	Skew float64 `toml:"skew"`
-	// Greedy, when set, is the share of all jobs that the first caller
-	// submits; the others share the rest as the deployment says.
-	Greedy  float64  `toml:"greedy"`
-	Actions []Action `toml:"actions"`
+	// GreedyShare, if set, is the share of all jobs that the first caller submits; the
+	// others share the rest in the deployment's proportions.
+	GreedyShare float64  `toml:"greedy"`
+	Actions     []Action `toml:"actions"`
 }
 
-// Phase is a stretch of time with one rate of arrivals.
+// Phase is a period with one rate of arrivals.
 type Phase struct {
-	For settings.Duration `toml:"for"`
+	Length settings.Duration `toml:"for"`
 	// Load is the offered load as a share of the capacity.
 	Load float64 `toml:"load"`
 }
@@ -51,76 +51,78 @@
 	Max int `toml:"max"`
 }
 
-// Service is a distribution of service times; see stand.Spread.
-type Service struct {
+// ServiceTimes is a distribution of service times; see stand.Spread.
+type ServiceTimes struct {
 	Min       settings.Duration `toml:"min"`
 	Max       settings.Duration `toml:"max"`
 	Long      settings.Duration `toml:"long"`
 	LongShare float64           `toml:"long_share"`
 }
 
-func (s Service) spread() stand.Spread {
+func (s ServiceTimes) spread() stand.Spread {
 	return stand.Spread{Min: s.Min.D(), Max: s.Max.D(), Long: s.Long.D(), LongShare: s.LongShare}
 }
 
-// Fault is something that goes wrong, or that callers do, at a point in time.
-type Fault string
+// ActionKind is what an action does: it injects a fault, or makes callers act in a wave.
+type ActionKind string
 
-// The faults.
+// The kinds of actions.
 const (
-	// FailWorker makes one backend server fail everything it starts.
-	FailWorker Fault = "fail_worker"
+	// FailWorker makes one backend server fail every task that it starts.
+	FailWorker ActionKind = "fail_worker"
 	// SlowWorker makes one backend server ten times slower.
-	SlowWorker Fault = "slow_worker"
-	// FreezeWorker makes one backend server answer nothing.
-	FreezeWorker Fault = "freeze_worker"
-	// RackGone takes away all backend servers of a rack.
-	RackGone Fault = "rack_gone"
-	// KillVMs kills the dispatchers on a share of the VMs, and takes these
-	// off the VM list a little later.
-	KillVMs Fault = "kill_vms"
+	SlowWorker ActionKind = "slow_worker"
+	// FreezeWorker makes one backend server stop answering.
+	FreezeWorker ActionKind = "freeze_worker"
+	// RackGone removes all backend servers of a rack.
+	RackGone ActionKind = "rack_gone"
+	// KillVMs kills the dispatchers on a share of the VMs, and removes these from the VM
+	// list after vmListDelay.
+	KillVMs ActionKind = "kill_vms"
 	// CancelWave cancels a share of the jobs in flight.
-	CancelWave Fault = "cancel_wave"
-	// ResubmitWave submits a share of the jobs in flight again, each over
-	// another dispatcher.
-	ResubmitWave Fault = "resubmit_wave"
+	CancelWave ActionKind = "cancel_wave"
+	// ResubmitWave submits a share of the jobs in flight again, each to another
+	// dispatcher.
+	ResubmitWave ActionKind = "resubmit_wave"
 	// LogDown takes the platform's log and VM list down.
-	LogDown Fault = "log_down"
+	LogDown ActionKind = "log_down"
 )
 
-// Action is a fault at a time after the start of the arrivals.
+// Action is something that happens at a time after the start of the arrivals.
 type Action struct {
-	At    settings.Duration `toml:"at"`
-	Do    Fault             `toml:"do"`
-	Share float64           `toml:"share"`
+	At   settings.Duration `toml:"at"`
+	Kind ActionKind        `toml:"do"`
+	// Share is the share of the VMs for KillVMs, and of the jobs in flight for waves.
+	Share float64 `toml:"share"`
 }
 
-// The bounds of a run. A scenario over them is refused.
+// These bound a run. A scenario that lasts longer is rejected, and so is one that plans
+// more tasks.
 const (
-	maxRun   = 2 * time.Minute
-	maxTasks = 2_000_000
+	maxRunDuration  = 2 * time.Minute
+	maxPlannedTasks = 2_000_000
 )
 
 func (s Scenario) length() time.Duration {
 	var d time.Duration
 	for _, p := range s.Phases {
-		d += p.For.D()
+		d += p.Length.D()
 	}
 	return d
 }
 
-func (s Scenario) check() error {
+func (s Scenario) validate() error {
 	switch {
 	case s.Name == "":
 		return errors.New("name must be set")
-	case len(s.Phases) == 0 || s.length() > maxRun:
-		return errors.Errorf("phases must be there and last %v at most", maxRun)
+	case len(s.Phases) == 0 || s.length() > maxRunDuration:
+		return errors.Errorf("phases must be there and last %v at most", maxRunDuration)
 	case s.JobTasks.Min < 1 || s.JobTasks.Max < s.JobTasks.Min:
 		return errors.New("job_tasks: needs 1 <= min <= max")
-	case s.Service.Min <= 0 || s.Service.Max < s.Service.Min:
+	case s.ServiceTimes.Min <= 0 || s.ServiceTimes.Max < s.ServiceTimes.Min:
 		return errors.New("service: needs 0 < min <= max")
 	}
-	if s.Skew < 0 || s.Skew > 1 || s.Greedy < 0 || s.Greedy >= 1 {
+	if s.Skew < 0 || s.Skew > 1 || s.GreedyShare < 0 || s.GreedyShare >= 1 {
 		return errors.New("skew and greedy must be shares")
 	}
 	for _, p := range s.Phases {
@@ -136,8 +138,8 @@
 	return nil
 }
 
-// FindScenario returns the scenario of that name, or reads it from a TOML
-// file, over the defaults of the table.
+// FindScenario returns the built-in scenario of that name, or reads one from a TOML file,
+// with the defaults of the built-in ones.
 func FindScenario(name string) (Scenario, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -147,17 +149,17 @@
 	if filepath.Ext(name) != ".toml" {
 		return Scenario{}, errors.Errorf("no scenario %q", name)
 	}
-	s := Scenario{JobTasks: ordinaryJobs, Service: ordinaryService}
-	if err := strictTOML(name, &s); err != nil {
+	s := Scenario{JobTasks: defaultJobTasks, ServiceTimes: defaultServiceTimes}
+	if err := readStrictTOML(name, &s); err != nil {
 		return s, err
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return s, errors.Errorf("%s: %v", name, err)
 	}
 	return s, nil
 }
 
-// mean is the mean of the sizes that draw returns.
+// mean returns the mean of the sizes that draw returns.
 func (r Range) mean() float64 {
 	var sum, weight float64
 	for n := r.Min; n <= r.Max; n++ {
@@ -168,8 +170,8 @@
 	return sum / weight
 }
 
-// draw draws a size, evenly on a logarithmic scale: as many jobs of 1 to 10
-// tasks as of 10 to 100.
+// draw returns a random size, evenly distributed on a logarithmic scale: as many jobs
+// have 1 to 10 tasks as have 10 to 100.
 func (r Range) draw(rnd *rand.Rand) int {
 	low, high := math.Log(float64(r.Min)), math.Log(float64(r.Max+1))
 	return min(int(math.Exp(low+rnd.Float64()*(high-low))), r.Max)
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -26,11 +26,11 @@
 	// It bounds how long a suspended process delays others, and must leave time to stop
 	// its runs before a retry of the caller can start them again on another process.
 	SessionTimeout = 650 * time.Millisecond
-	// HeartbeatOverdueAfter is the silence after which the heartbeat of a watched member is reported
-	// as overdue.
+	// HeartbeatOverdueAfter is the silence after which the heartbeat of a watched member is
+	// reported as overdue.
 	HeartbeatOverdueAfter = 250 * time.Millisecond
-	// IdleHeartbeatInterval and IdleDownAfter correspond to HeartbeatInterval and
-	// DownAfter for sessions that neither side watches. These are most sessions of a
+	// IdleHeartbeatInterval and IdleSessionTimeout correspond to HeartbeatInterval and
+	// SessionTimeout for sessions that neither side watches. These are most sessions of a
 	// large cell, and their heartbeats were most of the work of a process with a hundred
 	// members.
 	IdleHeartbeatInterval = 2 * time.Second
@@ -73,8 +73,8 @@
 	Down
 	// Changed: the member advertises a new state.
 	Changed
-	// Mail: messages of the member have arrived.
-	Mail
+	// Received: messages of the member have arrived.
+	Received
 	// Overdue: the heartbeat of a watched member is overdue.
 	Overdue
 	// Recovered: a member whose heartbeat was overdue has sent something.
@@ -84,7 +84,7 @@
 // Event is what the mesh reports to the process.
 type Event[M any] struct {
 	Kind Kind
-	// Member is the member's state; only its ID is set with Mail, Quiet and Back.
+	// Member is the member's state; only its ID is set with Received, Overdue and Recovered.
 	Member Member
 	// Session numbers the sessions of this process. Messages of a session that has ended
 	// must be ignored.
@@ -115,7 +115,7 @@
 type Mesh[M any] struct {
 	log      *slog.Logger
 	ln       net.Listener
-	dialPeer peer.Dial
+	dialPeer peer.DialFunc
 	deliver  func(Event[M])
 
 	mu   sync.Mutex
@@ -144,7 +144,7 @@
 // New returns a Mesh that accepts connections on the listener once Serve is called. It
 // calls deliver with each event; while deliver blocks, the sender on the other side is
 // slowed down.
-func New[M any](log *slog.Logger, self Member, ln net.Listener, dialPeer peer.Dial, deliver func(Event[M])) *Mesh[M] {
+func New[M any](log *slog.Logger, self Member, ln net.Listener, dialPeer peer.DialFunc, deliver func(Event[M])) *Mesh[M] {
 	return &Mesh[M]{
 		log:       log,
 		ln:        ln,
@@ -207,9 +207,9 @@
 	}
 }
 
-// Watch starts or stops watching a member: its silence ends the session after DownAfter,
-// counted from now at the earliest, instead of IdleDownAfter. The other side need not
-// watch this one for that.
+// Watch starts or stops watching a member: its silence ends the session after
+// SessionTimeout, counted from now at the earliest, instead of IdleSessionTimeout. The
+// other side need not watch this one for that.
 func (m *Mesh[M]) Watch(id ID, on bool) {
 	m.mu.Lock()
 	if on {
@@ -334,7 +334,7 @@
 	}
 	m.mu.Unlock()
 	s.codec.onNotification = s.handle
-	stream := jsonrpc2.NewBufferedStream(peer.Patient(c, SessionTimeout), &s.codec)
+	stream := jsonrpc2.NewBufferedStream(peer.WithWriteTimeout(c, SessionTimeout), &s.codec)
 	s.conn = jsonrpc2.NewConn(ctx, stream, unused{}, jsonrpc2.SetLogger(discardLogger))
 	m.wg.Go(func() { s.run(ctx) })
 	return s
--- a/node/node.go
+++ b/node/node.go
@@ -97,7 +97,7 @@
 	log      *slog.Logger
 	clock    *clock.Service
 	meter    *meter.Meter
-	catalogs *catalog.Shelf
+	catalogs *catalog.Store
 	mesh     *mesh.Mesh[Message]
 	core     *Core
 	ln       listeners
@@ -151,7 +151,7 @@
 		DataCenter: cfg.DataCenter,
 		Cores:      cfg.Cores,
 	}
-	catalogs := &catalog.Shelf{}
+	catalogs := &catalog.Store{}
 	n := &Node{
 		cfg:            cfg,
 		platform:       p,
@@ -377,7 +377,7 @@
 			c.MemberOverdue(now, e.Member.ID, e.Session, e.LastHeard)
 		case mesh.Recovered:
 			c.MemberRecovered(e.Member.ID, e.Session)
-		case mesh.Mail:
+		case mesh.Received:
 			c.Receive(now, e.Member.ID, e.Session, e.Messages)
 		}
 	})
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -12,7 +12,8 @@
 	"github.com/go-faster/errors"
 )
 
-// topic is a topic in memory whose answers can be delayed, refused or lost.
+// topic is an in-memory topic. Reads return fail if it is set, and hang while silent is
+// set. Records below the offset first count as dropped by the store.
 type topic struct {
 	mu      sync.Mutex
 	records []Record
@@ -36,7 +37,7 @@
 	change()
 }
 
-func (s *topic) called() int {
+func (s *topic) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -57,7 +58,7 @@
 	}
 }
 
-func (s *topic) read(ctx context.Context, from Offset, whole bool) ([]Record, Offset, error) {
+func (s *topic) read(ctx context.Context, from Offset, full bool) ([]Record, Offset, error) {
 	s.mu.Lock()
 	s.calls++
 	silent, fail := s.silent, s.fail
@@ -69,23 +70,24 @@
 		return nil, 0, ctx.Err()
 	case fail != nil:
 		return nil, 0, fail
-	case gap && !whole:
-		return nil, 0, ErrForgotten
+	case gap && !full:
+		return nil, 0, ErrGap
 	}
 	return out, next, nil
 }
 
-// follow runs a follower of the topic and gives the test what it has emitted.
-func follow(t *testing.T, turn func() string, test func(s *topic, f *Follower, got func() string)) {
+// withFollower runs test with a follower of an in-memory topic. got returns the emitted
+// keys, with "|" before each full update.
+func withFollower(t *testing.T, recipient func() string, test func(s *topic, f *Follower, got func() string)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &topic{}
 		var mu sync.Mutex
 		text := ""
 		cfg := Config{Name: "t", Wait: time.Second, Timeout: 500 * time.Millisecond}
-		f := New(cfg, slog.New(slog.DiscardHandler), s, turn, func(_ context.Context, n News) {
+		f := New(cfg, slog.New(slog.DiscardHandler), s, recipient, func(_ context.Context, n Update) {
 			mu.Lock()
 			defer mu.Unlock()
-			if n.Whole {
+			if n.Full {
 				text += "|"
 			}
 			for _, r := range n.Records {
@@ -115,8 +117,9 @@
 	}
 }
 
+// A follower reads the latest records once and then only the records added since.
 func TestFollowsFromTheNewest(t *testing.T) {
-	follow(t, nil, func(s *topic, _ *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.append("a", "b")
 		time.Sleep(100 * time.Millisecond)
@@ -126,10 +129,10 @@
 	})
 }
 
-// The store has dropped records that were not read yet: only the newest of each key
-// tell what is in force.
+// The store drops records that were not read yet. The follower must read the latest
+// record of each key again, or it would miss changes.
 func TestGap(t *testing.T) {
-	follow(t, nil, func(s *topic, _ *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.fail = errors.New("down") })
 		time.Sleep(2 * time.Second)
@@ -140,33 +143,33 @@
 	})
 }
 
-// The store is down, then back. A read that failed is repeated with a growing pause, so
-// that a store that recovers is not overrun, and soon enough for a change to be in
-// force within two seconds.
+// The store is down and then recovers. Failed reads must be retried with an increasing
+// delay, so that the recovering store is not overloaded, and soon enough for a change to
+// be in force within two seconds.
 func TestStoreDown(t *testing.T) {
-	follow(t, nil, func(s *topic, f *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, f *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.fail, s.calls = errors.New("down"), 0 })
 		time.Sleep(10 * time.Second)
 		if !f.Down() {
-			t.Error("the follower does not know that the store is down")
+			t.Error("Down() = false while the store is down")
 		}
-		if n := s.called(); n < 15 || n > 60 {
-			t.Errorf("%d calls in 10 s", n)
+		if n := s.callCount(); n < 15 || n > 60 {
+			t.Errorf("%d calls in 10 s, want 15 to 60", n)
 		}
 		s.append("a")
 		s.set(func() { s.fail = nil })
-		time.Sleep(retryMost*2 + time.Second)
+		time.Sleep(maxRetryDelay*2 + time.Second)
 		want(t, got(), "|a")
 		if f.Down() {
-			t.Error("the follower does not know that the store is back")
+			t.Error("Down() = true after the store has recovered")
 		}
 	})
 }
 
-// The connection went dead without a reset: the call must end by itself.
+// The connection goes dead without a reset. The call must end by its timeout.
 func TestSilentStore(t *testing.T) {
-	follow(t, nil, func(s *topic, _ *Follower, got func() string) {
+	withFollower(t, nil, func(s *topic, _ *Follower, got func() string) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.silent = true })
 		time.Sleep(3 * time.Second)
@@ -177,20 +180,20 @@
 	})
 }
 
-// Another process is to be told from now on: it knows nothing of before, so everything
-// is read again.
-func TestTurnChanges(t *testing.T) {
+// The recipient changes. The new one has none of the earlier updates, so everything
+// must be read again; without a recipient nothing is read.
+func TestRecipientChanges(t *testing.T) {
 	var mu sync.Mutex
-	turn := ""
+	recipient := ""
 	set := func(s string) {
 		mu.Lock()
 		defer mu.Unlock()
-		turn = s
+		recipient = s
 	}
-	follow(t, func() string {
+	withFollower(t, func() string {
 		mu.Lock()
 		defer mu.Unlock()
-		return turn
+		return recipient
 	}, func(s *topic, _ *Follower, got func() string) {
 		s.append("a")
 		time.Sleep(time.Second)
@@ -203,10 +206,10 @@
 		want(t, got(), "|a|a")
 		set("")
 		time.Sleep(2 * time.Second)
-		calls := s.called()
+		calls := s.callCount()
 		time.Sleep(10 * time.Second)
-		if s.called() != calls {
-			t.Error("reads although it is not its turn")
+		if s.callCount() != calls {
+			t.Error("the follower reads without a recipient")
 		}
 	})
 }
--- a/roster/sim_test.go
+++ b/roster/sim_test.go
@@ -14,8 +14,7 @@
 	"snipehub.example/ticket"
 )
 
-// TestMain fixes the seed of rapid, so that a run has the same verdict each
-// time. For long runs:
+// TestMain fixes the seed of rapid, so that each run has the same result. For long runs:
 //
 //	go test ./roster -run Rapid -rapid.seed=0 -rapid.checks=5000
 func TestMain(m *testing.M) {
@@ -26,33 +25,33 @@
 	os.Exit(m.Run())
 }
 
-// sim is many books that exchange encoded heartbeats on one clock.
+// sim simulates many processes that exchange heartbeats on one clock.
 type sim struct {
 	now   time.Time
 	rnd   *rand.Rand
 	cfg   Config
 	seeds []netip.AddrPort
 	nodes map[netip.AddrPort]*node
-	// cut tells that a call does not get through.
+	// cut reports whether a call between two nodes is lost.
 	cut func(from, to *node) bool
-	// encode sends heartbeats in their wire form.
+	// encode is set if heartbeats pass through their JSON form.
 	encode bool
 	bytes  int
 	calls  int
 }
 
 type node struct {
-	addr   netip.AddrPort
-	book   *Book
-	frozen bool
+	addr      netip.AddrPort
+	table     *MemberTable
+	suspended bool
 }
 
 var simConfig = Config{
 	SuspectAfter: 3 * time.Second,
 	GoneAfter:    time.Minute,
 	KeepGone:     10 * time.Minute,
-	Members:      8192,
-	News:         16,
+	MaxMembers:   8192,
+	MaxNews:      16,
 }
 
 func newSim(n int, seed uint64) *sim {
@@ -69,7 +68,7 @@
 	return s
 }
 
-// simAddress gives two processes to each VM.
+// simAddress returns the address of a node; each VM has two nodes.
 func simAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i / 512), byte(i / 2 % 256)}), uint16(7500+i%2))
 }
@@ -77,47 +76,48 @@
 func (s *sim) start(i int, incarnation uint64) *node {
 	o := ticket.Owner{DataCenter: fmt.Sprint("dc", i/2%3), VM: fmt.Sprint("vm", i/2), Process: fmt.Sprint("hub", i%2), Incarnation: incarnation}
 	n := &node{addr: simAddress(i)}
-	n.book = NewBook(Member{Owner: o, Address: n.addr}, s.cfg, rand.New(rand.NewPCG(s.rnd.Uint64(), 1)))
+	n.table = NewMemberTable(Member{Owner: o, Address: n.addr}, s.cfg, rand.New(rand.NewPCG(s.rnd.Uint64(), 1)))
 	s.nodes[n.addr] = n
 	return n
 }
 
-// second lets every process send its heartbeats.
+// second advances the clock by a second and lets every process send its heartbeats.
 func (s *sim) second() {
 	s.now = s.now.Add(time.Second)
 	for i := range 2*len(s.nodes) + 8 {
 		n := s.nodes[simAddress(i)]
-		if n == nil || n.frozen {
+		if n == nil || n.suspended {
 			continue
 		}
-		n.book.Tick(s.now)
-		to := n.book.Targets(2, s.seeds)
-		b := n.book.Beat(Member{})
+		n.table.Tick(s.now)
+		to := n.table.Targets(2, s.seeds)
+		b := n.table.Heartbeat(Member{})
 		for _, a := range to {
-			if done := s.call(n, a, b); done != nil {
-				done(s.now)
+			if deliver := s.call(n, a, b); deliver != nil {
+				deliver(s.now)
 			}
 		}
 	}
 }
 
-// call sends a heartbeat and returns what the sender does with the answer.
-func (s *sim) call(n *node, a netip.AddrPort, b Beat) func(now time.Time) {
+// call sends a heartbeat and returns a function that delivers the answer to the sender,
+// or nil if there is no answer.
+func (s *sim) call(n *node, a netip.AddrPort, b Heartbeat) func(now time.Time) {
 	if a == n.addr {
 		return nil
 	}
 	t, sent := s.nodes[a], s.now
-	if t == nil || t.frozen || s.cut(n, t) {
-		n.book.Failed(s.now, a)
+	if t == nil || t.suspended || s.cut(n, t) {
+		n.table.Failed(s.now, a)
 		return nil
 	}
 	in := s.wire(b)
-	t.book.Heard(s.now, in)
-	out := s.wire(t.book.Answer(Member{}, in))
-	return func(now time.Time) { n.book.Answered(sent, now, a, out) }
+	t.table.Received(s.now, in)
+	out := s.wire(t.table.Answer(Member{}, in))
+	return func(now time.Time) { n.table.Answered(sent, now, a, out) }
 }
 
-func (s *sim) wire(b Beat) Beat {
+func (s *sim) wire(b Heartbeat) Heartbeat {
 	if !s.encode {
 		return b
 	}
@@ -127,32 +127,32 @@
 	}
 	s.bytes += len(text)
 	s.calls++
-	var out Beat
+	var out Heartbeat
 	if err := json.Unmarshal(text, &out); err != nil {
 		panic(err)
 	}
 	return out
 }
 
-func (s *sim) list() []ledger.VM {
+func (s *sim) vmList() []ledger.VM {
 	var out []ledger.VM
 	for _, n := range s.nodes {
-		out = append(out, ledger.VM{Name: n.book.self.Owner.VM, Address: n.addr.Addr()})
+		out = append(out, ledger.VM{Name: n.table.self.Owner.VM, Address: n.addr.Addr()})
 	}
 	return out
 }
 
-// agree tells whether every process has every other one as live and none that
-// has ended.
+// agree reports whether every process that is not suspended has all others as live and
+// none that has ended.
 func (s *sim) agree() bool {
 	for _, n := range s.nodes {
-		if n.frozen {
+		if n.suspended {
 			continue
 		}
 		live := 0
-		for _, k := range n.book.All() {
+		for _, k := range n.table.All() {
 			t := s.nodes[k.Address]
-			runs := t != nil && t.book.self.Owner == k.Owner
+			runs := t != nil && t.table.self.Owner == k.Owner
 			if (k.State == Live) != runs {
 				return false
 			}
