--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -2,7 +2,7 @@
 // publishes them: which queue a caller's request belongs to, and which pool of
 // workers runs its tasks.
 //
-// A catalog is immutable. A Shelf holds the catalog in force and accepts only
+// A catalog is immutable. A Store holds the catalog in force and accepts only
 // higher versions: records arrive late, twice and from several sources (the
 // platform's store and other processes), and a process that went back to an older
 // version would show callers a change that takes effect and is undone again.
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -6,7 +6,7 @@
 // The identity is burned by that: it never runs from then on. See package ticket.
 //
 // Some refusals are given before the owner of the identity that the request names is known:
-// see AboutIdentity.
+// see ForNamedIdentity.
 package refusal
 
 import (
@@ -82,10 +82,10 @@
 	return &c
 }
 
-// ForNamedIdentity returns r, or a changed copy, as it must read if the request names an identity
-// and was refused before the identity's owner was asked. "Not run" would then hold only for
-// this copy of the submission. An earlier copy may be running, and a caller that took "not
-// run" to hold for the identity would order a second time.
+// ForNamedIdentity returns r, or a changed copy, as it must read if the request names an
+// identity and was refused before the identity's owner was asked. "Not run" would then hold
+// only for this copy of the submission. An earlier copy may be running, and a caller that
+// took "not run" to hold for the identity would order a second time.
 func (r *Refusal) ForNamedIdentity() *Refusal {
 	switch r.Code {
 	case BadRequest, Unauthorized, TooLarge:
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -46,11 +46,11 @@
 	// continue reading.
 	Newest(ctx context.Context) ([]Record, Offset, error)
 	// Read returns the records from an offset on and the offset after them. It
-	// waits up to wait for the first one. It returns ErrForgotten if there is a gap.
+	// waits up to wait for the first one. It returns ErrGap if there is a gap.
 	Read(ctx context.Context, from Offset, wait time.Duration) ([]Record, Offset, error)
 }
 
-// Update is an update that a follower emits.
+// Update holds records that a follower has read.
 type Update struct {
 	// Full is set if Records holds the latest record of every key; otherwise it
 	// holds the records added since the previous update.
@@ -90,11 +90,11 @@
 	cfg    Config
 	log    *slog.Logger
 	source Source
-	emit   func(ctx context.Context, n Update)
+	emit   func(ctx context.Context, u Update)
 	// recipient names who gets the updates; "" suspends reading.
 	recipient func() string
 	// OnCall, if not nil, is called after each call to the source with whether it
-	// succeeded, but not after one that returned ErrForgotten.
+	// succeeded, but not after one that returned ErrGap.
 	OnCall func(ok bool)
 
 	mu sync.Mutex
@@ -124,8 +124,8 @@
 	return f.confirmed
 }
 
-// Down reports whether the last call failed. A call that returns ErrForgotten does not
-// change it.
+// Down reports whether the last call failed. A call that returns ErrGap does not change
+// it.
 func (f *Follower) Down() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,7 +145,7 @@
 			clock.Sleep(ctx, idlePollInterval)
 			continue
 		}
-		n, err := f.readOnce(ctx, next, full)
+		u, err := f.readOnce(ctx, next, full)
 		switch {
 		case ctx.Err() != nil:
 		case errors.Is(err, ErrGap):
@@ -155,11 +155,11 @@
 			clock.Sleep(ctx, retryDelay/2+rand.N(retryDelay))
 			retryDelay = min(2*retryDelay, maxRetryDelay)
 		default:
-			f.recordSuccess(n.At)
+			f.recordSuccess(u.At)
 			retryDelay = minRetryDelay
-			next, full = n.Next, false
-			if n.Full || len(n.Records) > 0 {
-				f.emit(ctx, n)
+			next, full = u.Next, false
+			if u.Full || len(u.Records) > 0 {
+				f.emit(ctx, u)
 			}
 			clock.Sleep(ctx, f.cfg.Pause)
 		}
@@ -172,18 +172,18 @@
 const idlePollInterval = 50 * time.Millisecond
 
 func (f *Follower) readOnce(ctx context.Context, from Offset, full bool) (Update, error) {
-	n := Update{Full: full, At: time.Now()}
+	u := Update{Full: full, At: time.Now()}
 	var err error
 	if full {
 		ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout)
 		defer cancel()
-		n.Records, n.Next, err = f.source.Newest(ctx)
-		return n, err
+		u.Records, u.Next, err = f.source.Newest(ctx)
+		return u, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout+f.cfg.Wait)
 	defer cancel()
-	n.Records, n.Next, err = f.source.Read(ctx, from, f.cfg.Wait)
-	return n, err
+	u.Records, u.Next, err = f.source.Read(ctx, from, f.cfg.Wait)
+	return u, err
 }
 
 func (f *Follower) recordFailure(err error) {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -84,13 +84,13 @@
 		var mu sync.Mutex
 		text := ""
 		cfg := Config{Name: "t", Wait: time.Second, Timeout: 500 * time.Millisecond}
-		f := New(cfg, slog.New(slog.DiscardHandler), s, recipient, func(_ context.Context, n Update) {
+		f := New(cfg, slog.New(slog.DiscardHandler), s, recipient, func(_ context.Context, u Update) {
 			mu.Lock()
 			defer mu.Unlock()
-			if n.Full {
+			if u.Full {
 				text += "|"
 			}
-			for _, r := range n.Records {
+			for _, r := range u.Records {
 				text += r.Key
 			}
 		})
