--- a/tables/edit_test.go
+++ b/tables/edit_test.go
@@ -103,9 +103,9 @@
 			}
 		}
 		c := NewReplay()
-		for _, n := range c.ApplyPage(ledger.Page{Next: 1, Records: []ledger.Record{{Data: b}}}) {
-			if n.Applied != (c.State().Version == 0) {
-				t.Fatal("Note.Applied does not tell whether the record took effect")
+		for _, result := range c.ApplyPage(ledger.Page{Next: 1, Records: []ledger.Record{{Data: b}}}) {
+			if result.Applied != (c.State().Version == 0) {
+				t.Fatal("RecordResult.Applied does not tell whether the record took effect")
 			}
 		}
 	})
--- a/tables/follow.go
+++ b/tables/follow.go
@@ -157,8 +157,8 @@
 		event.LogTruncated.Log(f.log, "end", p.End, "read", f.replay.Next())
 		return
 	}
-	for _, n := range f.replay.ApplyPage(p) {
-		f.logResult(n)
+	for _, result := range f.replay.ApplyPage(p) {
+		f.logResult(result)
 	}
 	f.publish()
 	if f.replay.Complete() && p.Next >= p.End {
@@ -166,17 +166,17 @@
 	}
 }
 
-func (f *Follower) logResult(n RecordResult) {
+func (f *Follower) logResult(result RecordResult) {
 	switch {
-	case n.Snapshot:
+	case result.Snapshot:
 		f.schedule.Restart(time.Now())
-	case n.Discarded:
-		event.HeldEditsDropped.Log(f.log, "offset", n.Offset)
-	case n.Err == nil:
-	case n.Edit == "":
-		event.TablesUnreadable.Log(f.log, "offset", n.Offset, "error", n.Err)
+	case result.Discarded:
+		event.HeldEditsDropped.Log(f.log, "offset", result.Offset)
+	case result.Err == nil:
+	case result.Edit == "":
+		event.TablesUnreadable.Log(f.log, "offset", result.Offset, "error", result.Err)
 	default:
-		event.EditRejected.Log(f.log, "offset", n.Offset, "edit", n.Edit, "error", n.Err)
+		event.EditRejected.Log(f.log, "offset", result.Offset, "edit", result.Edit, "error", result.Err)
 	}
 }
 
@@ -249,9 +249,9 @@
 	f.interrupt()
 }
 
-// ShouldFetch reports whether to ask a peer that has the version: if it is newer and the log
-// does not answer here, or if a snapshot is missing. While the log answers, it delivers
-// the edit itself, and a peer would only deliver it a second time.
+// ShouldFetch reports whether to send a FetchRequest to a peer that has the version: if it
+// is newer and the log does not answer here, or if a snapshot is missing. While the log
+// answers, it delivers the edit itself, and a peer would only deliver it a second time.
 func (f *Follower) ShouldFetch(now time.Time, v Version) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -268,10 +268,10 @@
 	return f.replay.FetchRequest()
 }
 
-// FetchReply answers a peer's request.
-func (f *Follower) FetchReply(a FetchRequest) (FetchReply, error) {
+// FetchReply returns the answer to a peer's request.
+func (f *Follower) FetchReply(req FetchRequest) (FetchReply, error) {
 	f.mu.Lock()
-	p, ok := f.replay.EditsSince(a)
+	p, ok := f.replay.EditsSince(req)
 	st, through, hasBasis := f.replay.SnapshotBasis()
 	f.mu.Unlock()
 	switch {
@@ -280,7 +280,7 @@
 	case !hasBasis:
 		return FetchReply{}, nil
 	}
-	b, err := f.snapshot(st, through, a.From)
+	b, err := f.snapshot(st, through, req.From)
 	return FetchReply{Snapshot: b}, err
 }
 
@@ -311,15 +311,15 @@
 }
 
 // ApplyReply applies a peer's answer.
-func (f *Follower) ApplyReply(b FetchReply) error {
+func (f *Follower) ApplyReply(reply FetchReply) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	notes, err := f.replay.ApplyReply(b)
+	results, err := f.replay.ApplyReply(reply)
 	if err != nil {
 		return err
 	}
-	for _, n := range notes {
-		f.logResult(n)
+	for _, result := range results {
+		f.logResult(result)
 	}
 	f.publish()
 	return nil
--- a/tables/replay.go
+++ b/tables/replay.go
@@ -102,15 +102,15 @@
 	if p.First > r.next {
 		r.skipTo(p.First)
 	}
-	var notes []RecordResult
+	var results []RecordResult
 	for _, rec := range p.Records {
 		if rec.Offset < r.next {
 			continue
 		}
-		notes = append(notes, r.process(rec))
+		results = append(results, r.process(rec))
 	}
 	r.next = max(r.next, p.Next)
-	return notes
+	return results
 }
 
 // skipTo continues at first, because the records between next and first are gone.
@@ -134,22 +134,22 @@
 }
 
 func (r *Replay) apply(rec ledger.Record) RecordResult {
-	n := RecordResult{Offset: rec.Offset}
+	result := RecordResult{Offset: rec.Offset}
 	e, err := DecodeEdit(rec)
 	if err != nil {
-		n.Err = err
-		return n
+		result.Err = err
+		return result
 	}
-	n.Edit = e.ID
+	result.Edit = e.ID
 	s, err := r.state.Apply(rec.Offset, e)
 	if err != nil {
-		n.Err = err
-		return n
+		result.Err = err
+		return result
 	}
 	r.state = s
 	r.addRecent(rec)
-	n.Applied = true
-	return n
+	result.Applied = true
+	return result
 }
 
 // addPending keeps an edit that can't be checked yet. If there are too many, it drops the
@@ -172,17 +172,17 @@
 // processSnapshot adopts a snapshot from the log only if records are missing: a complete
 // replay has read everything that the snapshot contains, and more.
 func (r *Replay) processSnapshot(rec ledger.Record) RecordResult {
-	n := RecordResult{Offset: rec.Offset, Snapshot: true}
+	result := RecordResult{Offset: rec.Offset, Snapshot: true}
 	if r.complete {
-		return n
+		return result
 	}
 	snap, err := DecodeSnapshot(rec.Data)
 	if err != nil {
-		n.Err = err
-		return n
+		result.Err = err
+		return result
 	}
-	n.Err = r.AdoptSnapshot(snap)
-	return n
+	result.Err = r.AdoptSnapshot(snap)
+	return result
 }
 
 // ErrGap is returned for a snapshot if records after its last one are missing here.
@@ -197,17 +197,17 @@
 // at 9; the log drops everything below 9. A new reader that adopted version 5 from it
 // would miss the edit at 8, reject the next one, whose base is 8, and never agree with the
 // others again.
-func (r *Replay) AdoptSnapshot(n Snapshot) error {
-	after := n.Through + 1
+func (r *Replay) AdoptSnapshot(snap Snapshot) error {
+	after := snap.Through + 1
 	switch {
 	case r.complete && after <= r.next:
 		return nil
 	case after < r.next && after < r.readFrom:
-		return errors.Wrapf(ErrGap, "through %d, read from %d", n.Through, r.readFrom)
-	case n.Version < r.state.Version:
-		return errors.Wrapf(ErrSnapshot, "version %d is older than %d", n.Version, r.state.Version)
+		return errors.Wrapf(ErrGap, "through %d, read from %d", snap.Through, r.readFrom)
+	case snap.Version < r.state.Version:
+		return errors.Wrapf(ErrSnapshot, "version %d is older than %d", snap.Version, r.state.Version)
 	}
-	s, err := n.state()
+	s, err := snap.state()
 	if err != nil {
 		return err
 	}
@@ -258,27 +258,27 @@
 // if the peer needs a snapshot, or if this replay is incomplete or no longer keeps all of
 // these edits. Only edits that took effect are sent: the others change no state, wherever
 // they are read.
-func (r *Replay) EditsSince(a FetchRequest) (ledger.Page, bool) {
-	if !r.complete || a.NeedSnapshot || a.From < r.recentFrom {
+func (r *Replay) EditsSince(req FetchRequest) (ledger.Page, bool) {
+	if !r.complete || req.NeedSnapshot || req.From < r.recentFrom {
 		return ledger.Page{}, false
 	}
-	i, _ := slices.BinarySearchFunc(r.recent.records, a.From, func(rec ledger.Record, o ledger.Offset) int {
+	i, _ := slices.BinarySearchFunc(r.recent.records, req.From, func(rec ledger.Record, o ledger.Offset) int {
 		return cmp.Compare(rec.Offset, o)
 	})
-	return ledger.Page{First: a.From, Next: r.next, Records: slices.Clone(r.recent.records[i:])}, true
+	return ledger.Page{First: req.From, Next: r.next, Records: slices.Clone(r.recent.records[i:])}, true
 }
 
 // ApplyReply applies a peer's answer.
-func (r *Replay) ApplyReply(b FetchReply) ([]RecordResult, error) {
-	if b.Page != nil && b.Page.First <= r.next {
-		return r.ApplyPage(*b.Page), nil
+func (r *Replay) ApplyReply(reply FetchReply) ([]RecordResult, error) {
+	if reply.Page != nil && reply.Page.First <= r.next {
+		return r.ApplyPage(*reply.Page), nil
 	}
-	if len(b.Snapshot) == 0 {
+	if len(reply.Snapshot) == 0 {
 		return nil, nil
 	}
-	n, err := DecodeSnapshot(b.Snapshot)
+	snap, err := DecodeSnapshot(reply.Snapshot)
 	if err != nil {
 		return nil, err
 	}
-	return nil, r.AdoptSnapshot(n)
+	return nil, r.AdoptSnapshot(snap)
 }
--- a/tables/replay_test.go
+++ b/tables/replay_test.go
@@ -32,8 +32,8 @@
 }
 
 type peerReply struct {
-	to   int
-	body FetchReply
+	to      int
+	payload FetchReply
 }
 
 func newReplaySim(readers int) *replaySim {
@@ -76,9 +76,9 @@
 	return ledger.Page{First: w.first, Next: next, End: end, Records: w.records[from:next]}
 }
 
-func (w *replaySim) answer(from int, a FetchRequest) FetchReply {
+func (w *replaySim) answer(from int, req FetchRequest) FetchReply {
 	r := w.readers[from]
-	if p, ok := r.EditsSince(a); ok {
+	if p, ok := r.EditsSince(req); ok {
 		return FetchReply{Page: &p}
 	}
 	if s, through, ok := r.SnapshotBasis(); ok {
@@ -162,13 +162,13 @@
 			reply := peerReply{i, w.answer(j, w.readers[i].FetchRequest())}
 			w.pendingReplies = append(w.pendingReplies, reply)
 			if rapid.Bool().Draw(t, "at once") {
-				_, _ = w.readers[i].ApplyReply(reply.body)
+				_, _ = w.readers[i].ApplyReply(reply.payload)
 			}
 		},
 		"deliver": func(t *rapid.T) {
 			if len(w.pendingReplies) > 0 {
-				reply := rapid.SampledFrom(w.pendingReplies).Draw(t, "letter")
-				_, _ = w.readers[reply.to].ApplyReply(reply.body)
+				reply := rapid.SampledFrom(w.pendingReplies).Draw(t, "reply")
+				_, _ = w.readers[reply.to].ApplyReply(reply.payload)
 			}
 		},
 		"restart": func(t *rapid.T) {
