--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -33,8 +33,8 @@
 	maxPickTries = 16
 )
 
-// Heartbeat returns the next heartbeat of this process. The caller fills in self, except for
-// owner, address and count.
+// Heartbeat returns the next heartbeat of this process. The caller fills in self, except
+// for owner, address and count.
 func (t *MemberTable) Heartbeat(self Member) Heartbeat {
 	join := t.joining || t.behind
 	t.behind = false
--- a/roster/member.go
+++ b/roster/member.go
@@ -67,7 +67,7 @@
 	State State
 }
 
-// Heartbeat is a heartbeat, or the answer to one.
+// Heartbeat is the message that members exchange: a heartbeat, or the answer to one.
 type Heartbeat struct {
 	From Member
 	// Join asks for many members at once, because the sender is new.
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -42,8 +42,8 @@
 	return m
 }
 
-// Heartbeat returns the next heartbeat of this process and up to n addresses to send it to.
-// others are addresses at which there may be members.
+// Heartbeat returns the next heartbeat of this process and up to n addresses to send it
+// to. others are addresses at which there may be members.
 func (r *Roster) Heartbeat(now time.Time, n int, others []netip.AddrPort) (heartbeat Heartbeat, to []netip.AddrPort) {
 	self := r.currentSelf(now)
 	r.withTable(func(t *MemberTable) {
--- a/roster/sim_test.go
+++ b/roster/sim_test.go
@@ -91,9 +91,9 @@
 		}
 		n.table.Tick(s.now)
 		to := n.table.Targets(2, s.seeds)
-		b := n.table.Heartbeat(Member{})
+		h := n.table.Heartbeat(Member{})
 		for _, a := range to {
-			if deliver := s.call(n, a, b); deliver != nil {
+			if deliver := s.call(n, a, h); deliver != nil {
 				deliver(s.now)
 			}
 		}
@@ -102,7 +102,7 @@
 
 // call sends a heartbeat and returns a function that delivers the answer to the sender,
 // or nil if there is no answer.
-func (s *sim) call(n *node, a netip.AddrPort, b Heartbeat) func(now time.Time) {
+func (s *sim) call(n *node, a netip.AddrPort, h Heartbeat) func(now time.Time) {
 	if a == n.addr {
 		return nil
 	}
@@ -111,17 +111,17 @@
 		n.table.Failed(s.now, a)
 		return nil
 	}
-	in := s.wire(b)
+	in := s.wire(h)
 	t.table.Received(s.now, in)
 	out := s.wire(t.table.Answer(Member{}, in))
 	return func(now time.Time) { n.table.Answered(sent, now, a, out) }
 }
 
-func (s *sim) wire(b Heartbeat) Heartbeat {
+func (s *sim) wire(h Heartbeat) Heartbeat {
 	if !s.encode {
-		return b
+		return h
 	}
-	text, err := json.Marshal(b)
+	text, err := json.Marshal(h)
 	if err != nil {
 		panic(err)
 	}
--- a/roster/table_test.go
+++ b/roster/table_test.go
@@ -286,17 +286,17 @@
 	text, _ := json.Marshal(s.nodes[simAddress(0)].table.Heartbeat(Member{Confirmed: true, Age: time.Second}))
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var b Heartbeat
-		if json.Unmarshal(text, &b) != nil {
+		var h Heartbeat
+		if json.Unmarshal(text, &h) != nil {
 			return
 		}
 		s := newSim(1, 1)
 		n := s.start(0, 1)
-		n.table.Received(s.now, b)
-		n.table.Answered(s.now, s.now, simAddress(1), b)
+		n.table.Received(s.now, h)
+		n.table.Answered(s.now, s.now, simAddress(1), h)
 		n.table.Tick(s.now.Add(time.Minute))
-		again, err := json.Marshal(n.table.Answer(Member{}, b))
-		if err != nil || json.Unmarshal(again, &b) != nil {
+		again, err := json.Marshal(n.table.Answer(Member{}, h))
+		if err != nil || json.Unmarshal(again, &h) != nil {
 			t.Fatalf("%s became an answer that can't be read: %s", text, again)
 		}
 	})
--- a/roster/wire.go
+++ b/roster/wire.go
@@ -39,20 +39,20 @@
 }
 
 // MarshalJSON encodes the heartbeat in its compact form.
-func (b Heartbeat) MarshalJSON() ([]byte, error) {
-	w := wireHeartbeat{From: toWire(b.From, Live), Join: b.Join, Size: b.Size, News: make([]wireMember, 0, len(b.News))}
-	if b.From.Confirmed {
-		ms := b.From.Age.Milliseconds()
+func (h Heartbeat) MarshalJSON() ([]byte, error) {
+	w := wireHeartbeat{From: toWire(h.From, Live), Join: h.Join, Size: h.Size, News: make([]wireMember, 0, len(h.News))}
+	if h.From.Confirmed {
+		ms := h.From.Age.Milliseconds()
 		w.From.Age = &ms
 	}
-	for _, n := range b.News {
+	for _, n := range h.News {
 		w.News = append(w.News, toWire(n.Member, n.State))
 	}
 	return json.Marshal(w)
 }
 
 // UnmarshalJSON reads what MarshalJSON writes.
-func (b *Heartbeat) UnmarshalJSON(text []byte) error {
+func (h *Heartbeat) UnmarshalJSON(text []byte) error {
 	var w wireHeartbeat
 	if err := json.Unmarshal(text, &w); err != nil {
 		return errors.Wrap(ErrHeartbeat, err.Error())
@@ -72,7 +72,7 @@
 		}
 		out.News = append(out.News, News{member, state})
 	}
-	*b = out
+	*h = out
 	return nil
 }
 
