--- a/node/store.go
+++ b/node/store.go
@@ -59,8 +59,8 @@
 
 // followOperator brings the operator's configuration into force.
 func (n *Node) followOperator() *registry.Follower {
-	return n.follower(registry.Config{Name: topicOperator, Wait: operatorPollWait}, n.platform.Operator, nil, func(ctx context.Context, news registry.Update) {
-		for _, r := range news.Records {
+	return n.follower(registry.Config{Name: topicOperator, Wait: operatorPollWait}, n.platform.Operator, nil, func(ctx context.Context, update registry.Update) {
+		for _, r := range update.Records {
 			if n.platform.IsCatalog(r) {
 				n.applyCatalog(ctx, r)
 			}
@@ -112,10 +112,10 @@
 
 // followWorkers reads the workers' records while this process is the list reader.
 func (n *Node) followWorkers() *registry.Follower {
-	return n.follower(registry.Config{Name: topicWorkers, Pause: workersPollInterval}, n.platform.WorkerList, n.plannerToReadFor, func(ctx context.Context, news registry.Update) {
+	return n.follower(registry.Config{Name: topicWorkers, Pause: workersPollInterval}, n.platform.WorkerList, n.plannerToReadFor, func(ctx context.Context, update registry.Update) {
 		var workers []cell.ListedWorker
 		var removed []string
-		for _, r := range news.Records {
+		for _, r := range update.Records {
 			if r.Removed {
 				removed = append(removed, r.Key)
 				continue
@@ -127,7 +127,7 @@
 			}
 			workers = append(workers, l)
 		}
-		l := cell.WorkerList{Full: news.Full, Workers: workers, Removed: removed}
+		l := cell.WorkerList{Full: update.Full, Workers: workers, Removed: removed}
 		n.enqueue(ctx, func(now time.Time, c *Core) { c.WorkersListed(now, l) })
 	})
 }
@@ -142,11 +142,11 @@
 // followMembers follows the list of processes.
 func (n *Node) followMembers() *registry.Follower {
 	tracker := newRecordTracker(n.cfg.Peers)
-	return n.follower(registry.Config{Name: topicMembers, Wait: membersPollWait}, n.platform.Members, nil, func(ctx context.Context, news registry.Update) {
-		if news.Full {
+	return n.follower(registry.Config{Name: topicMembers, Wait: membersPollWait}, n.platform.Members, nil, func(ctx context.Context, update registry.Update) {
+		if update.Full {
 			tracker.clear()
 		}
-		for _, r := range news.Records {
+		for _, r := range update.Records {
 			n.applyMemberRecord(ctx, tracker, r)
 		}
 		addrs := tracker.list()
