--- a/entry/book.go
+++ b/entry/book.go
@@ -26,7 +26,7 @@
 const (
 	// blocked: an earlier step isn't done.
 	blocked state = iota
-	// pending: the planner was asked for a worker.
+	// pending: a worker was requested from the planner.
 	pending
 	// placed: the holder was told to start it.
 	placed
@@ -56,15 +56,15 @@
 
 type job struct {
 	Request
-	text                           lease.Text
-	arrived, objectiveAt, deadline time.Time
-	tasks                          []*task
-	waiters                        []Waiter
-	// asked is when a planner was last asked for workers; zero once this cell's has
-	// answered.
-	asked time.Time
-	// otherPlanner is the planner of another cell that was asked after this cell's
-	// refused the job; zero before.
+	text                             lease.Text
+	arrivedAt, objectiveAt, deadline time.Time
+	tasks                            []*task
+	waiters                          []Waiter
+	// requestedAt is when workers were last requested from a planner; zero once this cell's
+	// planner has answered.
+	requestedAt time.Time
+	// otherPlanner is the planner of another cell from which workers were requested after
+	// this cell's planner refused the job; zero before.
 	otherPlanner mesh.ID
 	// ran is set once a run has ended that may have begun.
 	ran bool
@@ -118,8 +118,8 @@
 // Counts returns the counts. They share the maps of Jobs, which change later.
 func (js *Jobs) Counts() Counts { return js.counts }
 
-// Take returns the actions that have come up since the last call.
-func (js *Jobs) Take() []Action {
+// TakeActions returns the actions that have come up since the last call.
+func (js *Jobs) TakeActions() []Action {
 	a := js.actions
 	js.actions = nil
 	return a
@@ -141,7 +141,7 @@
 	for _, j := range js.jobs {
 		out = append(out, j)
 	}
-	slices.SortFunc(out, func(x, y *job) int { return cmp.Or(x.arrived.Compare(y.arrived), cmp.Compare(x.ID, y.ID)) })
+	slices.SortFunc(out, func(x, y *job) int { return cmp.Or(x.arrivedAt.Compare(y.arrivedAt), cmp.Compare(x.ID, y.ID)) })
 	return out
 }
 
--- a/entry/book_test.go
+++ b/entry/book_test.go
@@ -52,7 +52,7 @@
 
 func takeActions(js *Jobs) actions {
 	var out actions
-	for _, a := range js.Take() {
+	for _, a := range js.TakeActions() {
 		switch {
 		case a.Request != nil:
 			out.requests = append(out.requests, *a.Request)
--- a/entry/delay.go
+++ b/entry/delay.go
@@ -42,21 +42,22 @@
 // come in when all jobs are refused because of the delay.
 const delayFadeAfter = 500 * time.Millisecond
 
-// asked adds a sample of the time from a request to its answer, less the planner's wait.
-func (d *delay) asked(now time.Time, took time.Duration) {
+// addPlannerTime adds a sample of the time from a request to its answer, less the planner's
+// wait.
+func (d *delay) addPlannerTime(now time.Time, took time.Duration) {
 	d.plannerTime.Add(plannerTimeRange, took)
 	d.sampledAt = now
 }
 
-// plannerSilent adds the time for which the planner has not answered a request.
-func (d *delay) plannerSilent(now time.Time, waited time.Duration) {
+// addPlannerSilence adds the time for which the planner has not answered a request.
+func (d *delay) addPlannerSilence(now time.Time, waited time.Duration) {
 	d.plannerTime.Add(plannerTimeRange, waited)
 	d.sampledAt = now
 }
 
-// ran adds a sample of the time from a grant to the end of the run, less its time on the
-// worker.
-func (d *delay) ran(now time.Time, took time.Duration) {
+// addRunOverhead adds a sample of the time from a grant to the end of the run, less its
+// time on the worker.
+func (d *delay) addRunOverhead(now time.Time, took time.Duration) {
 	d.runOverhead.Add(runOverheadRange, took)
 	d.slowRunOverhead.Add(slowRunOverheadRange, took)
 	d.sampledAt = now
--- a/entry/delay_test.go
+++ b/entry/delay_test.go
@@ -83,7 +83,7 @@
 	js := New(slog.New(slog.DiscardHandler))
 	js.SetPlanner(ms(0), holder)
 	for i := range 60 {
-		js.delay.plannerSilent(ms(i), 500*time.Millisecond)
+		js.delay.addPlannerSilence(ms(i), 500*time.Millisecond)
 	}
 	js.SetPlanner(ms(100), other)
 	if d := js.PlannerDelay(); d > time.Millisecond {
--- a/entry/elsewhere.go
+++ b/entry/elsewhere.go
@@ -27,7 +27,7 @@
 		return false
 	}
 	j.otherPlanner = js.otherPlanners[xxhash.Sum64String(j.ID)%uint64(len(js.otherPlanners))]
-	event.JobOfferedToOtherCell.Log(js.log, "job", j.ID, "queue", j.Queue.Name, "planner", j.otherPlanner, "age_ms", now.Sub(j.arrived).Milliseconds())
+	event.JobOfferedToOtherCell.Log(js.log, "job", j.ID, "queue", j.Queue.Name, "planner", j.otherPlanner, "age_ms", now.Sub(j.arrivedAt).Milliseconds())
 	js.repeatRequests(now, j)
 	return true
 }
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -33,7 +33,7 @@
 			js.Refused(ms(10), planner, cell.Refusal{Job: jobID, Reason: "others_first"})
 			tt.do(js)
 			requests, answers, to := 0, 0, mesh.ID{}
-			for _, a := range js.Take() {
+			for _, a := range js.TakeActions() {
 				switch {
 				case a.Request != nil:
 					requests++
--- a/entry/end.go
+++ b/entry/end.go
@@ -39,13 +39,13 @@
 
 func (js *Jobs) handleRunEnd(now time.Time, j *job, t *task, end lease.End) {
 	delete(js.runs, end.Run)
-	event.RunEnded.Log(js.log, "job", j.ID, "task", end.Task, "run", end.Number, "how", end.Outcome, "why", string(end.Why), "worker", t.worker, "took_ms", end.Took.Milliseconds(), "age_ms", now.Sub(j.arrived).Milliseconds())
+	event.RunEnded.Log(js.log, "job", j.ID, "task", end.Task, "run", end.Number, "how", end.Outcome, "why", string(end.Why), "worker", t.worker, "took_ms", end.Took.Milliseconds(), "age_ms", now.Sub(j.arrivedAt).Milliseconds())
 	worker := t.worker
 	t.worker, t.holder, t.avoidWorker = "", mesh.ID{}, ""
 	switch end.Outcome {
 	case lease.Done:
 		t.state = done
-		js.delay.ran(now, now.Sub(t.placedAt)-end.Took)
+		js.delay.addRunOverhead(now, now.Sub(t.placedAt)-end.Took)
 	case lease.Failed:
 		t.failures++
 		t.state = blocked
@@ -115,7 +115,7 @@
 func (js *Jobs) finish(now time.Time, j *job, a Answer) {
 	j.answer, j.answeredAt = &a, now
 	event.JobAnswered.Log(js.log, "job", j.ID, "queue", j.Queue.Name, "status", a.Status, "why", a.Why, "after_ms", a.RetryAfter.Milliseconds(),
-		"age_ms", now.Sub(j.arrived).Milliseconds(), "aim_ms", j.objectiveAt.Sub(j.arrived).Milliseconds())
+		"age_ms", now.Sub(j.arrivedAt).Milliseconds(), "aim_ms", j.objectiveAt.Sub(j.arrivedAt).Milliseconds())
 	for _, w := range j.waiters {
 		js.reply(w, a)
 	}
--- a/entry/late.go
+++ b/entry/late.go
@@ -31,8 +31,8 @@
 // different members: all callers would then wait for nothing until their deadlines.
 func (js *Jobs) refuseIfTooLate(now time.Time, j *job) {
 	if !j.hasBegun() && now.After(j.objectiveAt.Add(plannerGrace-j.minDuration())) {
-		if !j.asked.IsZero() && j.otherPlanner == (mesh.ID{}) {
-			js.delay.plannerSilent(now, now.Sub(j.asked))
+		if !j.requestedAt.IsZero() && j.otherPlanner == (mesh.ID{}) {
+			js.delay.addPlannerSilence(now, now.Sub(j.requestedAt))
 		}
 		js.finish(now, j, Answer{Status: Refused, Why: "planner_silent", RetryAfter: minRetryAfter + cell.RetryJitter(j.ID)})
 	}
@@ -41,9 +41,9 @@
 // plannerAnswered records that the planner has answered for a job, after waiting for free
 // resources for a time.
 func (js *Jobs) plannerAnswered(now time.Time, j *job, waited time.Duration) {
-	if !j.asked.IsZero() && j.otherPlanner == (mesh.ID{}) {
-		js.delay.asked(now, now.Sub(j.asked)-waited)
-		j.asked = time.Time{}
+	if !j.requestedAt.IsZero() && j.otherPlanner == (mesh.ID{}) {
+		js.delay.addPlannerTime(now, now.Sub(j.requestedAt)-waited)
+		j.requestedAt = time.Time{}
 	}
 }
 
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -41,7 +41,7 @@
 func (js *Jobs) join(now time.Time, w Waiter, j *job, r Request) {
 	switch {
 	case j.answer == nil:
-		event.JobJoined.Log(js.log, "job", j.ID, "age_ms", now.Sub(j.arrived).Milliseconds())
+		event.JobJoined.Log(js.log, "job", j.ID, "age_ms", now.Sub(j.arrivedAt).Milliseconds())
 		j.waiters = append(j.waiters, w)
 		js.waiters[w] = j
 	case j.answer.Status == Completed || j.answer.Status == Failed:
@@ -55,7 +55,7 @@
 }
 
 func (js *Jobs) admit(now time.Time, w Waiter, r Request) {
-	j := &job{Request: r, text: lease.NewText(r.ID, r.Spec), arrived: now, waiters: []Waiter{w}}
+	j := &job{Request: r, text: lease.NewText(r.ID, r.Spec), arrivedAt: now, waiters: []Waiter{w}}
 	j.deadline = now.Add(r.Timeout)
 	j.objectiveAt = now.Add(objective(r))
 	for s, step := range r.Steps {
@@ -74,13 +74,13 @@
 }
 
 // objective returns the time in which the job should be answered: the longest chain of
-// estimated work, times the queue's stretch, plus the queue's objective.
+// estimated work, times the queue's Stretch, plus its Objective.
 func objective(r Request) time.Duration {
 	chain := make([]time.Duration, len(r.Steps))
 	var longest time.Duration
 	for i, s := range r.Steps {
-		for _, a := range s.DependsOn {
-			chain[i] = max(chain[i], chain[a])
+		for _, dep := range s.DependsOn {
+			chain[i] = max(chain[i], chain[dep])
 		}
 		chain[i] += s.Estimate
 		longest = max(longest, chain[i])
@@ -119,7 +119,7 @@
 		return
 	}
 	s := j.Steps[tasks[0].step]
-	a := &cell.Request{
+	req := &cell.Request{
 		Job:          j.ID,
 		Step:         tasks[0].step,
 		Queue:        j.Queue.Name,
@@ -127,7 +127,7 @@
 		Rank:         j.Queue.Rank,
 		Resources:    s.Resources,
 		Estimate:     s.Estimate,
-		Age:          now.Sub(j.arrived),
+		Age:          now.Sub(j.arrivedAt),
 		Objective:    j.objectiveAt.Sub(now) - js.delay.total(len(tasks)),
 		Timeout:      j.deadline.Sub(now),
 		Begun:        j.hasBegun(),
@@ -140,13 +140,13 @@
 			t.state = pending
 			t.runNumber++
 		}
-		a.Tasks = append(a.Tasks, j.lastRun(t))
+		req.Tasks = append(req.Tasks, j.lastRun(t))
 		if t.avoidWorker != "" {
-			a.Avoid = append(a.Avoid, t.avoidWorker)
+			req.Avoid = append(req.Avoid, t.avoidWorker)
 		}
 	}
-	j.asked = now
-	js.emit(Action{To: j.otherPlanner, Request: a})
+	j.requestedAt = now
+	js.emit(Action{To: j.otherPlanner, Request: req})
 }
 
 func (j *job) lastRun(t *task) lease.Run {
--- a/lease/book.go
+++ b/lease/book.go
@@ -181,18 +181,18 @@
 	actions []Action
 }
 
-// NewWorkerLease begins to hold a worker with a fence above floor, and with what its former
-// holder had learned of its speed. The floor must not be below any fence that is known to
-// have been used for the worker, including those of this process (HighestFence).
-func NewWorkerLease(now time.Time, w Worker, own, floor Fence, speed Speed, stats *PoolStats) *WorkerLease {
-	fence := own.Above(floor)
+// NewWorkerLease begins to hold a worker with a fence above minFence, and with what its
+// former holder had learned of its speed. No fence that is known to have been used for the
+// worker may be above minFence, including those of this process (HighestFence).
+func NewWorkerLease(now time.Time, w Worker, own, minFence Fence, speed Speed, stats *PoolStats) *WorkerLease {
+	fence := own.Above(minFence)
 	wl := &WorkerLease{worker: w, speed: speed, pool: stats, firstFence: fence, fence: fence, phase: connecting, runs: make(map[Run]*run), unreachableOwners: make(map[Owner]time.Time), unclaimedEnds: make(map[Run]Outcome), nextHoldAt: now}
 	wl.Tick(now)
 	return wl
 }
 
-// Take returns the actions that have come up since the last call.
-func (wl *WorkerLease) Take() []Action {
+// TakeActions returns the actions that have come up since the last call.
+func (wl *WorkerLease) TakeActions() []Action {
 	a := wl.actions
 	wl.actions = nil
 	return a
@@ -262,7 +262,7 @@
 	wl.emit(Action{Stop: &StopCall{Run: e.Run, Fence: wl.fence}})
 }
 
-// OwnerLost stops the runs of a process that was lost. Its caller may retry at another
+// OwnerLost stops the runs of a process that was lost. Its callers may retry at another
 // process and have the tasks started again.
 func (wl *WorkerLease) OwnerLost(now time.Time, o Owner) {
 	for _, e := range wl.sortedRuns() {
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -50,7 +50,7 @@
 
 func takeActions(wl *WorkerLease) actions {
 	var out actions
-	for _, a := range wl.Take() {
+	for _, a := range wl.TakeActions() {
 		switch {
 		case a.Hold != nil:
 			out.holds = append(out.holds, *a.Hold)
--- a/node/core.go
+++ b/node/core.go
@@ -175,7 +175,7 @@
 
 func (c *Core) runActionsOnce(now time.Time) bool {
 	c.cell.Place(now)
-	entryActions, plannerActions := c.entry.Take(), c.cell.TakeActions()
+	entryActions, plannerActions := c.entry.TakeActions(), c.cell.TakeActions()
 	for _, a := range entryActions {
 		c.handleEntryAction(now, a)
 	}
@@ -184,11 +184,11 @@
 	}
 	more := len(entryActions)+len(plannerActions) > 0
 	for _, id := range c.heldIDs() {
-		b := c.held[id]
-		acts := b.Take()
+		wl := c.held[id]
+		acts := wl.TakeActions()
 		more = more || len(acts) > 0
 		for _, a := range acts {
-			c.handleLeaseAction(now, b, a)
+			c.handleLeaseAction(now, wl, a)
 		}
 	}
 	return more
@@ -227,8 +227,8 @@
 	c.send(now, a.To, Message{Grant: a.Grant, Refusal: a.Refusal, Assignment: a.Assignment, Release: a.Release, Drain: a.Drain})
 }
 
-func (c *Core) handleLeaseAction(now time.Time, b *lease.WorkerLease, a lease.Action) {
-	w := b.Worker()
+func (c *Core) handleLeaseAction(now time.Time, wl *lease.WorkerLease, a lease.Action) {
+	w := wl.Worker()
 	switch {
 	case a.Hold != nil:
 		c.out = append(c.out, Output{Worker: w, Hold: a.Hold})
@@ -242,9 +242,9 @@
 		}
 		c.send(now, a.Report.Owner, Message{Ended: &entry.Ended{Worker: w.ID, End: a.Report.End}})
 	case a.AnnounceHeld:
-		event.WorkerHeld.Log(c.log, "worker", w.ID, "fence", uint64(b.Fence()))
+		event.WorkerHeld.Log(c.log, "worker", w.ID, "fence", uint64(wl.Fence()))
 		c.unannounced = append(c.unannounced, w.ID)
-		if b.Claiming() {
+		if wl.Claiming() {
 			c.announceNewlyHeld(now)
 		}
 	}
@@ -304,8 +304,8 @@
 	case m.Assignment != nil:
 		c.startHolding(now, *m.Assignment)
 	case m.Drain != nil:
-		if b := c.held[m.Drain.Worker]; b != nil {
-			b.Drain()
+		if wl := c.held[m.Drain.Worker]; wl != nil {
+			wl.Drain()
 		}
 	case m.WorkerList != nil:
 		c.handleWorkerList(now, from, *m.WorkerList)
@@ -350,15 +350,15 @@
 
 // HoldAnswered handles the answer to a hold call.
 func (c *Core) HoldAnswered(now time.Time, worker string, call lease.HoldCall, r lease.Result) {
-	if b := c.held[worker]; b != nil {
-		b.HoldAnswered(now, call, r)
+	if wl := c.held[worker]; wl != nil {
+		wl.HoldAnswered(now, call, r)
 	}
 }
 
 // StartAnswered handles the answer to a start call.
 func (c *Core) StartAnswered(now time.Time, worker string, call lease.StartCall, r lease.Result) {
-	if b := c.held[worker]; b != nil {
-		b.StartAnswered(now, call, r)
+	if wl := c.held[worker]; wl != nil {
+		wl.StartAnswered(now, call, r)
 	}
 }
 
--- a/node/holder.go
+++ b/node/holder.go
@@ -14,22 +14,22 @@
 )
 
 // startHolding opens a lease on a worker that the planner has assigned to this process.
-func (c *Core) startHolding(now time.Time, d cell.Assignment) {
-	if b := c.held[d.Worker.ID]; b != nil && !b.Closed() || c.self.Leaving || c.self.Number == 0 {
+func (c *Core) startHolding(now time.Time, a cell.Assignment) {
+	if wl := c.held[a.Worker.ID]; wl != nil && !wl.Closed() || c.self.Leaving || c.self.Number == 0 {
 		return
 	}
-	event.HoldingBegan.Log(c.log, "worker", d.Worker.ID, "address", d.Worker.Address, "floor", uint64(d.MinFence))
-	c.dropHolding(d.Worker.ID)
+	event.HoldingBegan.Log(c.log, "worker", a.Worker.ID, "address", a.Worker.Address, "floor", uint64(a.MinFence))
+	c.dropHolding(a.Worker.ID)
 	c.sortedHeld = nil
-	minFence := max(d.MinFence, c.maxUsedFence)
-	c.held[d.Worker.ID] = lease.NewWorkerLease(now, d.Worker, lease.NewFence(c.self.Number), minFence, d.Speed, c.statsOf(d.Worker.Pool))
+	minFence := max(a.MinFence, c.maxUsedFence)
+	c.held[a.Worker.ID] = lease.NewWorkerLease(now, a.Worker, lease.NewFence(c.self.Number), minFence, a.Speed, c.statsOf(a.Worker.Pool))
 }
 
 // dropHolding removes the lease on a worker and keeps the highest fence that it used,
 // which the next lease must exceed.
 func (c *Core) dropHolding(worker string) {
-	if b := c.held[worker]; b != nil {
-		c.maxUsedFence = max(c.maxUsedFence, b.HighestFence())
+	if wl := c.held[worker]; wl != nil {
+		c.maxUsedFence = max(c.maxUsedFence, wl.HighestFence())
 		delete(c.held, worker)
 		c.sortedHeld = nil
 	}
@@ -45,17 +45,17 @@
 
 // statsOf returns what is known of the workers of a pool as a whole.
 func (c *Core) statsOf(pool string) *lease.PoolStats {
-	h := c.poolStats[pool]
-	if h == nil {
-		h = &lease.PoolStats{}
-		c.poolStats[pool] = h
+	stats := c.poolStats[pool]
+	if stats == nil {
+		stats = &lease.PoolStats{}
+		c.poolStats[pool] = stats
 	}
-	return h
+	return stats
 }
 
 func (c *Core) releaseWorker(now time.Time, worker string) {
-	if b := c.held[worker]; b != nil {
-		b.Release(now)
+	if wl := c.held[worker]; wl != nil {
+		wl.Release(now)
 		return
 	}
 	// The planner's state is stale: it takes this process for the holder.
@@ -64,17 +64,17 @@
 
 func (c *Core) startRuns(now time.Time, from mesh.ID, s entry.Start) {
 	for _, r := range s.Runs {
-		b := c.held[r.Worker]
+		wl := c.held[r.Worker]
 		// The grant may stem from an earlier lease of this process, if the planner knows
 		// only that one. The owner orders holders by the fence of its grant, so if the run
 		// were started here, a holder from between the two leases could make the owner
 		// believe that the run is lost.
-		if b == nil || b.Fence().Base() != r.Fence.Base() {
+		if wl == nil || wl.Fence().Base() != r.Fence.Base() {
 			end := lease.End{Run: r.Run, Outcome: lease.NeverStarted, Why: lease.NotHeld}
 			c.send(now, from, Message{Ended: &entry.Ended{Worker: r.Worker, End: end}})
 			continue
 		}
-		b.Start(now, from, lease.Order{
+		wl.Start(now, from, lease.Order{
 			Claim: lease.Claim{Run: r.Run, Resources: s.Resources, Estimate: cmp.Or(r.Estimate, s.Estimate)},
 			Text:  lease.Text{Spec: string(s.Spec), Sum: s.Sum},
 		})
@@ -83,25 +83,25 @@
 
 func (c *Core) stopRuns(now time.Time, s entry.Stop) {
 	for _, r := range s.Runs {
-		if b := c.held[r.Worker]; b != nil {
-			b.Stop(now, r.Run)
+		if wl := c.held[r.Worker]; wl != nil {
+			wl.Stop(now, r.Run)
 		}
 	}
 }
 
 func (c *Core) claimRuns(now time.Time, from mesh.ID, cl entry.Claim) {
-	b := c.held[cl.Worker]
-	if b == nil {
+	wl := c.held[cl.Worker]
+	if wl == nil {
 		c.send(now, from, Message{Unheld: &entry.Unheld{Worker: cl.Worker}})
 		return
 	}
 	claims := make([]lease.Claim, 0, len(cl.Runs))
 	for _, r := range cl.Runs {
-		if r.Fence.Base() > b.Fence().Base() {
+		if r.Fence.Base() > wl.Fence().Base() {
 			continue
 		}
 		claims = append(claims, lease.Claim{Run: r.Run, Resources: r.Resources, Estimate: r.Estimate})
 	}
-	event.RunsClaimed.Log(c.log, "worker", cl.Worker, "owner", from, "runs", len(claims), "unanswered", b.UnansweredStarts())
-	b.Claim(now, from, claims)
+	event.RunsClaimed.Log(c.log, "worker", cl.Worker, "owner", from, "runs", len(claims), "unanswered", wl.UnansweredStarts())
+	wl.Claim(now, from, claims)
 }
--- a/node/mail_test.go
+++ b/node/mail_test.go
@@ -27,16 +27,16 @@
 		Estimate: 900 * time.Millisecond, Age: 3 * time.Millisecond, Objective: 1463 * time.Millisecond, Timeout: 4100 * time.Millisecond,
 	}
 	grant := &cell.Grant{Job: request.Job, Waited: 1234567}
-	b := lease.NewWorkerLease(ms(0), lease.Worker{ID: "i-0b47f04fe8", Pool: request.Pool, Resources: lease.Resources{CPU: 64000, Memory: 1000}}, lease.NewFence(1234), 0, lease.Speed{Factor: 0.61, Ends: 9}, &lease.PoolStats{})
-	b.HoldAnswered(ms(1), *b.Take()[0].Hold, lease.Result{Verdict: lease.OK, Clock: 5000, Incarnation: 7})
-	b.State(ms(1))
+	wl := lease.NewWorkerLease(ms(0), lease.Worker{ID: "i-0b47f04fe8", Pool: request.Pool, Resources: lease.Resources{CPU: 64000, Memory: 1000}}, lease.NewFence(1234), 0, lease.Speed{Factor: 0.61, Ends: 9}, &lease.PoolStats{})
+	wl.HoldAnswered(ms(1), *wl.TakeActions()[0].Hold, lease.Result{Verdict: lease.OK, Clock: 5000, Incarnation: 7})
+	wl.State(ms(1))
 	var reports int
 	for i := range tasks {
 		request.Tasks = append(request.Tasks, task(i))
-		grant.Items = append(grant.Items, cell.GrantedRun{Run: task(i), Worker: "i-0b47f04fe8", Holder: member(1).ID, Fence: b.Fence()})
-		b.Start(ms(2), member(1).ID, lease.Order{Claim: lease.Claim{Run: task(i), Resources: request.Resources, Estimate: request.Estimate}, Text: lease.NewText(task(i).Job(), "")})
-		b.HoldAnswered(ms(100+i), holdOf(t, b), lease.Result{Verdict: lease.OK, Clock: 5100, Incarnation: 7, Ended: []lease.ListedEnd{{Number: int64(i + 1), Run: task(i), Outcome: lease.Done}}})
-		s, _ := b.Changed(ms(101 + i))
+		grant.Items = append(grant.Items, cell.GrantedRun{Run: task(i), Worker: "i-0b47f04fe8", Holder: member(1).ID, Fence: wl.Fence()})
+		wl.Start(ms(2), member(1).ID, lease.Order{Claim: lease.Claim{Run: task(i), Resources: request.Resources, Estimate: request.Estimate}, Text: lease.NewText(task(i).Job(), "")})
+		wl.HoldAnswered(ms(100+i), holdOf(t, wl), lease.Result{Verdict: lease.OK, Clock: 5100, Incarnation: 7, Ended: []lease.ListedEnd{{Number: int64(i + 1), Run: task(i), Outcome: lease.Done}}})
+		s, _ := wl.Changed(ms(101 + i))
 		reports += messageSize(t, Message{Report: &cell.Report{States: []lease.State{s}}})
 	}
 	t.Logf("a job of four tasks: request %d, reports %d, grant %d bytes", messageSize(t, Message{Request: request}), reports, messageSize(t, Message{Grant: grant}))
@@ -51,10 +51,10 @@
 
 // holdOf returns the hold call among the actions of the lease or, if there is none, one
 // with a number that no call has.
-func holdOf(t *testing.T, b *lease.WorkerLease) lease.HoldCall {
+func holdOf(t *testing.T, wl *lease.WorkerLease) lease.HoldCall {
 	t.Helper()
 	call := lease.HoldCall{Number: -1, Sent: ms(2), Wait: time.Second}
-	for _, a := range b.Take() {
+	for _, a := range wl.TakeActions() {
 		if a.Hold != nil {
 			call = *a.Hold
 		}
--- a/node/members.go
+++ b/node/members.go
@@ -53,8 +53,8 @@
 
 func (c *Core) announceWorkers(now time.Time, to mesh.ID, workers []string) {
 	for _, id := range workers {
-		if b := c.held[id]; b != nil && b.Established() {
-			c.send(now, to, Message{Held: &entry.Held{Worker: id, Fence: b.Fence()}})
+		if wl := c.held[id]; wl != nil && wl.Established() {
+			c.send(now, to, Message{Held: &entry.Held{Worker: id, Fence: wl.Fence()}})
 		}
 	}
 }
@@ -183,14 +183,14 @@
 // connect to each other: some hundred milliseconds, a second on slow VMs.
 const discoveryTimeout = 2 * time.Second
 
-// updatePlanning starts or stops planning, and reports whether it has started; self is set
-// if this process is the elected planner. Members that elected this process before it
+// updatePlanning starts or stops planning, and reports whether it has started; elected is
+// set if this process is the elected planner. Members that elected this process before it
 // elected itself have sent it messages that it could not use. It therefore advertises that
 // it has started, and they send them again.
-func (c *Core) updatePlanning(now time.Time, self bool) (began bool) {
+func (c *Core) updatePlanning(now time.Time, elected bool) (began bool) {
 	switch {
-	case self == c.cell.Active():
-	case self:
+	case elected == c.cell.Active():
+	case elected:
 		c.cell.Begin(now)
 		c.self.PlannerTerms++
 		c.out = append(c.out, Output{Advertise: &c.self})
@@ -215,9 +215,9 @@
 	return best.ID
 }
 
-// ListReader reports whether this process reads the list of workers, and returns the planner
-// for which it does and how often that has begun to plan. A planner that begins again
-// knows no workers, so it needs the whole list instead of changes.
+// ListReader reports whether this process reads the list of workers, and returns the
+// planner for which it does and how often that planner has begun to plan. A planner that
+// begins again knows no workers, so it needs the whole list instead of changes.
 func (c *Core) ListReader() (planner mesh.ID, term uint64, ok bool) {
 	term = c.self.PlannerTerms
 	if m, other := c.members[c.planner]; other {
--- a/node/report.go
+++ b/node/report.go
@@ -35,14 +35,14 @@
 	r := &cell.Report{Full: now.Sub(c.fullReportAt) >= fullReportInterval}
 	describe := c.fullReportAt.IsZero() || r.Full && now.Sub(c.describedAt) >= describeInterval
 	for _, id := range c.heldIDs() {
-		b := c.held[id]
-		if s, ok := reportedState(now, b, r.Full, describe); ok {
+		wl := c.held[id]
+		if s, ok := reportedState(now, wl, r.Full, describe); ok {
 			r.States = append(r.States, s)
 		}
-		if b.Closed() {
-			event.HoldingEnded.Log(c.log, "worker", id, "why", b.CloseReason(), "fence", uint64(b.Fence()))
+		if wl.Closed() {
+			event.HoldingEnded.Log(c.log, "worker", id, "why", wl.CloseReason(), "fence", uint64(wl.Fence()))
 			c.dropHolding(id)
-			for _, o := range b.Owners() {
+			for _, o := range wl.Owners() {
 				c.send(now, o, Message{Unheld: &entry.Unheld{Worker: id}})
 			}
 		}
@@ -61,12 +61,12 @@
 
 // reportedState returns the state of a worker to report: complete if describe is set,
 // otherwise what has changed. Unless full is set, it returns false if nothing has.
-func reportedState(now time.Time, b *lease.WorkerLease, full, describe bool) (lease.State, bool) {
+func reportedState(now time.Time, wl *lease.WorkerLease, full, describe bool) (lease.State, bool) {
 	switch {
 	case describe:
-		return b.State(now), true
+		return wl.State(now), true
 	case full:
-		return b.Changes(now), true
+		return wl.Changes(now), true
 	}
-	return b.Changed(now)
+	return wl.Changed(now)
 }
--- a/node/store.go
+++ b/node/store.go
@@ -101,8 +101,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-sub.C:
-			blind := n.topics[topicOperator].Down() || n.topics[topicMembers].Down()
-			n.advertise(ctx, func(m *mesh.Member) { m.StoreUnreachable = blind })
+			unreachable := n.topics[topicOperator].Down() || n.topics[topicMembers].Down()
+			n.advertise(ctx, func(m *mesh.Member) { m.StoreUnreachable = unreachable })
 		}
 	}
 }
--- a/node/watch.go
+++ b/node/watch.go
@@ -96,8 +96,8 @@
 		return need
 	}
 	need[c.planner] = struct{}{}
-	for _, b := range c.held {
-		for _, o := range b.Owners() {
+	for _, wl := range c.held {
+		for _, o := range wl.Owners() {
 			need[o] = struct{}{}
 		}
 	}
