--- a/cell/admit.go
+++ b/cell/admit.go
@@ -159,11 +159,11 @@
 // moment, for tasks of the average CPU request in the queue.
 func (pl *Planner) slots(now time.Time, queue []*pendingRequest) []*slots {
 	cpu := 0
-	for _, w := range queue {
-		cpu += w.Resources.CPU
+	for _, p := range queue {
+		cpu += p.Resources.CPU
 	}
 	cpu = max(cpu/len(queue), 1)
-	byRack := slices.ContainsFunc(queue, func(w *pendingRequest) bool { return w.Rack != "" })
+	byRack := slices.ContainsFunc(queue, func(p *pendingRequest) bool { return p.Rack != "" })
 	var out []*slots
 	group := make(map[string]*slots)
 	for _, w := range pl.bySpeed {
--- a/cell/book.go
+++ b/cell/book.go
@@ -89,14 +89,14 @@
 	job        string
 }
 
-// addRun and drop keep used equal to the resources of all runs.
+// addRun and dropRun keep used equal to the resources of all runs.
 func (w *worker) addRun(r lease.Run, active activeRun) {
-	w.drop(r)
+	w.dropRun(r)
 	w.runs[r] = active
 	w.used = w.used.Plus(active.resources)
 }
 
-func (w *worker) drop(r lease.Run) {
+func (w *worker) dropRun(r lease.Run) {
 	if active, ok := w.runs[r]; ok {
 		w.used = w.used.Minus(active.resources)
 		delete(w.runs, r)
@@ -141,9 +141,9 @@
 	active    bool
 	startedAt time.Time
 	members   map[mesh.ID]*member
-	// callers holds the data centre of each process that may send requests: the members,
+	// requesters holds the data centre of each process that may send requests: the members,
 	// and processes of other cells.
-	callers      map[mesh.ID]string
+	requesters   map[mesh.ID]string
 	workers      map[string]*worker
 	pending      map[stepKey]*pendingRequest
 	requestQueue requestQueue
@@ -155,13 +155,14 @@
 	byID []*worker
 	// lastLookAhead is when lookAhead last ran.
 	lastLookAhead time.Time
-	// refusedDelay is how late the last job would have been that this look-ahead refused.
+	// refusedDelay is how late the job would have been that the current look-ahead refused
+	// last.
 	refusedDelay time.Duration
 	// needsPlanning is set if something has changed that may allow placing tasks,
 	// hasUnheld if a worker may have lost its holder.
 	needsPlanning, hasUnheld bool
-	// mayReassign is set if workers of lost members may be assigned to others; while it
-	// is not, no worker is assigned at all. allReachable is set if every existing process
+	// mayReassign is set if workers of unreachable members may be assigned to others; while
+	// it is not, no worker is assigned at all. allReachable is set if every existing process
 	// is reachable.
 	mayReassign, allReachable bool
 	actions                   []Action
@@ -232,11 +233,11 @@
 	pl.clear()
 }
 
-// SetMembers sets the processes of the cell that are reachable, this one included, and all
-// processes that may send requests, the members included. mayReassign says whether the
+// SetMembers sets the processes of the cell that are reachable, this one included, and the
+// requesters: all processes that may send requests, the members included. mayReassign says whether the
 // workers of unreachable members may be assigned to others; if not, no worker is
-// assigned at all. allReachable says whether no member is unreachable.
-func (pl *Planner) SetMembers(now time.Time, reachable, callers []mesh.Member, mayReassign, allReachable bool) {
+// assigned at all. allReachable says whether every existing process is reachable.
+func (pl *Planner) SetMembers(now time.Time, reachable, requesters []mesh.Member, mayReassign, allReachable bool) {
 	if !pl.active {
 		return
 	}
@@ -251,9 +252,9 @@
 		next[m.ID] = e
 	}
 	pl.members = next
-	pl.callers = make(map[mesh.ID]string, len(callers))
-	for _, m := range callers {
-		pl.callers[m.ID] = m.DataCenter
+	pl.requesters = make(map[mesh.ID]string, len(requesters))
+	for _, m := range requesters {
+		pl.requesters[m.ID] = m.DataCenter
 	}
 	for _, w := range pl.workers {
 		if w.holder != (mesh.ID{}) && next[w.holder] == nil {
@@ -261,8 +262,8 @@
 		}
 	}
 	for _, p := range pl.pending {
-		if _, ok := pl.callers[p.owner]; !ok {
-			pl.drop(p)
+		if _, ok := pl.requesters[p.owner]; !ok {
+			pl.dropRequest(p)
 		}
 	}
 	pl.assign(now)
@@ -308,7 +309,7 @@
 		pl.listRead = true
 	}
 	for _, w := range l.Workers {
-		pl.listed(w)
+		pl.updateListed(w)
 	}
 	for _, id := range l.Removed {
 		if w := pl.workers[id]; w != nil {
@@ -319,8 +320,8 @@
 	pl.needsPlanning = true
 }
 
-// listed adds or updates a worker that the platform lists.
-func (pl *Planner) listed(l ListedWorker) {
+// updateListed adds or updates a worker that the platform lists.
+func (pl *Planner) updateListed(l ListedWorker) {
 	w := pl.workers[l.ID]
 	if w == nil {
 		w = &worker{runs: make(map[lease.Run]activeRun)}
@@ -353,7 +354,7 @@
 	for _, w := range pl.workers {
 		for r, active := range w.runs {
 			if active.unreported && now.Sub(active.startedAt) >= grantTimeout {
-				w.drop(r)
+				w.dropRun(r)
 			}
 		}
 	}
--- a/cell/duty.go
+++ b/cell/duty.go
@@ -213,7 +213,7 @@
 		return
 	}
 	load := pl.memberLoads()
-	gap := minLoadGap / pl.meanShare()
+	gap := minLoadGap / pl.meanCores()
 	least := pl.leastLoad(load)
 	for _, w := range pl.sortedWorkers() {
 		from := pl.members[w.holder]
@@ -253,7 +253,7 @@
 	return least
 }
 
-func (pl *Planner) meanShare() float64 {
+func (pl *Planner) meanCores() float64 {
 	sum := 0.0
 	for _, m := range pl.members {
 		sum += m.Cores
--- a/cell/gather.go
+++ b/cell/gather.go
@@ -16,8 +16,10 @@
 // the text alone were 40% of what a process sent, and its calls to workers waited behind
 // them.
 type holderSelector struct {
-	gather bool
-	owner  *member
+	// fewHolders is whether the policy is on; otherwise holders make no difference.
+	fewHolders bool
+	// owner is the member that sent the request, or nil if it is in another cell.
+	owner *member
 	// dc is the owner's data centre.
 	dc          string
 	membersByID map[mesh.ID]*member
@@ -61,13 +63,13 @@
 // holderSelector returns the selector for one step's tasks.
 func (pl *Planner) holderSelector(p *pendingRequest) *holderSelector {
 	h := &holderSelector{
-		gather:      pl.policy.FewHolders.on(),
+		fewHolders:  pl.policy.FewHolders.on(),
 		owner:       pl.members[p.owner],
 		membersByID: pl.members,
 		tasks:       make(map[*member]int),
 		capacity:    make(map[*member]int),
 	}
-	h.dc = pl.callers[p.owner]
+	h.dc = pl.requesters[p.owner]
 	return h
 }
 
@@ -89,7 +91,7 @@
 // or else on the holder that can take most of the tasks. It returns nil if there are no
 // candidates.
 func (h *holderSelector) best(p *pendingRequest) *candidate {
-	if !h.gather {
+	if !h.fewHolders {
 		return leastFree(h.candidates, func(*candidate) bool { return true })
 	}
 	if c := leastFree(h.candidates, func(c *candidate) bool { return h.hasText(c.holderMember) }); c != nil {
--- a/cell/message.go
+++ b/cell/message.go
@@ -104,8 +104,8 @@
 	Full    bool           `cbor:"1,keyasint,omitzero"`
 	Workers []ListedWorker `cbor:"2,keyasint,omitzero"`
 	Removed []string       `cbor:"3,keyasint,omitzero"`
-	// FromPlanner is set if a current or former planner sends its own list to the next planner;
-	// otherwise the list was read from the platform.
+	// FromPlanner is set for a planner's copy of the list, which is sent to a deputy or to
+	// the next planner; otherwise the list was read from the platform.
 	FromPlanner bool `cbor:"4,keyasint,omitzero"`
 }
 
--- a/cell/place.go
+++ b/cell/place.go
@@ -11,23 +11,23 @@
 )
 
 // Request adds a request for workers, or updates the pending one for the same step.
-func (pl *Planner) Request(now time.Time, from mesh.ID, a Request) {
+func (pl *Planner) Request(now time.Time, from mesh.ID, req Request) {
 	if !pl.active {
 		return
 	}
-	k := stepKey{a.Job, a.Step}
+	k := stepKey{req.Job, req.Step}
 	p := pl.pending[k]
 	if p == nil || p.owner != from {
 		if p != nil {
 			pl.requestQueue.remove(p)
 		}
-		p = &pendingRequest{Request: a, stepKey: k, owner: from, arrivedAt: now.Add(-a.Age), objective: now.Add(a.Objective), deadline: now.Add(a.Timeout), requestedAt: now}
+		p = &pendingRequest{Request: req, stepKey: k, owner: from, arrivedAt: now.Add(-req.Age), objective: now.Add(req.Objective), deadline: now.Add(req.Timeout), requestedAt: now}
 		pl.pending[k] = p
 		pl.requestQueue.add(p)
 	} else {
 		pl.requestQueue.change(p, func() {
-			p.Begun, p.Avoid, p.requestedAt = a.Begun, a.Avoid, now
-			p.Tasks = mergeRuns(p.Tasks, a.Tasks)
+			p.Begun, p.Avoid, p.requestedAt = req.Begun, req.Avoid, now
+			p.Tasks = mergeRuns(p.Tasks, req.Tasks)
 		})
 	}
 	pl.needsPlanning = true
@@ -49,9 +49,9 @@
 		return
 	}
 	if len(wd.Runs) == 0 {
-		for _, w := range pl.pending {
-			if w.job == wd.Job {
-				pl.drop(w)
+		for _, p := range pl.pending {
+			if p.job == wd.Job {
+				pl.dropRequest(p)
 			}
 		}
 		return
@@ -59,15 +59,15 @@
 	for _, w := range pl.workers {
 		for _, r := range wd.Runs {
 			if w.runs[r].unreported {
-				w.drop(r)
+				w.dropRun(r)
 			}
 		}
 	}
 	pl.needsPlanning = true
 }
 
-// drop deletes a pending request.
-func (pl *Planner) drop(p *pendingRequest) {
+// dropRequest deletes a pending request.
+func (pl *Planner) dropRequest(p *pendingRequest) {
 	delete(pl.pending, p.stepKey)
 	pl.requestQueue.remove(p)
 }
@@ -87,7 +87,7 @@
 
 // Place grants workers to pending requests in the order of the queue, and refuses jobs
 // that cannot meet their objective. It does nothing if nothing has changed since the last
-// call, so that a burst of events is planned once.
+// call, so that a burst of events causes one planning.
 func (pl *Planner) Place(now time.Time) {
 	if !pl.active || !pl.needsPlanning {
 		return
@@ -256,7 +256,7 @@
 }
 
 func (pl *Planner) refuse(now time.Time, p *pendingRequest, reason string) {
-	pl.drop(p)
+	pl.dropRequest(p)
 	pl.counts.Refused[reason]++
 	event.JobRefused.Log(pl.log, "job", p.job, "queue", p.Queue, "why", reason, "waited_ms", now.Sub(p.arrivedAt).Milliseconds(), "aim_ms", p.objective.Sub(now).Milliseconds(), "waiting", len(pl.pending))
 	pl.emit(Action{To: p.owner, Refusal: &Refusal{Job: p.job, Reason: reason, RetryAfter: pl.retryAfter(p.job), Waited: now.Sub(p.requestedAt)}})
@@ -308,7 +308,7 @@
 		return
 	}
 	if len(rest) == 0 {
-		pl.drop(p)
+		pl.dropRequest(p)
 	} else {
 		pl.requestQueue.change(p, func() { p.Begun, p.Tasks = true, rest })
 	}
--- a/cell/policy.go
+++ b/cell/policy.go
@@ -20,13 +20,13 @@
 	// with.
 	LookAhead Choice
 	Margin    float64
-	// FewHolders places the tasks of a job on few holders when it chooses among equally fast
-	// workers.
+	// FewHolders places the tasks of a job on few holders when there is a choice among
+	// equally fast workers.
 	FewHolders Choice
 	// Order is the order of the queue.
 	Order Order
-	// OtherRackFactor is the factor by which tasks take longer on a rack other than that of their
-	// data; 0 takes the default.
+	// OtherRackFactor is the factor by which tasks take longer on a rack other than that of
+	// their data; 0 takes the default.
 	OtherRackFactor float64
 }
 
--- a/cell/queue.go
+++ b/cell/queue.go
@@ -6,7 +6,7 @@
 )
 
 // requestQueue is the pending requests in the order in which they are placed. It is kept
-// sorted from one plan to the next: sorting it for each event took a fifth of a busy
+// sorted from one Place to the next: sorting it for each event took a fifth of a busy
 // planner's time.
 type requestQueue struct {
 	order   Order
--- a/cell/report.go
+++ b/cell/report.go
@@ -86,17 +86,17 @@
 		w.failingSince = now
 	}
 	w.failures = s.Failures
-	pl.runs(now, w, s)
+	pl.updateRuns(now, w, s)
 }
 
-// runs applies what a state says about a worker's runs. Grants that the holder has not
-// reported yet stay.
-func (pl *Planner) runs(now time.Time, w *worker, s lease.State) {
+// updateRuns applies what a state says about a worker's runs. Grants that the holder has
+// not reported yet stay.
+func (pl *Planner) updateRuns(now time.Time, w *worker, s lease.State) {
 	if !s.Partial {
 		w.dropReportedRuns(now)
 	}
 	for _, r := range s.Ended {
-		w.drop(r)
+		w.dropRun(r)
 	}
 	for _, h := range s.Runs {
 		w.addRun(h.Run, activeRun{resources: h.Resources, startedAt: now.Add(-h.Age), estimate: h.Estimate, percent: h.Percent, reportedAt: now.Add(-h.ProgressAge)})
--- a/cell/view.go
+++ b/cell/view.go
@@ -35,8 +35,8 @@
 // View returns the planner's state for operators.
 func (pl *Planner) View(now time.Time) View {
 	v := View{Waiting: len(pl.pending), Queues: make(map[string]int)}
-	for _, w := range pl.pending {
-		v.Queues[w.Queue] += len(w.Tasks)
+	for _, p := range pl.pending {
+		v.Queues[p.Queue] += len(p.Tasks)
 	}
 	for _, w := range pl.sortedWorkers() {
 		if w.acceptsTasks() {
