--- a/cell/admit_test.go
+++ b/cell/admit_test.go
@@ -70,9 +70,9 @@
 		w := testWorker(i)
 		pl.Report(ms(30), pl.workers[w.ID].holder, Report{States: []lease.State{{ID: w.ID, Fence: lease.NewFence(9), Open: true, Draining: true}}})
 	}
-	a := newRequest("b", 2)
-	a.Objective = 10 * time.Second
-	pl.Request(ms(1100), memberID(0), a)
+	req := newRequest("b", 2)
+	req.Objective = 10 * time.Second
+	pl.Request(ms(1100), memberID(0), req)
 	if _, refused := place(pl, 1100); len(refused) != 2 {
 		t.Errorf("%d refusals when no worker accepts tasks, want 2", len(refused))
 	}
@@ -91,9 +91,9 @@
 		{400, 600, 0},
 		{1100, 600, 3},
 	} {
-		a := newRequest(fmt.Sprint("job", c.at), 2)
-		a.Objective = time.Duration(c.objective) * time.Millisecond
-		pl.Request(ms(c.at), memberID(0), a)
+		req := newRequest(fmt.Sprint("job", c.at), 2)
+		req.Objective = time.Duration(c.objective) * time.Millisecond
+		pl.Request(ms(c.at), memberID(0), req)
 		if _, refused := place(pl, c.at); len(refused) != c.refused {
 			t.Errorf("at %d ms %d refusals, want %d", c.at, len(refused), c.refused)
 		}
@@ -111,9 +111,9 @@
 	if _, refused := place(pl, 701); len(refused) != 0 {
 		t.Errorf("refused while the worker changes its holder: %+v", refused)
 	}
-	a := newRequest("b", 2)
-	a.Objective = time.Hour
-	pl.Request(ms(2000), memberID(1), a)
+	req := newRequest("b", 2)
+	req.Objective = time.Hour
+	pl.Request(ms(2000), memberID(1), req)
 	if _, refused := place(pl, 2000); len(refused) != 2 {
 		t.Errorf("%d refusals long after the worker was lost, want 2", len(refused))
 	}
--- a/cell/book_test.go
+++ b/cell/book_test.go
@@ -65,11 +65,11 @@
 }
 
 func newRequest(job string, n int) Request {
-	a := Request{Job: job, Queue: "q", Pool: "p", Resources: lease.Resources{CPU: 25}, Estimate: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Timeout: 3 * time.Second}
+	req := Request{Job: job, Queue: "q", Pool: "p", Resources: lease.Resources{CPU: 25}, Estimate: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Timeout: 3 * time.Second}
 	for i := range n {
-		a.Tasks = append(a.Tasks, lease.Run{Task: lease.Task(fmt.Sprintf("%s.0.0.%d", job, i)), Number: 1})
+		req.Tasks = append(req.Tasks, lease.Run{Task: lease.Task(fmt.Sprintf("%s.0.0.%d", job, i)), Number: 1})
 	}
-	return a
+	return req
 }
 
 func place(pl *Planner, at int) (grants []GrantedRun, refusals []Refusal) {
@@ -169,20 +169,20 @@
 		want   int
 	}{
 		{"nothing", func(*Request) {}, 4},
-		{"a kind that all have", func(a *Request) { a.Label = "a" }, 4},
-		{"a rack", func(a *Request) { a.Label = "r1" }, 2},
-		{"a label that none has", func(a *Request) { a.Label = "z" }, 0},
-		{"one task per worker", func(a *Request) { a.MaxPerWorker = 1 }, 2},
-		{"another pool", func(a *Request) { a.Pool = "other" }, 0},
-		{"avoid one", func(a *Request) { a.Avoid = []string{"w0"} }, 2},
-		{"more memory than one has", func(a *Request) { a.Resources.Memory = 101 }, 0},
+		{"a kind that all have", func(req *Request) { req.Label = "a" }, 4},
+		{"a rack", func(req *Request) { req.Label = "r1" }, 2},
+		{"a label that none has", func(req *Request) { req.Label = "z" }, 0},
+		{"one task per worker", func(req *Request) { req.MaxPerWorker = 1 }, 2},
+		{"another pool", func(req *Request) { req.Pool = "other" }, 0},
+		{"avoid one", func(req *Request) { req.Avoid = []string{"w0"} }, 2},
+		{"more memory than one has", func(req *Request) { req.Resources.Memory = 101 }, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			pl := newPlannerWithHolders(t, 2, 2)
-			a := newRequest("a", 6)
-			tt.change(&a)
-			pl.Request(ms(700), memberID(1), a)
+			req := newRequest("a", 6)
+			tt.change(&req)
+			pl.Request(ms(700), memberID(1), req)
 			if g, _ := place(pl, 700); len(g) != tt.want {
 				t.Errorf("%d grants, want %d", len(g), tt.want)
 			}
@@ -224,9 +224,9 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now = now.Add(time.Millisecond)
-		a := newRequest(fmt.Sprint(i), 4)
-		a.Timeout, a.Objective = time.Hour, time.Hour
-		pl.Request(now, memberID(i%n), a)
+		req := newRequest(fmt.Sprint(i), 4)
+		req.Timeout, req.Objective = time.Hour, time.Hour
+		pl.Request(now, memberID(i%n), req)
 		pl.Place(now)
 		for _, a := range pl.TakeActions() {
 			if a.Grant != nil {
@@ -252,16 +252,16 @@
 	pl := newPlannerWithHolders(t, 2, 4)
 	reportBadEnds(pl, 700, "w0", 2)
 	grantsOnW0 := func(at, tasks int) (n int) {
-		a := newRequest(fmt.Sprint("job", at), tasks)
-		a.Objective = 10 * time.Second
-		pl.Request(ms(at), memberID(1), a)
+		req := newRequest(fmt.Sprint("job", at), tasks)
+		req.Objective = 10 * time.Second
+		pl.Request(ms(at), memberID(1), req)
 		grants, _ := place(pl, at)
 		for _, g := range grants {
 			if g.Worker == "w0" {
 				n++
 			}
 		}
-		pl.Withdraw(Withdrawal{Job: a.Job})
+		pl.Withdraw(Withdrawal{Job: req.Job})
 		return n
 	}
 	if n := grantsOnW0(710, 9); n != 0 {
@@ -349,9 +349,9 @@
 				}
 			}
 			pl.sortBySpeed()
-			a := newRequest("a", tt.tasks)
-			a.Rack, a.Objective = "r1", tt.objective
-			pl.Request(ms(700), memberID(1), a)
+			req := newRequest("a", tt.tasks)
+			req.Rack, req.Objective = "r1", tt.objective
+			pl.Request(ms(700), memberID(1), req)
 			grants, _ := place(pl, 700)
 			near, far := 0, 0
 			for _, g := range grants {
--- a/cell/load_test.go
+++ b/cell/load_test.go
@@ -17,11 +17,11 @@
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	pl := crowdedWorkers(tb, rnd)
 	for i := range n {
-		a := newRequest(fmt.Sprintf("j%04d", i), 4)
-		a.Rank = rnd.IntN(3)
-		a.Estimate = time.Duration(60+rnd.IntN(900)) * time.Millisecond
-		a.Objective = a.Estimate*16/10 + time.Duration(60+rnd.IntN(2000))*time.Millisecond
-		pl.Request(ms(700), memberID(1), a)
+		req := newRequest(fmt.Sprintf("j%04d", i), 4)
+		req.Rank = rnd.IntN(3)
+		req.Estimate = time.Duration(60+rnd.IntN(900)) * time.Millisecond
+		req.Objective = req.Estimate*16/10 + time.Duration(60+rnd.IntN(2000))*time.Millisecond
+		pl.Request(ms(700), memberID(1), req)
 	}
 	return pl
 }
@@ -69,9 +69,9 @@
 		queue := slices.Clone(pl.requestQueue.pending)
 		want := plainLookAhead(pl, queue)
 		groups := pl.slots(ms(700), queue)
-		for i, w := range queue {
-			if got := pl.scheduleInTime(w, groups); got != want[i] {
-				t.Errorf("seed %d: job %s fits %v, want %v", seed, w.job, got, want[i])
+		for i, p := range queue {
+			if got := pl.scheduleInTime(p, groups); got != want[i] {
+				t.Errorf("seed %d: job %s fits %v, want %v", seed, p.job, got, want[i])
 			}
 		}
 	}
@@ -88,17 +88,17 @@
 			slots = append(slots, slot{active.end(ms(700), pl.factor(w)), pl.factor(w)})
 		}
 	}
-	for _, w := range queue {
+	for _, p := range queue {
 		trial := slices.Clone(slots)
 		ok := true
-		for range w.Tasks {
+		for range p.Tasks {
 			best, end := -1, time.Time{}
 			for i, s := range trial {
-				if e := s.free.Add(scaled(w.Estimate, s.factor)); best < 0 || e.Before(end) {
+				if e := s.free.Add(scaled(p.Estimate, s.factor)); best < 0 || e.Before(end) {
 					best, end = i, e
 				}
 			}
-			ok = ok && !end.After(w.objective)
+			ok = ok && !end.After(p.objective)
 			trial[best].free = end
 		}
 		fits = append(fits, ok)
@@ -172,9 +172,9 @@
 func TestLookAheadKnowsRacks(t *testing.T) {
 	pl := crowded(t, 1, 0)
 	for i := range 300 {
-		a := newRequest(fmt.Sprintf("r%04d", i), 2)
-		a.Rack, a.Estimate, a.Objective = "r1", 500*time.Millisecond, 1000*time.Millisecond
-		pl.Request(ms(700), memberID(1), a)
+		req := newRequest(fmt.Sprintf("r%04d", i), 2)
+		req.Rack, req.Estimate, req.Objective = "r1", 500*time.Millisecond, 1000*time.Millisecond
+		pl.Request(ms(700), memberID(1), req)
 	}
 	groups := pl.slots(ms(700), pl.requestQueue.pending)
 	fit := 0
@@ -207,9 +207,9 @@
 	refusals := func(work time.Duration) (after []time.Duration) {
 		pl := crowded(t, 1, 0)
 		for i := range 600 {
-			a := newRequest(fmt.Sprintf("j%04d", i), 4)
-			a.Estimate, a.Objective = work, 2*work+200*time.Millisecond
-			pl.Request(ms(700), memberID(1), a)
+			req := newRequest(fmt.Sprintf("j%04d", i), 4)
+			req.Estimate, req.Objective = work, 2*work+200*time.Millisecond
+			pl.Request(ms(700), memberID(1), req)
 		}
 		_, refused := place(pl, 700)
 		for _, r := range refused {
--- a/entry/book_test.go
+++ b/entry/book_test.go
@@ -86,9 +86,9 @@
 }
 
 // grantAll grants the worker for every requested task.
-func grantAll(a cell.Request, worker string) cell.Grant {
-	g := cell.Grant{Job: a.Job}
-	for _, r := range a.Tasks {
+func grantAll(req cell.Request, worker string) cell.Grant {
+	g := cell.Grant{Job: req.Job}
+	for _, r := range req.Tasks {
 		g.Items = append(g.Items, cell.GrantedRun{Run: r, Worker: worker, Holder: holder, Fence: lease.NewFence(3)})
 	}
 	return g
@@ -97,12 +97,12 @@
 // newRunningJobs returns a Jobs whose only job has all its tasks on worker "w".
 func newRunningJobs(t *testing.T, r Request) (*Jobs, cell.Request) {
 	t.Helper()
-	js, a := newSubmittedJobs(t, r)
-	js.Grant(ms(1), planner, grantAll(a, "w"))
-	if got := takeActions(js); len(got.starts) != 1 || len(got.starts[0].Runs) != len(a.Tasks) {
+	js, req := newSubmittedJobs(t, r)
+	js.Grant(ms(1), planner, grantAll(req, "w"))
+	if got := takeActions(js); len(got.starts) != 1 || len(got.starts[0].Runs) != len(req.Tasks) {
 		t.Fatalf("starts %+v", got.starts)
 	}
-	return js, a
+	return js, req
 }
 
 func endRun(js *Jobs, at int, r lease.Run, how lease.Outcome) actions {
@@ -118,20 +118,20 @@
 }
 
 func TestJobIsAnsweredWhenAllIsDone(t *testing.T) {
-	js, a := newRunningJobs(t, request(2))
-	if got := endRun(js, 100, a.Tasks[0], lease.Done); len(got.answers) != 0 {
+	js, req := newRunningJobs(t, request(2))
+	if got := endRun(js, 100, req.Tasks[0], lease.Done); len(got.answers) != 0 {
 		t.Errorf("answers %+v after half of the job", got.answers)
 	}
-	wantAnswer(t, endRun(js, 110, a.Tasks[1], lease.Done), Completed)
+	wantAnswer(t, endRun(js, 110, req.Tasks[1], lease.Done), Completed)
 	if js.Len() != 0 {
 		t.Errorf("%d jobs open", js.Len())
 	}
 }
 
 func TestStepsFollowEachOther(t *testing.T) {
-	js, a := newRunningJobs(t, request(2, 1))
-	endRun(js, 100, a.Tasks[0], lease.Done)
-	got := endRun(js, 110, a.Tasks[1], lease.Done)
+	js, req := newRunningJobs(t, request(2, 1))
+	endRun(js, 100, req.Tasks[0], lease.Done)
+	got := endRun(js, 110, req.Tasks[1], lease.Done)
 	if len(got.requests) != 1 || got.requests[0].Step != 1 || len(got.requests[0].Tasks) != 1 {
 		t.Fatalf("requests %+v, want the second step", got.requests)
 	}
@@ -156,8 +156,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			js, a := newRunningJobs(t, request(1))
-			run := a.Tasks[0]
+			js, req := newRunningJobs(t, request(1))
+			run := req.Tasks[0]
 			for i, how := range tt.ends {
 				got := endRun(js, 10*i+10, run, how)
 				if i == len(tt.ends)-1 && tt.want != 0 {
@@ -179,8 +179,8 @@
 // the other. Told that nothing has run, the caller would submit the job to another
 // process while the first copy is in progress.
 func TestRefusalOfABegunJob(t *testing.T) {
-	js, a := newSubmittedJobs(t, request(2))
-	g := grantAll(a, "w")
+	js, req := newSubmittedJobs(t, request(2))
+	g := grantAll(req, "w")
 	g.Items = g.Items[:1]
 	js.Grant(ms(1), planner, g)
 	takeActions(js)
@@ -188,7 +188,7 @@
 	if got := takeActions(js); len(got.answers) != 0 {
 		t.Errorf("answers %+v", got.answers)
 	}
-	endRun(js, 3, a.Tasks[0], lease.NeverStarted)
+	endRun(js, 3, req.Tasks[0], lease.NeverStarted)
 	js.Refused(ms(4), planner, cell.Refusal{Job: jobID, Reason: "late", RetryAfter: time.Second})
 	wantAnswer(t, takeActions(js), Refused)
 }
@@ -198,7 +198,7 @@
 func TestSecondCopyWaitsForTheFirst(t *testing.T) {
 	r := request(1)
 	r.Timeout = time.Second
-	js, a := newRunningJobs(t, r)
+	js, req := newRunningJobs(t, r)
 	js.Tick(ms(1000))
 	got := takeActions(js)
 	wantAnswer(t, got, Unknown)
@@ -211,7 +211,7 @@
 		t.Errorf("requested workers while the first copy may run: %+v", got.requests)
 	}
 	wantAnswer(t, got, Unknown)
-	endRun(js, 1050, a.Tasks[0], lease.Stopped)
+	endRun(js, 1050, req.Tasks[0], lease.Stopped)
 	js.Submit(ms(1060), 3, r)
 	if got = takeActions(js); len(got.requests) != 1 {
 		t.Errorf("%+v, want the job to start again", got)
@@ -219,7 +219,7 @@
 }
 
 func TestSameIDJoins(t *testing.T) {
-	js, a := newRunningJobs(t, request(1))
+	js, req := newRunningJobs(t, request(1))
 	js.Submit(ms(50), 2, request(1))
 	if got := takeActions(js); len(got.requests) != 0 || len(got.answers) != 0 {
 		t.Errorf("%+v for a copy of a job in progress", got)
@@ -228,7 +228,7 @@
 	if got := takeActions(js); len(got.stops) != 0 {
 		t.Errorf("stopped %+v although a caller still waits", got.stops)
 	}
-	wantAnswer(t, endRun(js, 100, a.Tasks[0], lease.Done), Completed)
+	wantAnswer(t, endRun(js, 100, req.Tasks[0], lease.Done), Completed)
 	js.Submit(ms(200), 3, request(1))
 	wantAnswer(t, takeActions(js), Completed)
 }
@@ -238,10 +238,10 @@
 func TestSameIDForAnotherJob(t *testing.T) {
 	r := request(1)
 	r.Spec = "another"
-	js, a := newRunningJobs(t, request(1))
+	js, req := newRunningJobs(t, request(1))
 	js.Submit(ms(50), 2, r)
 	wantAnswer(t, takeActions(js), Refused)
-	wantAnswer(t, endRun(js, 100, a.Tasks[0], lease.Done), Completed)
+	wantAnswer(t, endRun(js, 100, req.Tasks[0], lease.Done), Completed)
 	js.Submit(ms(200), 3, r)
 	wantAnswer(t, takeActions(js), Refused)
 	js.Tick(ms(200).Add(answerRetention))
@@ -256,12 +256,12 @@
 func TestSameJobInARenamedQueue(t *testing.T) {
 	r := request(1)
 	r.Queue.Name = "renamed"
-	js, a := newRunningJobs(t, request(1))
+	js, req := newRunningJobs(t, request(1))
 	js.Submit(ms(50), 2, r)
 	if got := takeActions(js); len(got.answers) != 0 {
 		t.Errorf("answers %+v while the job runs", got.answers)
 	}
-	endRun(js, 100, a.Tasks[0], lease.Done)
+	endRun(js, 100, req.Tasks[0], lease.Done)
 	js.Submit(ms(200), 3, r)
 	wantAnswer(t, takeActions(js), Completed)
 }
@@ -281,11 +281,11 @@
 		{"a worker can't read it", 2, lease.Invalid, Unknown},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			js, a := newRunningJobs(t, request(tt.tasks))
+			js, req := newRunningJobs(t, request(tt.tasks))
 			if tt.tasks > 1 {
-				endRun(js, 5, a.Tasks[1], lease.Done)
+				endRun(js, 5, req.Tasks[1], lease.Done)
 			}
-			r := a.Tasks[0]
+			r := req.Tasks[0]
 			for i := range 3 {
 				at := ms(10 + 5*i)
 				js.Ended(at, holder, Ended{Worker: "w", End: lease.End{Run: r, Outcome: lease.NeverStarted, Why: tt.why}})
@@ -323,7 +323,7 @@
 // The planner dies with all its pending requests. The next one is asked again, and a
 // grant of the first one that arrives after that of the second is returned.
 func TestPlannerReplaced(t *testing.T) {
-	js, a := newSubmittedJobs(t, request(2))
+	js, req := newSubmittedJobs(t, request(2))
 	js.SetPlanner(ms(10), nextPlanner)
 	again := takeActions(js).requests
 	if len(again) != 1 || len(again[0].Tasks) != 2 {
@@ -331,7 +331,7 @@
 	}
 	js.Grant(ms(11), planner, grantAll(again[0], "w"))
 	takeActions(js)
-	js.Grant(ms(12), planner, grantAll(a, "v"))
+	js.Grant(ms(12), planner, grantAll(req, "v"))
 	got := takeActions(js)
 	if len(got.starts) != 0 || len(got.withdraws) != 1 || len(got.withdraws[0].Runs) != 2 {
 		t.Errorf("%+v, want the second grant returned", got)
@@ -342,11 +342,11 @@
 // its runs there, and an older announcement that arrives late changes nothing: its sender
 // does not know what was started under its successor.
 func TestHolderReplaced(t *testing.T) {
-	js, a := newRunningJobs(t, request(1))
+	js, req := newRunningJobs(t, request(1))
 	js.HolderUnreachable(ms(100), holder)
 	js.Held(other, "w", lease.NewFence(5))
 	got := takeActions(js)
-	if len(got.claims) != 1 || got.claims[0].Runs[0].Run != a.Tasks[0] {
+	if len(got.claims) != 1 || got.claims[0].Runs[0].Run != req.Tasks[0] {
 		t.Fatalf("claims %+v", got.claims)
 	}
 	js.Held(holder, "w", lease.NewFence(2))
@@ -368,11 +368,11 @@
 		how      lease.Outcome
 		requests int
 	}{{lease.Lost, 0}, {lease.Stopped, 1}} {
-		js, a := newRunningJobs(t, request(1))
+		js, req := newRunningJobs(t, request(1))
 		js.HolderUnreachable(ms(100), holder)
 		js.Held(other, "w", lease.NewFence(5))
 		takeActions(js)
-		if got := endRun(js, 200, a.Tasks[0], c.how); len(got.requests) != c.requests {
+		if got := endRun(js, 200, req.Tasks[0], c.how); len(got.requests) != c.requests {
 			t.Errorf("%v: requests %+v, want %d", c.how, got.requests, c.requests)
 		}
 	}
@@ -397,14 +397,14 @@
 // A holder is connected again in a new session; the start, or the report of its end, may
 // have been lost with the old one.
 func TestHolderInANewSession(t *testing.T) {
-	js, a := newRunningJobs(t, request(2))
+	js, req := newRunningJobs(t, request(2))
 	js.HolderUnreachable(ms(10), holder)
 	js.HolderReachable(holder)
 	got := takeActions(js)
 	if len(got.claims) != 1 || len(got.claims[0].Runs) != 2 {
 		t.Fatalf("claims %+v", got.claims)
 	}
-	if got := endRun(js, 20, a.Tasks[1], lease.Lost); len(got.requests) != 1 {
+	if got := endRun(js, 20, req.Tasks[1], lease.Lost); len(got.requests) != 1 {
 		t.Errorf("%+v, want the lost start to be placed again", got)
 	}
 }
--- a/entry/delay_test.go
+++ b/entry/delay_test.go
@@ -17,10 +17,10 @@
 		r := request(1)
 		r.ID = string(rune('a' + i))
 		js.Submit(ms(at), Waiter(at), r)
-		for _, a := range takeActions(js).requests {
+		for _, req := range takeActions(js).requests {
 			granted := ms(at).Add(plannerTime)
-			js.Grant(granted, planner, cell.Grant{Job: a.Job, Items: []cell.GrantedRun{{Run: a.Tasks[0], Worker: "w", Holder: holder}}})
-			js.Ended(granted.Add(runOverhead+50*time.Millisecond), holder, Ended{Worker: "w", End: lease.End{Run: a.Tasks[0], Outcome: lease.Done, Took: 50 * time.Millisecond}})
+			js.Grant(granted, planner, cell.Grant{Job: req.Job, Items: []cell.GrantedRun{{Run: req.Tasks[0], Worker: "w", Holder: holder}}})
+			js.Ended(granted.Add(runOverhead+50*time.Millisecond), holder, Ended{Worker: "w", End: lease.End{Run: req.Tasks[0], Outcome: lease.Done, Took: 50 * time.Millisecond}})
 		}
 		takeActions(js)
 		at += 200
--- a/node/cells_test.go
+++ b/node/cells_test.go
@@ -103,8 +103,8 @@
 	w.DataCenter = "even"
 	state := lease.State{ID: w.ID, Worker: &w, Fence: lease.NewFence(1), Open: true}
 	c.Receive(ms(6), all[1].ID, 1, []Message{{Report: &cell.Report{Full: true, States: []lease.State{state}}}})
-	a := cell.Request{Job: "j", Pool: w.Pool, Resources: lease.Resources{CPU: 1}, Estimate: 1e6, Objective: 1e9, Timeout: 1e9, Tasks: []lease.Run{{Task: "j.0.0.0", Number: 1}}}
-	c.Receive(ms(7), other.ID, 1, []Message{{Request: &a}})
+	req := cell.Request{Job: "j", Pool: w.Pool, Resources: lease.Resources{CPU: 1}, Estimate: 1e6, Objective: 1e9, Timeout: 1e9, Tasks: []lease.Run{{Task: "j.0.0.0", Number: 1}}}
+	c.Receive(ms(7), other.ID, 1, []Message{{Request: &req}})
 	got := messagesTo(c.Take(ms(7)), other.ID)
 	if len(got) != 1 || got[0].Grant == nil || got[0].Grant.Items[0].Holder != all[1].ID {
 		t.Errorf("answered %+v, want a grant", got)
