--- a/cell/book.go
+++ b/cell/book.go
@@ -234,9 +234,9 @@
 }
 
 // SetMembers sets the processes of the cell that are reachable, this one included, and the
-// requesters: all processes that may send requests, the members included. mayReassign says whether the
-// workers of unreachable members may be assigned to others; if not, no worker is
-// assigned at all. allReachable says whether every existing process is reachable.
+// requesters: all processes that may send requests, the members included. mayReassign says
+// whether the workers of unreachable members may be assigned to others; if not, no worker
+// is assigned at all. allReachable says whether every existing process is reachable.
 func (pl *Planner) SetMembers(now time.Time, reachable, requesters []mesh.Member, mayReassign, allReachable bool) {
 	if !pl.active {
 		return
--- a/cell/load_test.go
+++ b/cell/load_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// BenchmarkCrowded measures one plan while all workers are full.
+// BenchmarkCrowded measures one Place while all workers are full.
 func BenchmarkCrowded(b *testing.B) {
 	for _, n := range []int{10, 100, 400, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/cell/place.go
+++ b/cell/place.go
@@ -87,7 +87,7 @@
 
 // Place grants workers to pending requests in the order of the queue, and refuses jobs
 // that cannot meet their objective. It does nothing if nothing has changed since the last
-// call, so that a burst of events causes one planning.
+// call, so that a burst of events costs one pass over the queue.
 func (pl *Planner) Place(now time.Time) {
 	if !pl.active || !pl.needsPlanning {
 		return
