--- a/operator/cell.go
+++ b/operator/cell.go
@@ -29,15 +29,15 @@
 }
 
 func showCell(ctx context.Context, c *cli.Command) error {
-	ctx, cancel := bounded(ctx, c)
+	ctx, cancel := withTimeout(ctx, c)
 	defer cancel()
 	address := c.String("dispatcher")
-	s, err := askNode(ctx, address)
+	s, err := fetchNodeStatus(ctx, address)
 	if err != nil {
 		return err
 	}
-	planner, err := askPlanner(ctx, s, address)
-	if err := out(c, []node.Status{s, planner}, func(w io.Writer) { writeCell(w, s, planner) }); err != nil {
+	planner, err := fetchPlannerStatus(ctx, s, address)
+	if err := printResult(c, []node.Status{s, planner}, func(w io.Writer) { writeCell(w, s, planner) }); err != nil {
 		return err
 	}
 	if err != nil {
@@ -46,20 +46,21 @@
 	return nil
 }
 
-// askPlanner asks the planner at the same port, on its own machine.
-func askPlanner(ctx context.Context, s node.Status, address string) (node.Status, error) {
+// fetchPlannerStatus fetches the status of the planner that s names, from the planner's
+// own machine, at the port of address.
+func fetchPlannerStatus(ctx context.Context, s node.Status, address string) (node.Status, error) {
 	if s.IsPlanner || s.Planner == (mesh.ID{}) {
 		return s, nil
 	}
 	port := address[strings.LastIndexByte(address, ':')+1:]
-	return askNode(ctx, s.Planner.Address.Addr().String()+":"+port)
+	return fetchNodeStatus(ctx, s.Planner.Address.Addr().String()+":"+port)
 }
 
-func askNode(ctx context.Context, address string) (node.Status, error) {
+func fetchNodeStatus(ctx context.Context, address string) (node.Status, error) {
 	var s node.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
-		return s, usage(errors.Wrap(err, "dispatcher"))
+		return s, usageError(errors.Wrap(err, "dispatcher"))
 	}
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
@@ -69,7 +70,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return s, errors.Errorf("cell: %s answers %s; is this the metrics address of a process?", address, resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return s, errors.Wrap(err, "cell")
 	}
 	return s, nil
@@ -90,14 +91,14 @@
 		}
 		fmt.Fprintf(w, "%-32s %-12s %-6g %-8d %-8d %s\n", m.VM, m.DataCenter, m.Cores, m.Number, m.Catalog, strings.Join(notes, ", "))
 	}
-	writeAges(w, s.StoreAge)
+	writeStoreAges(w, s.StoreAge)
 	if planner.Cell == nil {
 		return
 	}
 	writeHolders(w, s.Members, planner)
 }
 
-func writeAges(w io.Writer, ages map[string]time.Duration) {
+func writeStoreAges(w io.Writer, ages map[string]time.Duration) {
 	names := make([]string, 0, len(ages))
 	for n := range ages {
 		names = append(names, n)
@@ -118,8 +119,8 @@
 	fmt.Fprintf(w, "%-20s %-32s %-10s %-6s %-5s %-7s %s\n", "worker", "holder", "for", "term", "runs", "factor", "")
 	for _, h := range c.Holders {
 		var notes []string
-		for note, is := range map[string]bool{"not open": !h.Open, "draining": h.Draining, "not listed": !h.Listed, fmt.Sprintf("%d bad in a row", h.Speed.BadJobs): h.Speed.BadJobs > 0} {
-			if is {
+		for note, applies := range map[string]bool{"not open": !h.Open, "draining": h.Draining, "not listed": !h.Listed, fmt.Sprintf("%d bad in a row", h.Speed.BadJobs): h.Speed.BadJobs > 0} {
+			if applies {
 				notes = append(notes, note)
 			}
 		}
--- a/operator/cell_test.go
+++ b/operator/cell_test.go
@@ -15,7 +15,8 @@
 	"snipehub.example/node"
 )
 
-// An operator asks any process: who plans, who holds which worker, what is wrong.
+// The cell command shows the planner, the holder of each worker and what is wrong with
+// either.
 func TestCell(t *testing.T) {
 	var s node.Status
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,11 +38,11 @@
 			{Worker: "i-2", Holder: id, Fence: lease.NewFence(3), Draining: true},
 		}},
 	}
-	got, err := askNode(t.Context(), address)
+	got, err := fetchNodeStatus(t.Context(), address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	planner, err := askPlanner(t.Context(), got, address)
+	planner, err := fetchPlannerStatus(t.Context(), got, address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +57,7 @@
 		}
 	}
 	srv.Config.Handler = http.NotFoundHandler()
-	if _, err := askNode(t.Context(), address); err == nil || !strings.Contains(err.Error(), "metrics address") {
+	if _, err := fetchNodeStatus(t.Context(), address); err == nil || !strings.Contains(err.Error(), "metrics address") {
 		t.Errorf("error %v", err)
 	}
 }
--- a/operator/command.go
+++ b/operator/command.go
@@ -1,8 +1,8 @@
-// Package operator is the operators' command line, snipectl.
+// Package operator implements snipectl, the operators' command line.
 //
-// It changes the routes and pools tables by edits on the platform's log, and
-// looks at dispatchers over their operators' address. It keeps nothing: an
-// operator killed in mid-edit leaves an edit on the log that is whole, or none.
+// It changes the routes and pools tables by appending edits to the platform's log, and
+// queries dispatchers at their operators' address. It stores nothing itself: if it is
+// killed while it makes an edit, the log has either the complete edit or none.
 package operator
 
 import (
@@ -19,24 +19,23 @@
 	"snipehub.example/ledger"
 )
 
-// The exit codes. Zero means done, 1 that the platform or a dispatcher failed.
+// The exit codes. 0 means success, 1 that the platform or a dispatcher failed.
 const (
 	// ExitUsage is for arguments and files that can't be used.
 	ExitUsage = program.ExitUsage
-	// ExitLost is for an edit that lost a race: it has changed nothing and
-	// never will.
-	ExitLost = 3
-	// ExitPending is for a change that not every live dispatcher has said to
-	// be in force, and for a dispatcher that did not answer.
+	// ExitConflict is for an edit that lost a race: it has changed nothing and never
+	// will.
+	ExitConflict = 3
+	// ExitPending is for a change that not every live dispatcher has reported as in
+	// force, and for a dispatcher that did not answer.
 	ExitPending = 4
-	// ExitOpen is for an edit of which it is not known whether it is on the
-	// log.
-	ExitOpen = 5
+	// ExitOutcomeUnknown is for an edit that may or may not be on the log.
+	ExitOutcomeUnknown = 5
 )
 
-func usage(err error) error { return cli.Exit(err.Error(), ExitUsage) }
+func usageError(err error) error { return cli.Exit(err.Error(), ExitUsage) }
 
-// The flags that several commands have.
+// Flags that several commands share.
 var (
 	logFlag = &cli.StringFlag{
 		Name: "log", Value: "127.0.0.1:7300", Usage: "address of the platform's log",
@@ -90,17 +89,18 @@
 // callTimeout bounds one call to the platform.
 const callTimeout = 5 * time.Second
 
-// openLog returns the log of the flags.
+// openLog returns a client for the log at the address given by --log.
 func openLog(c *cli.Command) (*ledger.Client, error) {
 	addr, err := netip.ParseAddrPort(c.String("log"))
 	if err != nil {
-		return nil, usage(errors.Wrap(err, "log"))
+		return nil, usageError(errors.Wrap(err, "log"))
 	}
 	return ledger.New(addr, addr, callTimeout, (&net.Dialer{}).DialContext), nil
 }
 
-// author is who stands in the edits of this operator.
-func author() string {
+// currentUser returns the default author of edits: the name of the operating system's
+// user.
+func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
 		return "unknown"
@@ -108,7 +108,7 @@
 	return u.Username
 }
 
-// bounded ends the context after the timeout of the flags.
-func bounded(ctx context.Context, c *cli.Command) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that ends after the duration given by --timeout.
+func withTimeout(ctx context.Context, c *cli.Command) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.Duration("timeout"))
 }
--- a/operator/editor.go
+++ b/operator/editor.go
@@ -14,40 +14,41 @@
 	"snipehub.example/tables"
 )
 
-// stream is what an editor needs of the log.
+// stream is the part of the log client that an editor uses.
 type stream interface {
 	Append(ctx context.Context, stream string, data []byte) (ledger.Offset, error)
 	Read(ctx context.Context, stream string, from ledger.Offset, wait time.Duration) (ledger.Page, error)
 }
 
-// ErrOpen means that the log's answer to the append was lost and the edit has
-// not shown up. It may still do so.
-var ErrOpen = errors.New("it is not known whether the edit is on the log")
+// ErrOutcomeUnknown means that the log's answer to the append was lost and the edit has
+// not appeared on the log. It may still appear.
+var ErrOutcomeUnknown = errors.New("it is not known whether the edit is on the log")
 
-// ErrForgotten means that the log no longer has the records that make the
-// state, and no snapshot yet.
-var ErrForgotten = errors.New("the log has forgotten older records and has no snapshot of the tables yet")
+// ErrRecordsExpired means that the log no longer has all the records that make up the
+// tables, and has no snapshot yet.
+var ErrRecordsExpired = errors.New("the log has forgotten older records and has no snapshot of the tables yet")
 
-// Lost is the error of an edit that lost a race: another one took effect first.
-// It has changed nothing and never will.
-type Lost struct {
+// ConflictError reports that another edit took effect first. The edit that lost the race
+// has changed nothing and never will.
+type ConflictError struct {
 	Base, Current tables.Version
-	// Put and Drop are what would still have to change.
+	// Put and Drop are the changes that would still turn the current tables into the
+	// wanted ones.
 	Put  tables.Rows
 	Drop tables.Keys
-	// state is the current one.
-	state *tables.State
+	// currentState is the state of the tables at version Current.
+	currentState *tables.State
 }
 
-// Error makes Lost an error.
-func (l *Lost) Error() string {
-	return fmt.Sprintf("the edit lost a race: it was made for version %d, but version %d is in force", l.Base, l.Current)
+// Error implements error.
+func (e *ConflictError) Error() string {
+	return fmt.Sprintf("the edit lost a race: it was made for version %d, but version %d is in force", e.Base, e.Current)
 }
 
-// Outcome is what became of an edit.
+// Outcome is the result of an edit.
 type Outcome struct {
 	Version tables.Version `json:"version"`
-	// Edit is the id of the edit, "" when there was nothing to change.
+	// Edit is the id of the edit, "" if there was nothing to change.
 	Edit string `json:"edit,omitempty"`
 }
 
@@ -61,14 +62,14 @@
 	return &editor{log: log, replay: tables.NewReplay()}
 }
 
-// Apply appends the edit that turns the current tables into want, and reads
-// the log until the edit's fate is known.
+// Apply appends the edit that turns the current tables into want, and reads the log until
+// the edit has taken effect or never can.
 func Apply(ctx context.Context, log *ledger.Client, want tables.Rows, author string) (tables.Version, error) {
 	o, err := newEditor(log).change(ctx, func(tables.Rows) tables.Rows { return want }, nil, author)
 	return o.Version, err
 }
 
-// catchUp reads the log to its end and returns the state.
+// catchUp reads the log to its end and returns the state of the tables.
 func (e *editor) catchUp(ctx context.Context) (*tables.State, error) {
 	for {
 		p, err := e.log.Read(ctx, tables.Stream, e.replay.Next(), 0)
@@ -80,14 +81,14 @@
 			continue
 		}
 		if !e.replay.Complete() {
-			return nil, ErrForgotten
+			return nil, ErrRecordsExpired
 		}
 		return e.replay.State(), nil
 	}
 }
 
-// change brings want into force. A base other than nil is the version that the
-// operator saw.
+// change replaces the tables by the rows that want returns for the current ones. If base
+// is not nil, it does so only if that version is in force.
 func (e *editor) change(ctx context.Context, want func(cur tables.Rows) tables.Rows, base *tables.Version, author string) (Outcome, error) {
 	cur, err := e.catchUp(ctx)
 	if err != nil {
@@ -95,34 +96,35 @@
 	}
 	rows := want(cur.Rows())
 	if base != nil && *base != cur.Version {
-		return Outcome{}, lost(*base, cur, rows)
+		return Outcome{}, newConflictError(*base, cur, rows)
 	}
-	// Rows that stand twice would pass as one in the edit.
+	// Build rejects rows that occur twice; in the edit they would be merged into one.
 	if _, err := tables.Build(cur.Version, rows); err != nil {
-		return Outcome{}, usage(err)
+		return Outcome{}, usageError(err)
 	}
 	edit := tables.Edit{ID: uuid.NewString(), Base: cur.Version, Author: author, At: time.Now()}
 	edit.Put, edit.Drop = tables.Diff(cur.Rows(), rows)
-	if empty(edit.Put, edit.Drop) {
+	if noChanges(edit.Put, edit.Drop) {
 		return Outcome{Version: cur.Version}, nil
 	}
 	if _, err := cur.Apply(e.replay.Next(), edit); err != nil {
-		return Outcome{}, usage(err)
+		return Outcome{}, usageError(err)
 	}
 	if err := e.append(ctx, edit); err != nil {
 		return Outcome{}, err
 	}
-	return e.settle(ctx, edit, rows)
+	return e.awaitOutcome(ctx, edit, rows)
 }
 
-// rateRetry is the pause after the log has refused an append for its rate.
-const rateRetry = 250 * time.Millisecond
+// rateLimitBackoff is the pause after the log refused an append because of its rate
+// limit.
+const rateLimitBackoff = 250 * time.Millisecond
 
-// append puts the edit on the log once. Only a refusal for the rate, which
-// certainly had no effect, is tried again. After a lost answer the edit may be
-// on the log; whether it is, settle finds out by reading. A second append would
-// do no harm to the tables, since its base has passed, but it would stand in
-// the history as a race that the operator lost against himself.
+// append appends the edit to the log once. Only a refusal by the rate limit, which
+// certainly had no effect, is retried. After a lost answer the edit may be on the log;
+// awaitOutcome finds out by reading. A second append would not harm the tables, since its
+// base version has passed, but the history would show it as a race that the operator lost
+// against their own edit.
 func (e *editor) append(ctx context.Context, edit tables.Edit) error {
 	b, err := json.Marshal(edit)
 	if err != nil {
@@ -133,23 +135,23 @@
 		if !errors.Is(err, ledger.ErrRateLimited) {
 			return nil
 		}
-		if !clock.Sleep(ctx, rateRetry) {
+		if !clock.Sleep(ctx, rateLimitBackoff) {
 			return err
 		}
 	}
 }
 
-// settleWait is how long one read waits for the edit to show up, and how long
-// to pause when the log does not answer.
-const settleWait = time.Second
+// outcomeWait is how long one read waits for the edit to appear, and the pause after a
+// read that failed.
+const outcomeWait = time.Second
 
-// settle reads until the edit has taken effect or never can.
-func (e *editor) settle(ctx context.Context, edit tables.Edit, want tables.Rows) (Outcome, error) {
+// awaitOutcome reads the log until the edit has taken effect or never can.
+func (e *editor) awaitOutcome(ctx context.Context, edit tables.Edit, want tables.Rows) (Outcome, error) {
 	for {
-		p, err := e.log.Read(ctx, tables.Stream, e.replay.Next(), settleWait)
+		p, err := e.log.Read(ctx, tables.Stream, e.replay.Next(), outcomeWait)
 		if err != nil {
-			if !clock.Sleep(ctx, settleWait) {
-				return Outcome{Edit: edit.ID}, errors.Wrapf(ErrOpen, "edit %s: %v", edit.ID, err)
+			if !clock.Sleep(ctx, outcomeWait) {
+				return Outcome{Edit: edit.ID}, errors.Wrapf(ErrOutcomeUnknown, "edit %s: %v", edit.ID, err)
 			}
 			continue
 		}
@@ -160,20 +162,20 @@
 		}
 		switch cur := e.replay.State(); {
 		case cur.Version != edit.Base:
-			return Outcome{Edit: edit.ID}, lost(edit.Base, cur, want)
+			return Outcome{Edit: edit.ID}, newConflictError(edit.Base, cur, want)
 		case ctx.Err() != nil:
-			return Outcome{Edit: edit.ID}, errors.Wrapf(ErrOpen, "edit %s", edit.ID)
+			return Outcome{Edit: edit.ID}, errors.Wrapf(ErrOutcomeUnknown, "edit %s", edit.ID)
 		}
 	}
 }
 
-func lost(base tables.Version, cur *tables.State, want tables.Rows) error {
-	l := &Lost{Base: base, Current: cur.Version, state: cur}
-	l.Put, l.Drop = tables.Diff(cur.Rows(), want)
-	return l
+func newConflictError(base tables.Version, cur *tables.State, want tables.Rows) error {
+	conflict := &ConflictError{Base: base, Current: cur.Version, currentState: cur}
+	conflict.Put, conflict.Drop = tables.Diff(cur.Rows(), want)
+	return conflict
 }
 
-func empty(put tables.Rows, drop tables.Keys) bool {
+func noChanges(put tables.Rows, drop tables.Keys) bool {
 	return len(put.Routes)+len(put.Teams)+len(put.Pools)+len(put.Servers)+
 		len(drop.Routes)+len(drop.Teams)+len(drop.Pools)+len(drop.Servers) == 0
 }
--- a/operator/editor_test.go
+++ b/operator/editor_test.go
@@ -17,13 +17,13 @@
 	"snipehub.example/tables"
 )
 
-// fakeLog is a log in memory whose faults are functions.
+// fakeLog is a log in memory with faults that are set as functions.
 type fakeLog struct {
 	records []ledger.Record
 	appends int
-	// append replaces the ordinary append, read comes before each read.
-	append func(data []byte) error
-	read   func() error
+	// append replaces the ordinary append, beforeRead runs before each read.
+	append     func(data []byte) error
+	beforeRead func() error
 }
 
 func (l *fakeLog) put(data []byte) {
@@ -40,8 +40,8 @@
 }
 
 func (l *fakeLog) Read(ctx context.Context, _ string, from ledger.Offset, wait time.Duration) (ledger.Page, error) {
-	if l.read != nil {
-		if err := l.read(); err != nil {
+	if l.beforeRead != nil {
+		if err := l.beforeRead(); err != nil {
 			return ledger.Page{}, err
 		}
 	}
@@ -52,24 +52,24 @@
 	return ledger.Page{Next: max(from, ledger.Offset(len(l.records))), Records: rest}, nil
 }
 
-// other is an edit of somebody else, made for an empty log.
-func other() []byte {
+// otherEdit returns the edit of another operator, made for an empty log.
+func otherEdit() []byte {
 	e := tables.Edit{ID: "other", Base: ledger.None, Put: tables.Rows{Pools: []tables.Pool{{Name: "south", Half: "south"}}}}
 	b, _ := json.Marshal(e)
 	return b
 }
 
-// The log's answer to an operator's edit is lost, before or after the edit took
-// effect, or the log refuses it for its rate, or goes down while the operator
-// asks what became of it. Appending once more, to be sure, would stand in the
-// history as a race lost against oneself; giving up would leave the operator
-// with an error for a change that is in force.
+// The log's answer to an edit is lost before or after the edit took effect, the log
+// refuses the append because of its rate limit, or the log is unreachable while the
+// editor reads for the outcome. A repeated append would show in the history as a race
+// lost against the operator's own edit; giving up would report an error for a change that
+// is in force.
 func TestLostAnswers(t *testing.T) {
 	tests := []struct {
-		name    string
-		faults  func(l *fakeLog)
-		want    error
-		appends int
+		name      string
+		setFaults func(l *fakeLog)
+		want      error
+		appends   int
 	}{
 		{"no fault", func(*fakeLog) {}, nil, 1},
 		{"answer lost after the append", func(l *fakeLog) {
@@ -78,7 +78,7 @@
 		{"answer lost, and the log is down for a while", func(l *fakeLog) {
 			n := 0
 			l.append = func(b []byte) error { l.put(b); return ledger.ErrUnreachable }
-			l.read = func() error {
+			l.beforeRead = func() error {
 				if n++; n > 1 && n < 10 {
 					return ledger.ErrUnreachable
 				}
@@ -87,11 +87,11 @@
 		}, nil, 1},
 		{"the edit shows up late", func(l *fakeLog) {
 			n := 0
-			var late []byte
-			l.append = func(b []byte) error { late = b; return ledger.ErrUnreachable }
-			l.read = func() error {
+			var delayedEdit []byte
+			l.append = func(b []byte) error { delayedEdit = b; return ledger.ErrUnreachable }
+			l.beforeRead = func() error {
 				if n++; n == 10 {
-					l.put(late)
+					l.put(delayedEdit)
 				}
 				return nil
 			}
@@ -108,16 +108,16 @@
 		}, nil, 4},
 		{"lost before the append", func(l *fakeLog) {
 			l.append = func([]byte) error { return ledger.ErrUnreachable }
-		}, ErrOpen, 1},
+		}, ErrOutcomeUnknown, 1},
 		{"always over the rate", func(l *fakeLog) {
 			l.append = func([]byte) error { return ledger.ErrRateLimited }
 		}, ledger.ErrRateLimited, 0},
 		{"another edit comes first", func(l *fakeLog) {
-			l.append = func(b []byte) error { l.put(other()); l.put(b); return nil }
-		}, &Lost{}, 1},
+			l.append = func(b []byte) error { l.put(otherEdit()); l.put(b); return nil }
+		}, &ConflictError{}, 1},
 		{"answer lost, and another edit comes first", func(l *fakeLog) {
-			l.append = func([]byte) error { l.put(other()); return ledger.ErrUnreachable }
-		}, &Lost{}, 1},
+			l.append = func([]byte) error { l.put(otherEdit()); return ledger.ErrUnreachable }
+		}, &ConflictError{}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -125,12 +125,12 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
 				l := &fakeLog{}
-				tt.faults(l)
+				tt.setFaults(l)
 				want := tables.Rows{Pools: []tables.Pool{{Name: "north", Half: "north"}}}
 				_, err := newEditor(l).change(ctx, func(tables.Rows) tables.Rows { return want }, nil, "ann")
-				var lost *Lost
-				if errors.As(tt.want, &lost) {
-					if !errors.As(err, &lost) || len(lost.Put.Pools) != 1 || len(lost.Drop.Pools) != 1 {
+				var conflict *ConflictError
+				if errors.As(tt.want, &conflict) {
+					if !errors.As(err, &conflict) || len(conflict.Put.Pools) != 1 || len(conflict.Drop.Pools) != 1 {
 						t.Errorf("have %v, want a lost race and the difference that is left", err)
 					}
 				} else if !errors.Is(err, tt.want) {
@@ -144,21 +144,21 @@
 	}
 }
 
-// An operator makes a change by a page that is an hour old. With --base, it
-// takes effect only if nobody else has changed the tables meanwhile.
+// With --base, an edit takes effect only if nobody else has changed the tables since the
+// operator read them.
 func TestBase(t *testing.T) {
 	l := &fakeLog{}
-	l.put(other())
-	old, now := ledger.None, tables.Version(0)
+	l.put(otherEdit())
+	outdated, current := ledger.None, tables.Version(0)
 	want := func(cur tables.Rows) tables.Rows {
 		cur.Pools = append(cur.Pools, tables.Pool{Name: "west", Half: "south"})
 		return cur
 	}
-	var lost *Lost
-	if _, err := newEditor(l).change(t.Context(), want, &old, "ann"); !errors.As(err, &lost) || l.appends != 0 {
+	var conflict *ConflictError
+	if _, err := newEditor(l).change(t.Context(), want, &outdated, "ann"); !errors.As(err, &conflict) || l.appends != 0 {
 		t.Errorf("have %v and %d appends, want a lost race before any append", err, l.appends)
 	}
-	if o, err := newEditor(l).change(t.Context(), want, &now, "ann"); err != nil || o.Version != 1 {
+	if o, err := newEditor(l).change(t.Context(), want, &current, "ann"); err != nil || o.Version != 1 {
 		t.Errorf("have %+v, %v", o, err)
 	}
 	same := func(cur tables.Rows) tables.Rows { return cur }
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestFiles has files that can't be used, and what the operator reads.
+// TestFiles checks the error messages for files that can't be used.
 func TestFiles(t *testing.T) {
 	tests := []struct {
 		name string
--- a/operator/files.go
+++ b/operator/files.go
@@ -14,20 +14,22 @@
 	"snipehub.example/tables"
 )
 
-// table is one of the two tables, or both: which rows a file may have, and what
-// the whole is once the file has replaced them.
+// table is the routes table, the pools table or both: which rows its files may have, and
+// which of the current rows they replace.
 type table struct {
 	name, content string
-	// foreign returns the section of the rows that don't belong in the file.
-	foreign func(r tables.Rows) string
-	// put returns the current rows with those of the file in their place.
-	put func(cur, file tables.Rows) tables.Rows
+	// foreignSection returns the name of a section that doesn't belong in the file, or
+	// "".
+	foreignSection func(r tables.Rows) string
+	// replaceRows returns the current rows with the table's own replaced by those of the
+	// file.
+	replaceRows func(cur, file tables.Rows) tables.Rows
 }
 
 var routesTable = table{
 	name:    "routes",
 	content: "routes and teams",
-	foreign: func(r tables.Rows) string {
+	foreignSection: func(r tables.Rows) string {
 		switch {
 		case len(r.Pools) > 0:
 			return "pools"
@@ -36,7 +38,7 @@
 		}
 		return ""
 	},
-	put: func(cur, file tables.Rows) tables.Rows {
+	replaceRows: func(cur, file tables.Rows) tables.Rows {
 		cur.Routes, cur.Teams = file.Routes, file.Teams
 		return cur
 	},
@@ -45,7 +47,7 @@
 var poolsTable = table{
 	name:    "pools",
 	content: "pools and servers",
-	foreign: func(r tables.Rows) string {
+	foreignSection: func(r tables.Rows) string {
 		switch {
 		case len(r.Routes) > 0:
 			return "routes"
@@ -54,53 +56,53 @@
 		}
 		return ""
 	},
-	put: func(cur, file tables.Rows) tables.Rows {
+	replaceRows: func(cur, file tables.Rows) tables.Rows {
 		cur.Pools, cur.Servers = file.Pools, file.Servers
 		return cur
 	},
 }
 
 var bothTables = table{
-	name:    "both",
-	content: "all rows",
-	foreign: func(tables.Rows) string { return "" },
-	put:     func(_, file tables.Rows) tables.Rows { return file },
+	name:           "both",
+	content:        "all rows",
+	foreignSection: func(tables.Rows) string { return "" },
+	replaceRows:    func(_, file tables.Rows) tables.Rows { return file },
 }
 
-// ReadFiles reads and joins the rows of several TOML files, which together are
-// both tables.
+// ReadFiles reads the rows of several TOML files, which together make up both tables, and
+// checks them.
 func ReadFiles(paths []string) (tables.Rows, error) {
 	rows, err := readRows(bothTables, paths)
 	if err != nil {
 		return rows, err
 	}
 	if _, err := tables.Build(ledger.None, rows); err != nil {
-		return rows, place(paths, err)
+		return rows, withLocation(paths, err)
 	}
 	return rows, nil
 }
 
-// readRows reads the files of a table, without the checks that need the rows
-// of the other one.
+// readRows reads the files of one table, without the checks that need the rows of the
+// other table.
 func readRows(t table, paths []string) (tables.Rows, error) {
-	var all tables.Rows
+	var rows tables.Rows
 	if len(paths) == 0 {
-		return all, errors.New("no file is named")
+		return rows, errors.New("no file is named")
 	}
 	for _, p := range paths {
 		r, err := readFile(p)
 		if err != nil {
-			return all, err
+			return rows, err
 		}
-		if s := t.foreign(r); s != "" {
-			return all, errors.Errorf("%s: %s: does not belong in a %s file", p, s, t.name)
+		if s := t.foreignSection(r); s != "" {
+			return rows, errors.Errorf("%s: %s: does not belong in a %s file", p, s, t.name)
 		}
-		all.Routes = append(all.Routes, r.Routes...)
-		all.Teams = append(all.Teams, r.Teams...)
-		all.Pools = append(all.Pools, r.Pools...)
-		all.Servers = append(all.Servers, r.Servers...)
+		rows.Routes = append(rows.Routes, r.Routes...)
+		rows.Teams = append(rows.Teams, r.Teams...)
+		rows.Pools = append(rows.Pools, r.Pools...)
+		rows.Servers = append(rows.Servers, r.Servers...)
 	}
-	return all, nil
+	return rows, nil
 }
 
 func readFile(path string) (tables.Rows, error) {
@@ -110,42 +112,42 @@
 		return r, errors.Wrap(err, "tables")
 	}
 	md, err := toml.NewDecoder(bytes.NewReader(b)).Decode(&r)
-	var at toml.ParseError
+	var parseErr toml.ParseError
 	switch {
-	case errors.As(err, &at):
-		return r, errors.Errorf("%s: line %d: %s: %s", path, at.Position.Line, at.LastKey, at.Message)
+	case errors.As(err, &parseErr):
+		return r, errors.Errorf("%s: line %d: %s: %s", path, parseErr.Position.Line, parseErr.LastKey, parseErr.Message)
 	case err != nil:
 		return r, errors.Errorf("%s: %v", path, err)
 	}
-	if extra := md.Undecoded(); len(extra) > 0 {
-		key := extra[0]
-		return r, errors.Errorf("%s: %s: unknown key%s", path, key, line(b, `(?m)^\s*(\[+\s*)?`+regexp.QuoteMeta(key[len(key)-1])+`\b`))
+	if unknownKeys := md.Undecoded(); len(unknownKeys) > 0 {
+		key := unknownKeys[0]
+		return r, errors.Errorf("%s: %s: unknown key%s", path, key, lineSuffix(b, `(?m)^\s*(\[+\s*)?`+regexp.QuoteMeta(key[len(key)-1])+`\b`))
 	}
 	return r, nil
 }
 
-// line returns " (line n)" of the first match, or "".
-func line(text []byte, pattern string) string {
-	at := regexp.MustCompile(pattern).FindIndex(text)
-	if at == nil {
+// lineSuffix returns " (line n)" for the first match of the pattern, or "".
+func lineSuffix(text []byte, pattern string) string {
+	match := regexp.MustCompile(pattern).FindIndex(text)
+	if match == nil {
 		return ""
 	}
-	before := strings.TrimRight(string(text[:at[1]]), "\n")
-	return fmt.Sprintf(" (line %d)", 1+strings.Count(before, "\n"))
+	upToMatch := strings.TrimRight(string(text[:match[1]]), "\n")
+	return fmt.Sprintf(" (line %d)", 1+strings.Count(upToMatch, "\n"))
 }
 
-var quoted = regexp.MustCompile(`"[^"]+"|[0-9a-f.:\[\]]+:[0-9]+`)
+var namePattern = regexp.MustCompile(`"[^"]+"|[0-9a-f.:\[\]]+:[0-9]+`)
 
-// place adds to an error of the tables the file and line where the row that it
-// names first stands.
-func place(paths []string, err error) error {
-	name := strings.Trim(quoted.FindString(err.Error()), `"`)
+// withLocation adds to a table error the file and line of the first row that the error
+// names.
+func withLocation(paths []string, err error) error {
+	name := strings.Trim(namePattern.FindString(err.Error()), `"`)
 	for _, p := range paths {
 		b, readErr := os.ReadFile(p)
 		if name == "" || readErr != nil {
 			continue
 		}
-		if l := line(b, `"`+regexp.QuoteMeta(name)+`"`); l != "" {
+		if l := lineSuffix(b, `"`+regexp.QuoteMeta(name)+`"`); l != "" {
 			return errors.Errorf("%s: %v%s", p, err, l)
 		}
 	}
--- a/operator/jobs.go
+++ b/operator/jobs.go
@@ -26,35 +26,35 @@
 		Name:  "jobs",
 		Usage: "look at and cancel a caller's job, with the caller's token",
 		Commands: []*cli.Command{
-			{Name: "show", Usage: "show where a job stands", ArgsUsage: "ID", Flags: flags, Action: oneJob((*client.Client).Get)},
-			{Name: "cancel", Usage: "start no more tasks of a job", ArgsUsage: "ID", Flags: flags, Action: oneJob((*client.Client).Cancel)},
+			{Name: "show", Usage: "show where a job stands", ArgsUsage: "ID", Flags: flags, Action: jobAction((*client.Client).Get)},
+			{Name: "cancel", Usage: "start no more tasks of a job", ArgsUsage: "ID", Flags: flags, Action: jobAction((*client.Client).Cancel)},
 		},
 	}
 }
 
 type jobCall func(c *client.Client, ctx context.Context, entry netip.AddrPort, id ticket.JobID) (job.Answer, error)
 
-func oneJob(call jobCall) cli.ActionFunc {
+func jobAction(call jobCall) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
-		ctx, cancel := bounded(ctx, c)
+		ctx, cancel := withTimeout(ctx, c)
 		defer cancel()
 		id, err := ticket.ParseJobID(c.Args().First())
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		entry, err := netip.ParseAddrPort(c.String("entry"))
 		if err != nil {
-			return usage(errors.Wrap(err, "entry"))
+			return usageError(errors.Wrap(err, "entry"))
 		}
 		token, err := readToken(c.String("token-file"))
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		a, err := call(client.New(client.Config{Entries: []netip.AddrPort{entry}, Token: token}), ctx, entry, id)
 		if err != nil {
 			return err
 		}
-		return out(c, a, func(w io.Writer) {
+		return printResult(c, a, func(w io.Writer) {
 			fmt.Fprintf(w, "%s %s\n", a.Job, a.State)
 			for i, t := range a.Tasks {
 				fmt.Fprintf(w, "task %d: ran %s, done %t %s\n", i, t.Ran, t.Done, t.Error)
@@ -63,7 +63,7 @@
 	}
 }
 
-// readToken reads the token from a file: an argument would show in the list of
+// readToken reads the token from a file: as an argument it would show in the list of
 // processes.
 func readToken(path string) (string, error) {
 	if path == "" {
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -12,8 +12,8 @@
 	"snipehub.example/certificate"
 )
 
-// defaultValid is how long certificates for trials are valid.
-const defaultValid = 30 * 24 * time.Hour
+// defaultValidity is how long certificates for trials are valid by default.
+const defaultValidity = 30 * 24 * time.Hour
 
 func keysCommand() *cli.Command {
 	return &cli.Command{
@@ -24,7 +24,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "out", Value: "keys", Usage: "directory"},
 			&cli.StringSliceFlag{Name: "address", Value: []string{"127.0.0.1"}, Usage: "IP address at which callers reach a dispatcher"},
-			&cli.DurationFlag{Name: "valid", Value: defaultValid, Usage: "how long they are valid"},
+			&cli.DurationFlag{Name: "valid", Value: defaultValidity, Usage: "how long they are valid"},
 		},
 		Action: makeKeys,
 	}
@@ -35,7 +35,7 @@
 	for _, s := range c.StringSlice("address") {
 		a, err := netip.ParseAddr(s)
 		if err != nil {
-			return usage(errors.Wrap(err, "address"))
+			return usageError(errors.Wrap(err, "address"))
 		}
 		addresses = append(addresses, a)
 	}
--- a/operator/status.go
+++ b/operator/status.go
@@ -21,9 +21,9 @@
 	"snipehub.example/ticket"
 )
 
-// report is what a dispatcher says of another one, or of itself. Status is nil
-// for one that did not answer.
-type report struct {
+// dispatcherReport is a dispatcher's entry in the answer to /status/all. Status is nil if
+// that dispatcher did not answer.
+type dispatcherReport struct {
 	Member struct {
 		Owner   ticket.Owner `json:"owner"`
 		Address string       `json:"address"`
@@ -37,7 +37,7 @@
 	} `json:"status,omitempty"`
 }
 
-func (r report) name() string {
+func (r dispatcherReport) name() string {
 	o := r.Member.Owner
 	return o.DataCenter + "." + o.VM + "." + o.Process
 }
@@ -49,35 +49,35 @@
 		Description: "Asks one dispatcher, which asks all that it knows. Exit code 4 if one of them\n" +
 			"did not answer.",
 		Flags:  []cli.Flag{dispatcherFlag, caFlag, jsonFlag, timeoutFlag},
-		Action: status,
+		Action: showStatus,
 	}
 }
 
-func status(ctx context.Context, c *cli.Command) error {
-	ctx, cancel := bounded(ctx, c)
+func showStatus(ctx context.Context, c *cli.Command) error {
+	ctx, cancel := withTimeout(ctx, c)
 	defer cancel()
-	all, err := ask(ctx, c)
+	reports, err := fetchReports(ctx, c)
 	if err != nil {
 		return err
 	}
-	if err := out(c, all, func(w io.Writer) { writeReports(w, all) }); err != nil {
+	if err := printResult(c, reports, func(w io.Writer) { writeReports(w, reports) }); err != nil {
 		return err
 	}
-	var silent []string
-	for _, r := range all {
+	var unanswered []string
+	for _, r := range reports {
 		if r.Status == nil {
-			silent = append(silent, r.name())
+			unanswered = append(unanswered, r.name())
 		}
 	}
-	if len(silent) > 0 {
-		return cli.Exit("no answer from "+strings.Join(silent, ", "), ExitPending)
+	if len(unanswered) > 0 {
+		return cli.Exit("no answer from "+strings.Join(unanswered, ", "), ExitPending)
 	}
 	return nil
 }
 
-func writeReports(w io.Writer, all []report) {
+func writeReports(w io.Writer, reports []dispatcherReport) {
 	fmt.Fprintf(w, "%-32s %-8s %-8s %-8s %-6s %s\n", "dispatcher", "state", "tables", "age", "ready", "peers' address")
-	for _, r := range all {
+	for _, r := range reports {
 		if r.Status == nil {
 			fmt.Fprintf(w, "%-32s %-8s no answer: %s\n", r.name(), r.State, r.Error)
 			continue
@@ -87,18 +87,18 @@
 	}
 }
 
-// maxStatus bounds the answer of a dispatcher.
-const maxStatus = 64 << 20
+// maxStatusBytes bounds the size of a dispatcher's answer.
+const maxStatusBytes = 64 << 20
 
-// ask gets the reports of all dispatchers from the one of the flags.
-func ask(ctx context.Context, c *cli.Command) ([]report, error) {
+// fetchReports fetches the reports on all dispatchers from the one given by --dispatcher.
+func fetchReports(ctx context.Context, c *cli.Command) ([]dispatcherReport, error) {
 	hc, scheme, err := httpClient(c.String("ca"))
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, scheme+c.String("dispatcher")+"/status/all", nil)
 	if err != nil {
-		return nil, usage(errors.Wrap(err, "dispatcher"))
+		return nil, usageError(errors.Wrap(err, "dispatcher"))
 	}
 	resp, err := hc.Do(req)
 	if err != nil {
@@ -108,11 +108,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("status: %s answers %s; is this its operators' address (listen.operators)?", c.String("dispatcher"), resp.Status)
 	}
-	var all []report
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&all); err != nil {
+	var reports []dispatcherReport
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&reports); err != nil {
 		return nil, errors.Wrap(err, "status")
 	}
-	return all, nil
+	return reports, nil
 }
 
 func httpClient(ca string) (*http.Client, string, error) {
@@ -131,65 +131,65 @@
 	return &http.Client{Transport: tr}, "https://", nil
 }
 
-// force is what --wait tells.
-type force struct {
+// rollout is the result that --wait prints.
+type rollout struct {
 	Outcome
-	// InForce and Pending are the names of dispatchers.
+	// InForce and Pending are names of dispatchers.
 	InForce []string `json:"in_force"`
 	Pending []string `json:"pending,omitempty"`
-	// Suspect have been silent for the others as well, and are not waited
-	// for.
+	// Suspect are dispatchers that have not answered the other dispatchers either; they
+	// are not waited for.
 	Suspect []string `json:"suspect,omitempty"`
 }
 
-// awaitEvery is the pause between two looks at the dispatchers.
-const awaitEvery = 200 * time.Millisecond
+// rolloutPollInterval is the pause between two requests for the reports.
+const rolloutPollInterval = 200 * time.Millisecond
 
-// awaitForce waits until every live dispatcher says that the version is in
-// force, and names those that have not.
-func awaitForce(ctx context.Context, c *cli.Command, o Outcome) error {
-	f := force{Outcome: o}
+// awaitRollout waits until every live dispatcher reports that the version is in force. If
+// the context ends first, it names those that have not.
+func awaitRollout(ctx context.Context, c *cli.Command, o Outcome) error {
+	ro := rollout{Outcome: o}
 	for {
-		all, err := ask(ctx, c)
+		reports, err := fetchReports(ctx, c)
 		if err == nil {
-			f = judge(o, all)
+			ro = newRollout(o, reports)
 		}
-		if err == nil && len(f.Pending) == 0 {
-			return out(c, f, f.write)
+		if err == nil && len(ro.Pending) == 0 {
+			return printResult(c, ro, ro.write)
 		}
-		if clock.Sleep(ctx, awaitEvery) {
+		if clock.Sleep(ctx, rolloutPollInterval) {
 			continue
 		}
-		if len(f.InForce)+len(f.Pending) == 0 {
+		if len(ro.InForce)+len(ro.Pending) == 0 {
 			return cli.Exit(fmt.Sprintf("version %d is on the log, but no dispatcher could be asked: %v", o.Version, err), ExitPending)
 		}
-		_ = out(c, f, f.write)
-		return cli.Exit("not in force on "+strings.Join(f.Pending, ", "), ExitPending)
+		_ = printResult(c, ro, ro.write)
+		return cli.Exit("not in force on "+strings.Join(ro.Pending, ", "), ExitPending)
 	}
 }
 
-func judge(o Outcome, all []report) force {
-	f := force{Outcome: o}
-	for _, r := range all {
+func newRollout(o Outcome, reports []dispatcherReport) rollout {
+	ro := rollout{Outcome: o}
+	for _, r := range reports {
 		switch {
 		case r.Status != nil && r.Status.Tables >= o.Version:
-			f.InForce = append(f.InForce, r.name())
+			ro.InForce = append(ro.InForce, r.name())
 		case r.State == roster.Suspect:
-			f.Suspect = append(f.Suspect, r.name())
+			ro.Suspect = append(ro.Suspect, r.name())
 		default:
-			f.Pending = append(f.Pending, r.name())
+			ro.Pending = append(ro.Pending, r.name())
 		}
 	}
-	return f
+	return ro
 }
 
 // write writes a line for each group of dispatchers.
-func (f force) write(w io.Writer) {
-	fmt.Fprintf(w, "version %d in force on %s\n", f.Version, strings.Join(f.InForce, ", "))
-	if len(f.Pending) > 0 {
-		fmt.Fprintf(w, "not yet on %s\n", strings.Join(f.Pending, ", "))
+func (ro rollout) write(w io.Writer) {
+	fmt.Fprintf(w, "version %d in force on %s\n", ro.Version, strings.Join(ro.InForce, ", "))
+	if len(ro.Pending) > 0 {
+		fmt.Fprintf(w, "not yet on %s\n", strings.Join(ro.Pending, ", "))
 	}
-	if len(f.Suspect) > 0 {
-		fmt.Fprintf(w, "suspect, not waited for: %s\n", strings.Join(f.Suspect, ", "))
+	if len(ro.Suspect) > 0 {
+		fmt.Fprintf(w, "suspect, not waited for: %s\n", strings.Join(ro.Suspect, ", "))
 	}
 }
--- a/operator/tables.go
+++ b/operator/tables.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// difference is what a file would change.
-type difference struct {
+// tablesDiff is what applying the files would change.
+type tablesDiff struct {
 	Version tables.Version `json:"version"`
 	Put     tables.Rows    `json:"put"`
 	Drop    tables.Keys    `json:"drop"`
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			return out(c, d, func(w io.Writer) {
+			return printResult(c, d, func(w io.Writer) {
 				writeDiff(w, cur, d.Put, d.Drop)
 				fmt.Fprintln(w, "version", d.Version)
 			})
@@ -54,15 +54,15 @@
 	}
 }
 
-// compare checks the files against the tables in force.
-func compare(ctx context.Context, c *cli.Command, t table) (*tables.State, difference, error) {
-	ctx, cancel := bounded(ctx, c)
+// compare checks the files against the tables in force and returns the difference.
+func compare(ctx context.Context, c *cli.Command, t table) (*tables.State, tablesDiff, error) {
+	ctx, cancel := withTimeout(ctx, c)
 	defer cancel()
-	var d difference
+	var d tablesDiff
 	paths := c.Args().Slice()
 	file, err := readRows(t, paths)
 	if err != nil {
-		return nil, d, usage(err)
+		return nil, d, usageError(err)
 	}
 	log, err := openLog(c)
 	if err != nil {
@@ -72,9 +72,9 @@
 	if err != nil {
 		return nil, d, err
 	}
-	rows := t.put(cur.Rows(), file)
+	rows := t.replaceRows(cur.Rows(), file)
 	if _, err := tables.Build(cur.Version, rows); err != nil {
-		return nil, d, usage(place(paths, err))
+		return nil, d, usageError(withLocation(paths, err))
 	}
 	d.Version = cur.Version
 	d.Put, d.Drop = tables.Diff(cur.Rows(), rows)
@@ -88,7 +88,7 @@
 		ArgsUsage: filesUsage,
 		Flags: []cli.Flag{
 			logFlag, jsonFlag, timeoutFlag, dispatcherFlag, caFlag,
-			&cli.StringFlag{Name: "author", Value: author(), Usage: "who stands in the history"},
+			&cli.StringFlag{Name: "author", Value: currentUser(), Usage: "who stands in the history"},
 			&cli.Int64Flag{Name: "base", Value: int64(ledger.None) - 1, DefaultText: "the current one", Usage: "apply only if this version is in force"},
 			&cli.BoolFlag{Name: "wait", Usage: "wait until it is in force on every live dispatcher"},
 		},
@@ -97,12 +97,12 @@
 }
 
 func apply(ctx context.Context, c *cli.Command, t table) error {
-	ctx, cancel := bounded(ctx, c)
+	ctx, cancel := withTimeout(ctx, c)
 	defer cancel()
 	paths := c.Args().Slice()
 	file, err := readRows(t, paths)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	log, err := openLog(c)
 	if err != nil {
@@ -113,15 +113,15 @@
 		v := tables.Version(c.Int64("base"))
 		base = &v
 	}
-	want := func(cur tables.Rows) tables.Rows { return t.put(cur, file) }
+	want := func(cur tables.Rows) tables.Rows { return t.replaceRows(cur, file) }
 	o, err := newEditor(log).change(ctx, want, base, c.String("author"))
 	if err != nil {
-		return explain(c, paths, err)
+		return withExitCode(c, paths, err)
 	}
 	if c.Bool("wait") {
-		return awaitForce(ctx, c, o)
+		return awaitRollout(ctx, c, o)
 	}
-	return out(c, o, func(w io.Writer) {
+	return printResult(c, o, func(w io.Writer) {
 		if o.Edit == "" {
 			fmt.Fprintln(w, "nothing to change at version", o.Version)
 			return
@@ -130,25 +130,25 @@
 	})
 }
 
-// explain gives an error its exit code, and the loser of a race the difference
-// that is left.
-func explain(c *cli.Command, paths []string, err error) error {
-	var l *Lost
-	var coded cli.ExitCoder
+// withExitCode gives an error its exit code. For an edit that lost a race it also prints
+// the difference that is left.
+func withExitCode(c *cli.Command, paths []string, err error) error {
+	var conflict *ConflictError
+	var exitCoder cli.ExitCoder
 	switch {
-	case errors.As(err, &l):
-		_ = out(c, l, func(w io.Writer) { writeDiff(w, l.state, l.Put, l.Drop) })
-		return cli.Exit(err.Error(), ExitLost)
-	case errors.Is(err, ErrOpen):
-		return cli.Exit(err.Error()+"; look for it with: snipectl routes history", ExitOpen)
-	case errors.As(err, &coded):
-		return usage(place(paths, err))
+	case errors.As(err, &conflict):
+		_ = printResult(c, conflict, func(w io.Writer) { writeDiff(w, conflict.currentState, conflict.Put, conflict.Drop) })
+		return cli.Exit(err.Error(), ExitConflict)
+	case errors.Is(err, ErrOutcomeUnknown):
+		return cli.Exit(err.Error()+"; look for it with: snipectl routes history", ExitOutcomeUnknown)
+	case errors.As(err, &exitCoder):
+		return usageError(withLocation(paths, err))
 	}
 	return err
 }
 
-// record is one line of the history.
-type record struct {
+// historyRecord is one line of the history.
+type historyRecord struct {
 	Version tables.Version `json:"version"`
 	At      time.Time      `json:"at"`
 	Author  string         `json:"author,omitempty"`
@@ -166,15 +166,16 @@
 		Usage: "list the edits that the log still has",
 		Flags: []cli.Flag{logFlag, jsonFlag, timeoutFlag},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			ctx, cancel := bounded(ctx, c)
+			ctx, cancel := withTimeout(ctx, c)
 			defer cancel()
-			return follow(ctx, c, 0, false, func(r record) bool { return touches(t, r) })
+			return printHistory(ctx, c, 0, false, func(r historyRecord) bool { return affectsTable(t, r) })
 		},
 	}
 }
 
-// touches tells whether an edit belongs in the history of the table.
-func touches(t table, r record) bool {
+// affectsTable reports whether a record belongs in the history of the table: it changes
+// the table's rows, or is a snapshot.
+func affectsTable(t table, r historyRecord) bool {
 	keys := tables.Rows{}
 	if len(r.Drop.Pools)+len(r.Drop.Servers) > 0 {
 		keys.Pools = make([]tables.Pool, 1)
@@ -182,8 +183,8 @@
 	if len(r.Drop.Routes)+len(r.Drop.Teams) > 0 {
 		keys.Routes = make([]tables.Route, 1)
 	}
-	own := t.put(tables.Rows{}, r.Put)
-	put, _ := tables.Diff(tables.Rows{}, own)
-	dropped, _ := tables.Diff(tables.Rows{}, t.put(tables.Rows{}, keys))
-	return !empty(put, tables.Keys{}) || !empty(dropped, tables.Keys{}) || r.What == snapshotWord
+	ownRows := t.replaceRows(tables.Rows{}, r.Put)
+	put, _ := tables.Diff(tables.Rows{}, ownRows)
+	dropped, _ := tables.Diff(tables.Rows{}, t.replaceRows(tables.Rows{}, keys))
+	return !noChanges(put, tables.Keys{}) || !noChanges(dropped, tables.Keys{}) || r.What == outcomeSnapshot
 }
--- a/operator/watch.go
+++ b/operator/watch.go
@@ -12,15 +12,15 @@
 	"snipehub.example/tables"
 )
 
-// The words for what became of a record.
+// The values of historyRecord.What.
 const (
-	appliedWord  = "in force"
-	rejectedWord = "rejected"
-	snapshotWord = "snapshot"
+	outcomeInForce  = "in force"
+	outcomeRejected = "rejected"
+	outcomeSnapshot = "snapshot"
 )
 
-// watchWait is how long one read of watch waits for a new record.
-const watchWait = 10 * time.Second
+// watchReadWait is how long one read of the watch command waits for a new record.
+const watchReadWait = 10 * time.Second
 
 func watchCommand() *cli.Command {
 	return &cli.Command{
@@ -32,24 +32,26 @@
 			&cli.BoolFlag{Name: "all", Usage: "first show those that the log still has"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return follow(ctx, c, c.Int("count"), true, func(record) bool { return true })
+			return printHistory(ctx, c, c.Int("count"), true, func(historyRecord) bool { return true })
 		},
 	}
 }
 
-// follow prints the records of the tables stream: those that are there, or
-// those that come from now on.
-func follow(ctx context.Context, c *cli.Command, count int, future bool, wanted func(record) bool) error {
+// printHistory prints the records of the tables stream that include accepts: without
+// followNew those that the log has, with followNew those that are appended from now on,
+// after the earlier ones if --all is set. It ends after count records if count is above
+// 0.
+func printHistory(ctx context.Context, c *cli.Command, count int, followNew bool, include func(historyRecord) bool) error {
 	log, err := openLog(c)
 	if err != nil {
 		return err
 	}
 	e := newEditor(log)
 	var wait time.Duration
-	if future {
-		wait = watchWait
+	if followNew {
+		wait = watchReadWait
 	}
-	if future && !c.Bool("all") {
+	if followNew && !c.Bool("all") {
 		if _, err := e.catchUp(ctx); err != nil {
 			return err
 		}
@@ -61,14 +63,14 @@
 			return nil
 		case err != nil:
 			return err
-		case len(p.Records) == 0 && !future:
+		case len(p.Records) == 0 && !followNew:
 			return nil
 		}
-		for _, r := range records(p, e.replay.Page(p)) {
-			if !wanted(r) {
+		for _, r := range historyRecords(p, e.replay.Page(p)) {
+			if !include(r) {
 				continue
 			}
-			if err := out(c, r, r.write); err != nil {
+			if err := printResult(c, r, r.write); err != nil {
 				return err
 			}
 			if n++; n == count {
@@ -79,35 +81,35 @@
 	return nil
 }
 
-// records joins what was read with what the replay made of it.
-func records(p ledger.Page, notes []tables.Note) []record {
-	read := make(map[ledger.Offset]ledger.Record, len(p.Records))
+// historyRecords combines the records of a page with the replay's notes about them.
+func historyRecords(p ledger.Page, notes []tables.Note) []historyRecord {
+	recordsByOffset := make(map[ledger.Offset]ledger.Record, len(p.Records))
 	for _, rec := range p.Records {
-		read[rec.Offset] = rec
+		recordsByOffset[rec.Offset] = rec
 	}
-	var all []record
+	var history []historyRecord
 	for _, n := range notes {
-		rec := read[n.Offset]
-		r := record{Version: n.Offset, At: rec.At, What: appliedWord}
+		rec := recordsByOffset[n.Offset]
+		r := historyRecord{Version: n.Offset, At: rec.At, What: outcomeInForce}
 		if e, err := tables.DecodeEdit(rec); err == nil {
 			r.Author, r.Edit, r.Put, r.Drop = e.Author, e.ID, e.Put, e.Drop
 		}
 		switch {
 		case n.Snapshot:
-			r.What = snapshotWord
+			r.What = outcomeSnapshot
 		case n.Err != nil:
-			r.What, r.Reason = rejectedWord, n.Err.Error()
+			r.What, r.Reason = outcomeRejected, n.Err.Error()
 		case !n.Applied:
-			r.What, r.Reason = rejectedWord, "older than the first snapshot that the log has"
+			r.What, r.Reason = outcomeRejected, "older than the first snapshot that the log has"
 		}
-		all = append(all, r)
+		history = append(history, r)
 	}
-	return all
+	return history
 }
 
-// write writes the record as a line.
-func (r record) write(w io.Writer) {
-	if r.What == snapshotWord {
+// write writes the record as one line of text.
+func (r historyRecord) write(w io.Writer) {
+	if r.What == outcomeSnapshot {
 		fmt.Fprintf(w, "%d %s snapshot\n", r.Version, r.At.Format(time.RFC3339))
 		return
 	}
