--- a/stand/command.go
+++ b/stand/command.go
@@ -54,28 +54,28 @@
 }
 
 func runWorkers(ctx context.Context, c *cli.Command) error {
-	workers, err := workersOf(c)
+	workers, err := newWorkers(c)
 	if err != nil {
 		return err
 	}
 	f := NewFarm(workers)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	failed := make(chan error, 2)
-	go func() { failed <- f.Serve(ctx) }()
+	serveErrs := make(chan error, 2)
+	go func() { serveErrs <- f.Serve(ctx) }()
 	if at := c.String("control"); at != "" {
-		go func() { failed <- serve(ctx, at, f) }()
+		go func() { serveErrs <- serve(ctx, at, f) }()
 	}
-	err = <-failed
+	err = <-serveErrs
 	cancel()
 	return err
 }
 
-func workersOf(c *cli.Command) ([]*Worker, error) {
+func newWorkers(c *cli.Command) ([]*Worker, error) {
 	spread := Spread{Min: c.Duration("min"), Max: c.Duration("max"), Long: c.Duration("long"), LongShare: c.Float("long-share")}
 	var out []*Worker
 	for _, text := range c.StringSlice("listen") {
-		first, speed, err := address(text, c.Float("speed"))
+		first, speed, err := parseListen(text, c.Float("speed"))
 		if err != nil {
 			return nil, err
 		}
@@ -87,15 +87,15 @@
 	return out, nil
 }
 
-// address reads "ip:port" or "ip:port@speed".
-func address(text string, speed float64) (netip.AddrPort, float64, error) {
-	at, own, ok := strings.Cut(text, "@")
-	a, err := netip.ParseAddrPort(at)
+// parseListen parses "ip:port" or "ip:port@speed"; the speed defaults to the given one.
+func parseListen(text string, speed float64) (netip.AddrPort, float64, error) {
+	addrText, ownSpeed, ok := strings.Cut(text, "@")
+	a, err := netip.ParseAddrPort(addrText)
 	if err != nil {
 		return a, 0, errors.Wrap(err, "listen")
 	}
 	if ok {
-		if speed, err = strconv.ParseFloat(own, 64); err != nil {
+		if speed, err = strconv.ParseFloat(ownSpeed, 64); err != nil {
 			return a, 0, errors.Wrap(err, "listen")
 		}
 	}
@@ -105,7 +105,7 @@
 	return a, speed, nil
 }
 
-// serve answers HTTP at the address until ctx ends.
+// serve serves HTTP at the address until ctx ends.
 func serve(ctx context.Context, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/stand/log.go
+++ b/stand/log.go
@@ -1,6 +1,6 @@
-// Package stand holds the stand-ins for what is not ours: the platform's log
-// and VM list, and backend servers. They speak the published protocols, keep
-// everything in memory, and have faults that can be set over HTTP.
+// Package stand simulates the services that snipehub depends on: the platform's log and
+// VM list, and backend servers. The simulations speak the published protocols, keep
+// everything in memory, and have faults that are set over HTTP.
 package stand
 
 import (
@@ -18,22 +18,22 @@
 	"snipehub.example/ledger"
 )
 
-// LogFaults are the settable faults of the log and the VM list.
+// LogFaults are the faults of the log and the VM list that can be set.
 type LogFaults struct {
 	// Down answers every call with 503.
 	Down bool `json:"down"`
 	// SlowMS delays every answer.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseAnswers cuts the answers of that many appends, after they took
+	// LoseAnswers is the number of appends whose answers are cut after the append took
 	// effect.
 	LoseAnswers int `json:"lose_answers"`
-	// ForgetBelow drops the records of all streams below the offset.
+	// ForgetBelow drops the records of all streams below this offset.
 	ForgetBelow ledger.Offset `json:"forget_below"`
-	// VMsLagMS makes the VM list that much older than the truth.
+	// VMsLagMS is how long changes of the VM list stay invisible to readers.
 	VMsLagMS int64 `json:"vms_lag_ms"`
 }
 
-// LogCounts is what was asked of the log since its start.
+// LogCounts counts the calls to the log since its start.
 type LogCounts struct {
 	Appends     int64 `json:"appends"`
 	AppendBytes int64 `json:"append_bytes"`
@@ -42,10 +42,10 @@
 	ListReads   int64 `json:"list_reads"`
 }
 
-// Log is the stand-in of the platform's log and VM list.
+// Log simulates the platform's log and VM list.
 type Log struct {
 	retention time.Duration
-	limit     *rate.Limiter
+	limiter   *rate.Limiter
 	mux       *http.ServeMux
 
 	mu      sync.Mutex
@@ -56,28 +56,28 @@
 }
 
 type stream struct {
-	first   ledger.Offset
-	records []ledger.Record
-	grown   chan struct{}
+	first    ledger.Offset
+	records  []ledger.Record
+	appended chan struct{}
 }
 
 const (
-	maxRecord  = 8 << 20
-	maxPage    = 1000
-	maxLogWait = 30 * time.Second
+	maxRecordBytes = 8 << 20
+	maxPageRecords = 1000
+	maxReadWait    = 30 * time.Second
 )
 
-// NewLog makes an empty log that keeps records for the retention and takes
-// perSecond appends.
+// NewLog returns an empty log that keeps records for the retention and accepts perSecond
+// appends.
 func NewLog(retention time.Duration, perSecond float64) *Log {
 	l := &Log{
 		retention: retention,
-		limit:     rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))),
+		limiter:   rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))),
 		mux:       http.NewServeMux(),
 		streams:   make(map[string]*stream),
 	}
 	l.mux.HandleFunc("POST /v1/streams/{stream}", l.append)
-	l.mux.HandleFunc("GET /v1/streams/{stream}", l.read)
+	l.mux.HandleFunc("GET /v1/streams/{stream}", l.serveRead)
 	l.mux.HandleFunc("GET /v1/vms", l.getVMs)
 	l.mux.HandleFunc("PUT /stand/vms", l.putVMs)
 	l.mux.HandleFunc("PUT /stand/faults", l.putFaults)
@@ -85,21 +85,21 @@
 	return l
 }
 
-// ServeHTTP makes Log an http.Handler.
+// ServeHTTP implements http.Handler.
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/stand/") {
 		l.mux.ServeHTTP(w, r)
 		return
 	}
-	// The body is read before the delay: an append whose sender has given up
-	// meanwhile still takes effect, as on a slow store.
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxRecord+1))
-	if err != nil || len(body) > maxRecord {
+	// The body is read before the delay: an append whose sender has given up in the
+	// meantime still takes effect, as on a slow store.
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRecordBytes+1))
+	if err != nil || len(body) > maxRecordBytes {
 		http.Error(w, "record too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	f := l.count(r)
+	f := l.countRead(r)
 	time.Sleep(time.Duration(f.SlowMS) * time.Millisecond)
 	if f.Down {
 		http.Error(w, "down", http.StatusServiceUnavailable)
@@ -108,8 +108,8 @@
 	l.mux.ServeHTTP(w, r)
 }
 
-// count counts a call that is not a control, and returns the faults in force.
-func (l *Log) count(r *http.Request) LogFaults {
+// countRead counts a read of a stream or of the VM list, and returns the faults in force.
+func (l *Log) countRead(r *http.Request) LogFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -127,38 +127,38 @@
 		return
 	}
 	l.mu.Lock()
-	if !l.limit.Allow() {
+	if !l.limiter.Allow() {
 		l.counts.Refused++
 		l.mu.Unlock()
 		http.Error(w, "over the append rate", http.StatusTooManyRequests)
 		return
 	}
-	off := l.add(l.stream(r.PathValue("stream")), b)
-	lose := l.faults.LoseAnswers > 0
-	if lose {
+	offset := l.appendRecord(l.stream(r.PathValue("stream")), b)
+	loseAnswer := l.faults.LoseAnswers > 0
+	if loseAnswer {
 		l.faults.LoseAnswers--
 	}
 	l.mu.Unlock()
-	if lose {
+	if loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, struct {
+	writeJSON(w, struct {
 		Offset ledger.Offset `json:"offset"`
-	}{off})
+	}{offset})
 }
 
-// add puts the record on the stream and wakes its readers.
-func (l *Log) add(s *stream, b []byte) ledger.Offset {
-	off := s.first + ledger.Offset(len(s.records))
-	s.records = append(s.records, ledger.Record{Offset: off, At: time.Now(), Data: b})
-	close(s.grown)
-	s.grown = make(chan struct{})
+// appendRecord appends the record to the stream and wakes the stream's readers.
+func (l *Log) appendRecord(s *stream, b []byte) ledger.Offset {
+	offset := s.first + ledger.Offset(len(s.records))
+	s.records = append(s.records, ledger.Record{Offset: offset, At: time.Now(), Data: b})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	l.counts.Appends++
 	l.counts.AppendBytes += int64(len(b))
-	return off
+	return offset
 }
 
-func (l *Log) read(w http.ResponseWriter, r *http.Request) {
+func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		http.Error(w, "from: not a number", http.StatusBadRequest)
@@ -168,18 +168,18 @@
 	if err != nil {
 		wait = 0
 	}
-	deadline := time.NewTimer(min(wait, maxLogWait))
-	defer deadline.Stop()
+	timeout := time.NewTimer(min(wait, maxReadWait))
+	defer timeout.Stop()
 	for {
-		p, grown := l.page(r.PathValue("stream"), ledger.Offset(from))
+		p, appended := l.readPage(r.PathValue("stream"), ledger.Offset(from))
 		if len(p.Records) > 0 {
-			reply(w, p)
+			writeJSON(w, p)
 			return
 		}
 		select {
-		case <-grown:
-		case <-deadline.C:
-			reply(w, p)
+		case <-appended:
+		case <-timeout.C:
+			writeJSON(w, p)
 			return
 		case <-r.Context().Done():
 			return
@@ -187,37 +187,37 @@
 	}
 }
 
-func (l *Log) page(name string, from ledger.Offset) (ledger.Page, <-chan struct{}) {
+func (l *Log) readPage(name string, from ledger.Offset) (ledger.Page, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	l.forget(s)
+	l.dropExpired(s)
 	from = max(from, s.first)
 	end := s.first + ledger.Offset(len(s.records))
 	p := ledger.Page{First: s.first, Next: min(from, end), End: end}
 	if from < end {
-		recs := s.records[from-s.first:]
-		recs = recs[:min(len(recs), maxPage)]
-		p.Records = append(p.Records, recs...)
-		p.Next = from + ledger.Offset(len(recs))
+		records := s.records[from-s.first:]
+		records = records[:min(len(records), maxPageRecords)]
+		p.Records = append(p.Records, records...)
+		p.Next = from + ledger.Offset(len(records))
 	}
-	return p, s.grown
+	return p, s.appended
 }
 
-func (l *Log) forget(s *stream) {
-	old := time.Now().Add(-l.retention)
-	n := 0
-	for n < len(s.records) && (s.records[n].At.Before(old) || s.records[n].Offset < l.faults.ForgetBelow) {
-		n++
+func (l *Log) dropExpired(s *stream) {
+	cutoff := time.Now().Add(-l.retention)
+	expired := 0
+	for expired < len(s.records) && (s.records[expired].At.Before(cutoff) || s.records[expired].Offset < l.faults.ForgetBelow) {
+		expired++
 	}
-	s.first += ledger.Offset(n)
-	s.records = s.records[n:]
+	s.first += ledger.Offset(expired)
+	s.records = s.records[expired:]
 }
 
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
-		s = &stream{grown: make(chan struct{})}
+		s = &stream{appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
@@ -226,12 +226,12 @@
 func (l *Log) getCounts(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	reply(w, l.counts)
+	writeJSON(w, l.counts)
 }
 
 func (l *Log) putFaults(w http.ResponseWriter, r *http.Request) {
 	var in LogFaults
-	if !decode(w, r, &in) {
+	if !decodeJSON(w, r, &in) {
 		return
 	}
 	l.mu.Lock()
@@ -239,8 +239,8 @@
 	l.mu.Unlock()
 }
 
-func decode(w http.ResponseWriter, r *http.Request, v any) bool {
-	d := json.NewDecoder(io.LimitReader(r.Body, maxRecord))
+func decodeJSON(w http.ResponseWriter, r *http.Request, v any) bool {
+	d := json.NewDecoder(io.LimitReader(r.Body, maxRecordBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -249,7 +249,7 @@
 	return true
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/stand/record.go
+++ b/stand/record.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// maxStarts bounds the record of one backend server; what comes after it is
-// only counted, in Summary.Dropped.
+// maxStarts bounds the starts that one backend server records; later ones are only
+// counted, in Summary.Dropped.
 const maxStarts = 500_000
 
-// Start is one task that a backend server began to run.
+// Start records that a backend server began to run a task.
 type Start struct {
 	// Task is the id that the dispatcher sent: job, index and attempt.
 	Task string `json:"task"`
-	// Kind is the kind that the request was made for; the routes table tells
-	// which half asks for it.
+	// Kind is the kind that the request was made for; the routes table shows which half
+	// requests it.
 	Kind   string         `json:"kind"`
 	Server netip.AddrPort `json:"server"`
 	At     time.Time      `json:"at"`
 }
 
-// Summary is the counts of a backend server.
+// Summary holds the counters of a backend server.
 type Summary struct {
 	Server netip.AddrPort `json:"server"`
-	// Requests are all that were read; each was started or refused.
+	// Requests counts all requests that were read; each was started or refused.
 	Requests int64 `json:"requests"`
 	Starts   int64 `json:"starts"`
 	Refused  int64 `json:"refused"`
-	// Doubles are starts of an id that had been started before.
+	// Doubles counts starts of an id that had been started before.
 	Doubles int64 `json:"doubles"`
-	// Dropped are starts that the full record did not take.
+	// Dropped counts starts that the full record did not take.
 	Dropped int64            `json:"dropped"`
 	Kinds   map[string]int64 `json:"kinds,omitempty"`
 	Running int              `json:"running"`
 	Peak    int              `json:"peak"`
 }
 
-// record is what a backend server remembers of its starts. Its owner locks.
+// record holds the starts of one backend server. Its owner does the locking.
 type record struct {
 	starts  []Start
 	counts  map[string]int
@@ -51,7 +51,7 @@
 	}
 }
 
-func (r *record) start(now time.Time, task, kind string) {
+func (r *record) addStart(now time.Time, task, kind string) {
 	s := &r.summary
 	s.Starts++
 	s.Kinds[kind]++
@@ -66,12 +66,12 @@
 	r.starts = append(r.starts, Start{Task: task, Kind: kind, Server: s.Server, At: now})
 }
 
-func (r *record) running(n int) {
+func (r *record) addRunning(n int) {
 	r.summary.Running += n
 	r.summary.Peak = max(r.summary.Peak, r.summary.Running)
 }
 
-func (r *record) total() Summary {
+func (r *record) summaryCopy() Summary {
 	s := r.summary
 	s.Kinds = maps.Clone(s.Kinds)
 	return s
--- a/stand/vms.go
+++ b/stand/vms.go
@@ -8,38 +8,39 @@
 	"snipehub.example/ledger"
 )
 
-// maxLists bounds the lists that are kept while the list lags.
-const maxLists = 1000
+// maxVersions bounds the versions of the list that are kept.
+const maxVersions = 1000
 
-// vmList is the platform's list of VMs, as it was a settable lag ago.
+// vmList is the platform's list of VMs. Readers see it as it was before a configurable
+// lag.
 type vmList struct {
-	mu    sync.Mutex
-	lists []datedList
+	mu       sync.Mutex
+	versions []vmVersion
 }
 
-type datedList struct {
+type vmVersion struct {
 	at  time.Time
 	vms []ledger.VM
 }
 
-// put makes the list the newest one.
+// put makes vms the newest version of the list.
 func (v *vmList) put(now time.Time, vms []ledger.VM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.lists = append(v.lists, datedList{now, vms})
-	if len(v.lists) > maxLists {
-		v.lists = v.lists[len(v.lists)-maxLists:]
+	v.versions = append(v.versions, vmVersion{now, vms})
+	if len(v.versions) > maxVersions {
+		v.versions = v.versions[len(v.versions)-maxVersions:]
 	}
 }
 
-// seen returns the newest list that is at least lag old. Older ones are kept,
+// laggedBy returns the newest version that is at least lag old. Older ones are kept,
 // because the lag can grow again.
-func (v *vmList) seen(now time.Time, lag time.Duration) []ledger.VM {
+func (v *vmList) laggedBy(now time.Time, lag time.Duration) []ledger.VM {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for i := len(v.lists) - 1; i >= 0; i-- {
-		if now.Sub(v.lists[i].at) >= lag {
-			return v.lists[i].vms
+	for i := len(v.versions) - 1; i >= 0; i-- {
+		if now.Sub(v.versions[i].at) >= lag {
+			return v.versions[i].vms
 		}
 	}
 	return nil
@@ -49,16 +50,16 @@
 	l.mu.Lock()
 	lag := time.Duration(l.faults.VMsLagMS) * time.Millisecond
 	l.mu.Unlock()
-	reply(w, struct {
+	writeJSON(w, struct {
 		VMs []ledger.VM `json:"vms"`
-	}{l.vms.seen(time.Now(), lag)})
+	}{l.vms.laggedBy(time.Now(), lag)})
 }
 
 func (l *Log) putVMs(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		VMs []ledger.VM `json:"vms"`
 	}
-	if decode(w, r, &in) {
+	if decodeJSON(w, r, &in) {
 		l.vms.put(time.Now(), in.VMs)
 	}
 }
--- a/stand/worker.go
+++ b/stand/worker.go
@@ -13,12 +13,12 @@
 	"snipehub.example/delivery"
 )
 
-// WorkerFaults are the settable faults of a backend server.
+// WorkerFaults are the faults of a backend server that can be set.
 type WorkerFaults struct {
 	// Fail answers every task with 500 at once, after counting the start.
 	Fail bool `json:"fail"`
-	// Freeze holds every call until the fault is taken away. What was read by
-	// then still runs, also when its sender has given up.
+	// Freeze holds every call until the fault is cleared. A request that was read by then
+	// still runs, even if its sender has given up.
 	Freeze bool `json:"freeze"`
 	// Reset cuts the connection in the middle of the answer.
 	Reset bool `json:"reset"`
@@ -26,21 +26,21 @@
 	Short bool `json:"short"`
 	// Refuse answers "not run".
 	Refuse bool `json:"refuse"`
-	// Slow multiplies the service time, 0 counts as 1.
+	// Slow multiplies the service time; 0 counts as 1.
 	Slow float64 `json:"slow"`
-	// Vanish closes the listener and every connection: new connections are
-	// refused. It is taken away over the control address.
+	// Vanish closes the listener and every connection; new connections are refused. It is
+	// cleared over the control address.
 	Vanish bool `json:"vanish"`
 }
 
-// Spread is a distribution of service times: evenly from Min to Max, and
-// Long for the share LongShare of the tasks.
+// Spread is a distribution of service times: uniform between Min and Max, and Long for
+// the share LongShare of the tasks.
 type Spread struct {
 	Min, Max, Long time.Duration
 	LongShare      float64
 }
 
-// Draw draws a service time.
+// Draw returns a random service time.
 func (s Spread) Draw(rnd *rand.Rand) time.Duration {
 	if rnd.Float64() < s.LongShare {
 		return s.Long
@@ -58,14 +58,14 @@
 	return time.Duration(short*(1-s.LongShare) + float64(s.Long)*s.LongShare)
 }
 
-// Payload is the part of a task's body that the stand-in reads: the service
-// time at speed 1, so that whoever sends the task knows it. Without it the
-// stand-in draws the time from its Spread.
+// Payload is the part of a task's body that the simulated server reads: the service time
+// at speed 1, so that the sender of the task knows it. Without it the server draws the
+// time from its Spread.
 type Payload struct {
 	ServiceMS float64 `json:"service_ms"`
 }
 
-// Worker is the stand-in of a backend server.
+// Worker simulates a backend server.
 type Worker struct {
 	addr   netip.AddrPort
 	cores  int
@@ -73,17 +73,17 @@
 	spread Spread
 	mux    *http.ServeMux
 
-	mu     sync.Mutex
-	faults WorkerFaults
-	thaw   chan struct{}
-	record *record
-	rnd    *rand.Rand
-	// vanished is called with the lock held when Vanish changes.
-	vanished func(gone bool)
+	mu       sync.Mutex
+	faults   WorkerFaults
+	unfrozen chan struct{}
+	record   *record
+	rnd      *rand.Rand
+	// onVanish is called with mu held when the Vanish fault changes.
+	onVanish func(gone bool)
 }
 
-// NewWorker makes a backend server with the given cores; a speed of 2 halves
-// the service times.
+// NewWorker returns a backend server with the given cores; a speed of 2 halves the
+// service times.
 func NewWorker(addr netip.AddrPort, cores int, speed float64, spread Spread, seed uint64) *Worker {
 	k := &Worker{
 		addr:     addr,
@@ -91,18 +91,18 @@
 		speed:    speed,
 		spread:   spread,
 		mux:      http.NewServeMux(),
-		thaw:     make(chan struct{}),
+		unfrozen: make(chan struct{}),
 		record:   newRecord(addr),
 		rnd:      rand.New(rand.NewPCG(seed, 1)),
-		vanished: func(bool) {},
+		onVanish: func(bool) {},
 	}
-	k.mux.HandleFunc("POST /v1/tasks/{kind}", k.run)
+	k.mux.HandleFunc("POST /v1/tasks/{kind}", k.runTask)
 	k.mux.HandleFunc("GET /stand/starts", func(w http.ResponseWriter, r *http.Request) { serveStarts(w, r, []*Worker{k}) })
 	k.mux.HandleFunc("PUT /stand/faults", func(w http.ResponseWriter, r *http.Request) { putFaults(w, r, []*Worker{k}) })
 	return k
 }
 
-// ServeHTTP runs tasks and the controls of the stand-in.
+// ServeHTTP runs tasks and serves the control calls.
 func (k *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) { k.mux.ServeHTTP(w, r) }
 
 // SetFaults replaces the faults in force.
@@ -110,23 +110,23 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.faults.Freeze && !f.Freeze {
-		close(k.thaw)
-		k.thaw = make(chan struct{})
+		close(k.unfrozen)
+		k.unfrozen = make(chan struct{})
 	}
 	if f.Vanish != k.faults.Vanish {
-		k.vanished(f.Vanish)
+		k.onVanish(f.Vanish)
 	}
 	k.faults = f
 }
 
-func (k *Worker) run(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecord))
+func (k *Worker) runTask(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecordBytes))
 	if err != nil {
 		return
 	}
-	f := k.arrive()
+	f := k.receive()
 	task := r.Header.Get(delivery.HeaderTask)
-	d, ok := k.begin(f, task, r.PathValue("kind"), body)
+	d, ok := k.startTask(f, task, r.PathValue("kind"), body)
 	if !ok {
 		w.Header().Set(delivery.HeaderRan, "no")
 		http.Error(w, "no core is free", http.StatusTooManyRequests)
@@ -134,35 +134,35 @@
 	}
 	time.Sleep(d)
 	k.mu.Lock()
-	k.record.running(-1)
+	k.record.addRunning(-1)
 	k.mu.Unlock()
-	k.answer(w, task, f, body)
+	k.writeAnswer(w, task, f, body)
 }
 
-// arrive counts a request, waits while the server is frozen, and returns the
-// faults that hold for the request.
-func (k *Worker) arrive() WorkerFaults {
+// receive counts a request, waits while the server is frozen, and returns the faults that
+// apply to the request.
+func (k *Worker) receive() WorkerFaults {
 	k.mu.Lock()
 	k.record.summary.Requests++
-	f, thaw := k.faults, k.thaw
+	f, unfrozen := k.faults, k.unfrozen
 	k.mu.Unlock()
 	if f.Freeze {
-		<-thaw
+		<-unfrozen
 	}
 	return f
 }
 
-// begin takes a core and counts the start, and returns the service time; false
-// means that the task is refused.
-func (k *Worker) begin(f WorkerFaults, task, kind string, body []byte) (time.Duration, bool) {
+// startTask takes a core, counts the start and returns the service time. It returns false
+// if the task is refused.
+func (k *Worker) startTask(f WorkerFaults, task, kind string, body []byte) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if f.Refuse || k.record.summary.Running >= k.cores {
 		k.record.summary.Refused++
 		return 0, false
 	}
-	k.record.running(1)
-	k.record.start(time.Now(), task, kind)
+	k.record.addRunning(1)
+	k.record.addStart(time.Now(), task, kind)
 	if f.Fail {
 		return 0, true
 	}
@@ -173,7 +173,7 @@
 	return time.Duration(p.ServiceMS * max(f.Slow, 1) / k.speed * float64(time.Millisecond)), true
 }
 
-func (k *Worker) answer(w http.ResponseWriter, task string, f WorkerFaults, body []byte) {
+func (k *Worker) writeAnswer(w http.ResponseWriter, task string, f WorkerFaults, body []byte) {
 	if f.Fail {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
--- a/stand/worker_test.go
+++ b/stand/worker_test.go
@@ -17,8 +17,8 @@
 
 var spread = Spread{Min: time.Millisecond, Max: 2 * time.Millisecond}
 
-// farm serves two workers of two cores at free ports.
-func farm(t *testing.T) (*Farm, []netip.AddrPort) {
+// startFarm serves two workers of two cores at free ports.
+func startFarm(t *testing.T) (*Farm, []netip.AddrPort) {
 	t.Helper()
 	var at []netip.AddrPort
 	var workers []*Worker
@@ -56,7 +56,7 @@
 	})
 }
 
-func ask(h http.Handler, method, path, body string) *httptest.ResponseRecorder {
+func request(h http.Handler, method, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w
@@ -64,13 +64,13 @@
 
 func faults(t *testing.T, h http.Handler, server netip.AddrPort, body string) {
 	t.Helper()
-	if w := ask(h, http.MethodPut, "/stand/faults?server="+server.String(), body); w.Code != http.StatusOK {
+	if w := request(h, http.MethodPut, "/stand/faults?server="+server.String(), body); w.Code != http.StatusOK {
 		t.Fatalf("faults: %d %s", w.Code, w.Body)
 	}
 }
 
-// Each fault of a backend server, as the dispatcher's delivery client sees it,
-// and whether the task was started by the server's own record.
+// Each fault of a backend server as the dispatcher's delivery client sees it, and whether
+// the server recorded a start of the task.
 func TestWorkerFaults(t *testing.T) {
 	tests := []struct {
 		name, faults string
@@ -85,7 +85,7 @@
 		{"refuses", `{"refuse":true}`, delivery.NotRun, 0, "refused"},
 		{"vanished", `{"vanish":true}`, delivery.NotRun, 0, "connection refused"},
 	}
-	f, at := farm(t)
+	f, at := startFarm(t)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			faults(t, f, at[0], tt.faults)
@@ -95,7 +95,7 @@
 				t.Errorf("got %+v, want kind %v with %q", o, tt.want, tt.reason)
 			}
 			var starts map[string]int
-			_ = json.Unmarshal(ask(f, http.MethodGet, "/stand/starts", "").Body.Bytes(), &starts)
+			_ = json.Unmarshal(request(f, http.MethodGet, "/stand/starts", "").Body.Bytes(), &starts)
 			if starts[tt.name] != tt.starts {
 				t.Errorf("%d starts, want %d", starts[tt.name], tt.starts)
 			}
@@ -106,9 +106,9 @@
 	}
 }
 
-// A vanished server is back at the same address when the fault is taken away.
+// A vanished server listens again at the same address when the fault is cleared.
 func TestVanishAndReturn(t *testing.T) {
-	f, at := farm(t)
+	f, at := startFarm(t)
 	c := delivery.New(1<<10, 4, (&net.Dialer{}).DialContext)
 	faults(t, f, at[0], `{"vanish":true}`)
 	if o := deliver(c, at[0], "gone"); o.Kind != delivery.NotRun {
@@ -120,7 +120,7 @@
 	}
 }
 
-func run(k *Worker, task string) (time.Duration, int) {
+func runTask(k *Worker, task string) (time.Duration, int) {
 	began := time.Now()
 	r := httptest.NewRequest(http.MethodPost, "/v1/tasks/price", strings.NewReader(`{"service_ms":100}`))
 	r.Header.Set(delivery.HeaderTask, task)
@@ -129,29 +129,28 @@
 	return time.Since(began), w.Code
 }
 
-// The payload's service time is divided by the speed; a slow server takes its
-// multiple.
+// The payload's service time is divided by the speed and multiplied by the Slow fault.
 func TestServiceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := NewWorker(netip.AddrPort{}, 1, 2, spread, 1)
-		if d, _ := run(k, "a"); d != 50*time.Millisecond {
+		if d, _ := runTask(k, "a"); d != 50*time.Millisecond {
 			t.Errorf("at speed 2: %v", d)
 		}
 		k.SetFaults(WorkerFaults{Slow: 10})
-		if d, _ := run(k, "b"); d != 500*time.Millisecond {
+		if d, _ := runTask(k, "b"); d != 500*time.Millisecond {
 			t.Errorf("slow tenfold: %v", d)
 		}
 	})
 }
 
-// A frozen server answers nothing, and runs what it had read when it thaws.
+// A frozen server answers nothing; once the fault is cleared it runs what it had read.
 func TestFreeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := NewWorker(netip.AddrPort{}, 1, 1, spread, 1)
 		k.SetFaults(WorkerFaults{Freeze: true})
 		done := make(chan time.Duration)
 		go func() {
-			d, _ := run(k, "a")
+			d, _ := runTask(k, "a")
 			done <- d
 		}()
 		time.Sleep(time.Minute)
@@ -165,24 +164,25 @@
 	})
 }
 
-// The record tells which kind asked and when; a core that is taken refuses.
+// The record holds the kind and time of each start. A request without a free core is
+// refused.
 func TestRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := NewWorker(netip.MustParseAddrPort("127.0.0.1:9"), 1, 1, spread, 1)
-		go run(k, "a")
+		go runTask(k, "a")
 		synctest.Wait()
-		if _, code := run(k, "b"); code != http.StatusTooManyRequests {
+		if _, code := runTask(k, "b"); code != http.StatusTooManyRequests {
 			t.Errorf("status %d while the core is taken", code)
 		}
 		time.Sleep(time.Second)
-		run(k, "a")
+		runTask(k, "a")
 		var full struct{ Starts []Start }
-		_ = json.Unmarshal(ask(k, http.MethodGet, "/stand/starts?view=full", "").Body.Bytes(), &full)
+		_ = json.Unmarshal(request(k, http.MethodGet, "/stand/starts?view=full", "").Body.Bytes(), &full)
 		if n := len(full.Starts); n != 2 || full.Starts[1].Kind != "price" || full.Starts[1].At.Sub(full.Starts[0].At) != time.Second {
 			t.Errorf("full record: %+v", full)
 		}
 		var sum struct{ Servers []Summary }
-		_ = json.Unmarshal(ask(k, http.MethodGet, "/stand/starts?view=summary", "").Body.Bytes(), &sum)
+		_ = json.Unmarshal(request(k, http.MethodGet, "/stand/starts?view=summary", "").Body.Bytes(), &sum)
 		s := sum.Servers[0]
 		if s.Requests != 3 || s.Starts != 2 || s.Refused != 1 || s.Doubles != 1 || s.Peak != 1 || s.Running != 0 {
 			t.Errorf("summary: %+v", s)
