--- a/internal/sink/sink.go
+++ b/internal/sink/sink.go
@@ -1,5 +1,5 @@
-// Package sink takes a process's log lines and writes them without making anybody
-// wait.
+// Package sink writes a process's log lines in the background, so that the goroutines
+// that log never wait.
 package sink
 
 import (
@@ -15,62 +15,63 @@
 )
 
 const (
-	// sinkBytes bounds the lines that wait to be written: some seconds of a busy
+	// maxBufferedBytes bounds the lines that wait to be written: some seconds of a busy
 	// process.
-	sinkBytes = 512 << 10
-	// sinkEvery is how long lines wait, so that one write takes many of them. A
-	// write for each line costs more processor time than the line.
-	sinkEvery = 100 * time.Millisecond
-	// writeBytes bounds one write. A pipe takes up to this many bytes as one
-	// piece; of larger ones, parts can be mixed with those of others.
-	writeBytes = 4096
+	maxBufferedBytes = 512 << 10
+	// flushInterval is how long lines are collected for one write. A write for each line
+	// costs more processor time than the line.
+	flushInterval = 100 * time.Millisecond
+	// maxWriteBytes bounds one write. A pipe takes up to this many bytes atomically;
+	// parts of larger writes can be mixed with those of other processes.
+	maxWriteBytes = 4096
 )
 
-// Sink writes log lines in a goroutine of its own. Whoever logs never waits: a
-// reader of the output that stalls would else stall the requests. Lines that don't
-// fit are dropped and counted.
+// Sink writes log lines in a goroutine of its own. A goroutine that logs never waits: a
+// stalled reader of the output would otherwise stall the requests. Lines that don't fit
+// into the buffer are dropped and counted.
 type Sink struct {
 	out io.Writer
 
-	// wake tells that there are lines; a process that logs nothing needn't look.
-	wake chan struct{}
+	// pendingLines signals that there are lines to write; without lines Serve does not
+	// wake up.
+	pendingLines chan struct{}
 
 	mu      sync.Mutex
 	lines   bytes.Buffer
 	dropped int
-	// Dropped is told how many lines were dropped; nil for nobody. It is set
+	// Dropped is called with the number of dropped lines, unless it is nil. It is set
 	// before Serve.
 	Dropped func(lines int)
 }
 
-// New makes a sink that writes to out while Serve runs.
-func New(out io.Writer) *Sink { return &Sink{out: out, wake: make(chan struct{}, 1)} }
+// New returns a sink that writes to out while Serve runs.
+func New(out io.Writer) *Sink { return &Sink{out: out, pendingLines: make(chan struct{}, 1)} }
 
 // Write takes one line.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lines.Len()+len(line) > sinkBytes {
+	if s.lines.Len()+len(line) > maxBufferedBytes {
 		s.dropped++
 		return len(line), nil
 	}
 	select {
-	case s.wake <- struct{}{}:
+	case s.pendingLines <- struct{}{}:
 	default:
 	}
 	return s.lines.Write(line)
 }
 
-// Serve writes until ctx ends, and then what is left.
+// Serve writes lines until ctx ends, and then what is left.
 func (s *Sink) Serve(ctx context.Context) error {
 	defer s.flush()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.wake:
+		case <-s.pendingLines:
 		}
-		if !clock.Sleep(ctx, sinkEvery) {
+		if !clock.Sleep(ctx, flushInterval) {
 			return ctx.Err()
 		}
 		s.flush()
@@ -85,8 +86,8 @@
 	s.dropped = 0
 	s.mu.Unlock()
 	for len(lines) > 0 {
-		n := whole(lines)
-		// An error here has nowhere to be logged to.
+		n := wholeLinesLen(lines)
+		// An error here can't be logged anywhere.
 		_, _ = s.out.Write(lines[:n])
 		lines = lines[n:]
 	}
@@ -98,13 +99,13 @@
 	}
 }
 
-// whole returns the length of the first lines that fit into one write; a line that
-// doesn't fit goes alone.
-func whole(lines []byte) int {
-	if len(lines) <= writeBytes {
+// wholeLinesLen returns the length of the first lines that together fit into one write. A
+// line that doesn't fit is written alone.
+func wholeLinesLen(lines []byte) int {
+	if len(lines) <= maxWriteBytes {
 		return len(lines)
 	}
-	if n := bytes.LastIndexByte(lines[:writeBytes], '\n'); n >= 0 {
+	if n := bytes.LastIndexByte(lines[:maxWriteBytes], '\n'); n >= 0 {
 		return n + 1
 	}
 	if n := bytes.IndexByte(lines, '\n'); n >= 0 {
--- a/internal/sink/sink_test.go
+++ b/internal/sink/sink_test.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// reader is an output that can stall.
-type reader struct {
+// stallingWriter is an output that can stall.
+type stallingWriter struct {
 	mu     sync.Mutex
 	writes [][]byte
 	stall  chan struct{}
 }
 
-func (r *reader) Write(b []byte) (int, error) {
-	if r.stall != nil {
-		<-r.stall
+func (w *stallingWriter) Write(b []byte) (int, error) {
+	if w.stall != nil {
+		<-w.stall
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.writes = append(r.writes, bytes.Clone(b))
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.writes = append(w.writes, bytes.Clone(b))
 	return len(b), nil
 }
 
-func (r *reader) text() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return string(bytes.Join(r.writes, nil))
+func (w *stallingWriter) written() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return string(bytes.Join(w.writes, nil))
 }
 
-func sinkTest(t *testing.T, out *reader, test func(s *Sink)) {
+func withSink(t *testing.T, out *stallingWriter, test func(s *Sink)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(out)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -48,49 +48,50 @@
 	})
 }
 
-func line(s *Sink, text string) { _, _ = s.Write([]byte(text + "\n")) }
+func writeLine(s *Sink, text string) { _, _ = s.Write([]byte(text + "\n")) }
 
-// Lines go out whole, in order and in pieces that a pipe takes at once; the last ones
-// when the process ends.
+// Lines are written whole, in order and in writes that a pipe takes atomically; the last
+// ones are written when the process ends.
 func TestSinkWritesWholeLines(t *testing.T) {
-	out := &reader{}
-	sinkTest(t, out, func(s *Sink) {
+	out := &stallingWriter{}
+	withSink(t, out, func(s *Sink) {
 		for range 300 {
-			line(s, strings.Repeat("x", 100))
+			writeLine(s, strings.Repeat("x", 100))
 		}
-		line(s, strings.Repeat("y", 3*writeBytes))
+		writeLine(s, strings.Repeat("y", 3*maxWriteBytes))
 		time.Sleep(time.Second)
-		line(s, "last")
+		writeLine(s, "last")
 	})
 	for _, w := range out.writes {
-		if len(w) > writeBytes && !bytes.HasPrefix(w, []byte("y")) || w[len(w)-1] != '\n' {
+		if len(w) > maxWriteBytes && !bytes.HasPrefix(w, []byte("y")) || w[len(w)-1] != '\n' {
 			t.Errorf("a write of %d bytes ends with %q", len(w), w[len(w)-1])
 		}
 	}
-	if n := strings.Count(out.text(), "\n"); n != 302 || !strings.HasSuffix(out.text(), "last\n") {
+	if n := strings.Count(out.written(), "\n"); n != 302 || !strings.HasSuffix(out.written(), "last\n") {
 		t.Errorf("%d lines, want 302 with the last one", n)
 	}
 }
 
-// Whoever reads the output stalls. Requests must not wait for their log lines, and
-// memory is bounded; how many lines are missing is told.
+// The reader of the output stalls. Goroutines that log must not wait, memory is bounded,
+// and the number of dropped lines is logged.
 func TestSinkDoesNotBlock(t *testing.T) {
-	out := &reader{}
-	sinkTest(t, out, func(s *Sink) {
-		// Made here, so that waiting for it lets the fake clock go on.
+	out := &stallingWriter{}
+	withSink(t, out, func(s *Sink) {
+		// Made within the synctest bubble, so that waiting for it lets the fake clock
+		// advance.
 		out.stall = make(chan struct{})
-		line(s, "first")
+		writeLine(s, "first")
 		time.Sleep(time.Second)
-		for range 2 * sinkBytes / 100 {
-			line(s, strings.Repeat("x", 99))
+		for range 2 * maxBufferedBytes / 100 {
+			writeLine(s, strings.Repeat("x", 99))
 		}
-		if s.lines.Len() > sinkBytes {
-			t.Errorf("%d bytes wait", s.lines.Len())
+		if s.lines.Len() > maxBufferedBytes {
+			t.Errorf("%d bytes are buffered", s.lines.Len())
 		}
 		close(out.stall)
 		time.Sleep(time.Second)
 	})
-	if !strings.Contains(out.text(), `"event":813`) {
-		t.Error("the dropped lines are not told")
+	if !strings.Contains(out.written(), `"event":813`) {
+		t.Error("the number of dropped lines is not logged")
 	}
 }
