--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -1,44 +1,46 @@
-// Package quantile follows a quantile of times as they come in, in a few bytes and
-// without a window: each time moves the value by a part of itself, up if it is longer,
-// down if it is shorter, in the ratio that holds still at the quantile.
+// Package quantile estimates a quantile of a stream of durations in a few bytes and
+// without a window. Each duration moves the estimate by a fraction of the estimate, up if
+// the duration is longer and down if it is shorter, in the ratio that balances at the
+// quantile.
 //
-// It forgets fast and takes no notice of how long the longest times are, so that a few
-// calls that get lost don't count for much. It isn't exact: the value goes on moving by
-// a step around the quantile.
+// The estimate forgets quickly and does not depend on how long the longest durations are,
+// so that a few lost calls count for little. It is not exact: it keeps moving by a step
+// around the quantile.
 package quantile
 
 import "time"
 
-// Range is what a tracker follows, and how.
+// Range configures which quantile a Tracker estimates, and how.
 type Range struct {
-	// Share is the part of the times that are at most as long as the value.
+	// Share is the quantile: the fraction of the durations that are at most the estimate.
 	Share float64
-	// Step is the part of the value by which a time moves it, at most.
+	// Step is the fraction of the estimate by which one duration moves it, at most; see
+	// outlierSteps for the exception.
 	Step float64
-	// Least and Most bound the value; it starts with Least.
+	// Least and Most bound the estimate; it starts at Least.
 	Least, Most time.Duration
 }
 
-// Tracker is a value that follows a quantile. The zero value has seen nothing.
+// Tracker is the estimate of a quantile. The zero value has seen no durations.
 type Tracker time.Duration
 
-// Value returns the quantile.
+// Value returns the estimate.
 func (t Tracker) Value(r Range) time.Duration { return max(time.Duration(t), r.Least) }
 
 const (
-	// far is how many times the value a time is that tells of a change, and farSteps how
-	// many steps it moves the value: from one millisecond to a hundred takes some twenty
-	// times then, in place of fifty.
-	far      = 4
-	farSteps = 4
+	// A duration of more than outlierFactor times the estimate indicates a change and
+	// moves it by outlierSteps steps: the estimate then gets from one millisecond to a
+	// hundred in some twenty durations instead of fifty.
+	outlierFactor = 4
+	outlierSteps  = 4
 )
 
-// Add takes a time into account.
+// Add takes a duration into account.
 func (t *Tracker) Add(r Range, d time.Duration) {
 	v := t.Value(r)
 	switch {
-	case d > far*v:
-		t.move(r, farSteps*r.Share)
+	case d > outlierFactor*v:
+		t.move(r, outlierSteps*r.Share)
 	case d > v:
 		t.move(r, r.Share)
 	default:
@@ -46,11 +48,12 @@
 	}
 }
 
-// Longer takes a time into account of which nothing is known but that it is long.
+// Longer takes into account a duration of which nothing is known except that it is long,
+// such as that of a lost call.
 func (t *Tracker) Longer(r Range) { t.move(r, r.Share) }
 
-func (t *Tracker) move(r Range, by float64) {
+func (t *Tracker) move(r Range, steps float64) {
 	v := t.Value(r)
-	v += time.Duration(by * r.Step * float64(v))
+	v += time.Duration(steps * r.Step * float64(v))
 	*t = Tracker(min(max(v, r.Least), r.Most))
 }
--- a/internal/quantile/quantile_test.go
+++ b/internal/quantile/quantile_test.go
@@ -9,9 +9,9 @@
 func TestFollows(t *testing.T) {
 	r := Range{Share: 0.75, Step: 0.1, Least: time.Millisecond, Most: time.Second}
 	for _, c := range []struct {
-		name        string
-		lost        float64
-		least, most time.Duration
+		name             string
+		lostShare        float64
+		minMean, maxMean time.Duration
 	}{
 		{"none lost", 0, 60 * time.Millisecond, 90 * time.Millisecond},
 		{"a tenth lost", 0.1, 65 * time.Millisecond, 100 * time.Millisecond},
@@ -21,7 +21,7 @@
 		var v Tracker
 		var sum time.Duration
 		for i := range 2000 {
-			if rnd.Float64() < c.lost {
+			if rnd.Float64() < c.lostShare {
 				v.Longer(r)
 			} else {
 				v.Add(r, time.Duration(rnd.IntN(100))*time.Millisecond)
@@ -30,8 +30,8 @@
 				sum += v.Value(r) / 1000
 			}
 		}
-		if sum < c.least*95/100 || sum > c.most {
-			t.Errorf("%s: %v on average, want %v to %v", c.name, sum, c.least, c.most)
+		if sum < c.minMean*95/100 || sum > c.maxMean {
+			t.Errorf("%s: %v on average, want %v to %v", c.name, sum, c.minMean, c.maxMean)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	r := Range{Share: 0.5, Step: 0.5, Least: 2 * time.Millisecond, Most: 9 * time.Millisecond}
 	var v Tracker
 	if v.Value(r) != r.Least {
-		t.Errorf("begins with %v", v.Value(r))
+		t.Errorf("starts at %v", v.Value(r))
 	}
 	for range 50 {
 		v.Longer(r)
