--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,9 +1,9 @@
-// Package memnet is a network in memory, for tests on a fake clock: hosts with IP
-// numbers, links with a delay that can be cut in one direction, hosts that freeze
-// or whose connections are reset.
+// Package memnet is an in-memory network for tests on a fake clock: hosts with IP
+// addresses, links with a delay that can be cut in one direction, hosts that can be
+// frozen or have their connections reset.
 //
-// Limits: a connection holds what is in flight in memory, up to a few thousand
-// writes; there is no bandwidth and no loss.
+// Limits: a connection buffers up to a few thousand writes in memory; limited bandwidth
+// and packet loss are not simulated.
 package memnet
 
 import (
@@ -18,142 +18,144 @@
 	"time"
 )
 
-// Net is a network. What is sent over a link that is cut is held back, as by TCP
-// during a partition.
+// Net is a network. Data sent over a link that is cut is held back, as by TCP during a
+// partition.
 type Net struct {
 	latency time.Duration
 
-	mu        sync.Mutex
-	changed   chan struct{}
-	listeners map[string]*listener
-	cut       map[[2]netip.Addr]bool
-	frozen    map[netip.Addr]bool
-	conns     map[*conn]struct{}
-	written   map[netip.Addr]int64
+	mu           sync.Mutex
+	linksChanged chan struct{}
+	listeners    map[string]*listener
+	cutLinks     map[[2]netip.Addr]bool
+	frozenHosts  map[netip.Addr]bool
+	conns        map[*conn]struct{}
+	sentBytes    map[netip.Addr]int64
 }
 
-// New makes a network whose links have the delay.
+// New returns a network whose links have the delay latency.
 func New(latency time.Duration) *Net {
 	return &Net{
-		latency:   latency,
-		changed:   make(chan struct{}),
-		listeners: make(map[string]*listener),
-		cut:       make(map[[2]netip.Addr]bool),
-		frozen:    make(map[netip.Addr]bool),
-		conns:     make(map[*conn]struct{}),
-		written:   make(map[netip.Addr]int64),
+		latency:      latency,
+		linksChanged: make(chan struct{}),
+		listeners:    make(map[string]*listener),
+		cutLinks:     make(map[[2]netip.Addr]bool),
+		frozenHosts:  make(map[netip.Addr]bool),
+		conns:        make(map[*conn]struct{}),
+		sentBytes:    make(map[netip.Addr]int64),
 	}
 }
 
-// Written returns how many bytes a host has sent.
+// Written returns how many bytes the host has sent.
 func (n *Net) Written(h netip.Addr) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.written[h]
+	return n.sentBytes[h]
 }
 
-// Host is the network as one host sees it.
+// Host is the network as seen from one host.
 type Host struct {
-	net  *Net
-	ip   netip.Addr
-	dead atomic.Bool
+	net    *Net
+	ip     netip.Addr
+	killed atomic.Bool
 }
 
-// Kill resets the host's connections, and refuses new ones either way.
+// Kill resets the host's connections and closes its listeners; dials from it fail from
+// then on.
 func (h *Host) Kill() {
-	h.dead.Store(true)
+	h.killed.Store(true)
 	h.net.Reset(h.ip)
 }
 
-// Host returns the host with the IP number.
+// Host returns the host with the IP address.
 func (n *Net) Host(ip string) *Host {
 	return &Host{net: n, ip: netip.MustParseAddr(ip)}
 }
 
-// update changes the state of the links and wakes what waits for them.
+// update changes the state of the links and wakes the goroutines that wait in awaitLink.
 func (n *Net) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
-	close(n.changed)
-	n.changed = make(chan struct{})
+	close(n.linksChanged)
+	n.linksChanged = make(chan struct{})
 }
 
-// SetCut cuts the link from one host to another, or mends it.
-func (n *Net) SetCut(from, to netip.Addr, on bool) {
-	n.update(func() { n.cut[[2]netip.Addr{from, to}] = on })
+// SetCut cuts the link from one host to another, or restores it.
+func (n *Net) SetCut(from, to netip.Addr, isCut bool) {
+	n.update(func() { n.cutLinks[[2]netip.Addr{from, to}] = isCut })
 }
 
-// SetFrozen holds back all that comes from or goes to a host.
-func (n *Net) SetFrozen(h netip.Addr, on bool) {
-	n.update(func() { n.frozen[h] = on })
+// SetFrozen holds back all data from and to a host, or releases it.
+func (n *Net) SetFrozen(h netip.Addr, isFrozen bool) {
+	n.update(func() { n.frozenHosts[h] = isFrozen })
 }
 
-// Mute has all connections that a host has now carry nothing any more, without a
-// reset; new ones work.
+// Mute silently discards all data on the connections that a host has now, without a
+// reset. New connections work.
 func (n *Net) Mute(h netip.Addr) {
 	n.update(func() {
 		for c := range n.conns {
 			if c.from == h || c.to == h {
-				c.mute.Store(true)
+				c.discard.Store(true)
 			}
 		}
 	})
 }
 
-// Reset closes all connections of a host and its listeners.
+// Reset closes all connections and listeners of a host.
 func (n *Net) Reset(h netip.Addr) {
-	var gone []*conn
+	var hostConns []*conn
 	n.update(func() {
 		for c := range n.conns {
 			if c.from == h || c.to == h {
-				gone = append(gone, c)
+				hostConns = append(hostConns, c)
 			}
 		}
 		for a, l := range n.listeners {
 			if netip.MustParseAddrPort(a).Addr() == h {
-				l.shut()
+				l.stopAccepting()
 				delete(n.listeners, a)
 			}
 		}
 	})
-	for _, c := range gone {
+	for _, c := range hostConns {
 		_ = c.Close()
 	}
 }
 
-// open waits until data may pass from one host to the other.
-func (n *Net) open(from, to netip.Addr, stop <-chan struct{}) bool {
+// awaitLink waits until data may pass from one host to the other. It returns false if
+// stop is closed first.
+func (n *Net) awaitLink(from, to netip.Addr, stop <-chan struct{}) bool {
 	for {
 		n.mu.Lock()
-		held := n.cut[[2]netip.Addr{from, to}] || n.frozen[from] || n.frozen[to]
-		changed := n.changed
+		blocked := n.cutLinks[[2]netip.Addr{from, to}] || n.frozenHosts[from] || n.frozenHosts[to]
+		linksChanged := n.linksChanged
 		n.mu.Unlock()
-		if !held {
+		if !blocked {
 			return true
 		}
 		select {
-		case <-changed:
+		case <-linksChanged:
 		case <-stop:
 			return false
 		}
 	}
 }
 
-// Close mends all links and closes everything.
+// Close restores all links and closes all connections and listeners.
 func (n *Net) Close() {
-	var all []*conn
+	var openConns []*conn
 	n.update(func() {
-		clear(n.cut)
-		clear(n.frozen)
+		clear(n.cutLinks)
+		clear(n.frozenHosts)
 		for c := range n.conns {
-			all = append(all, c)
+			openConns = append(openConns, c)
 		}
 		for _, l := range n.listeners {
-			l.shut()
+			l.stopAccepting()
 		}
 	})
-	for _, c := range all {
+	for _, c := range openConns {
 		_ = c.Close()
 	}
 }
@@ -166,7 +168,7 @@
 	once   sync.Once
 }
 
-// Listen makes a listener of the host.
+// Listen opens a listener of the host.
 func (h *Host) Listen(_, addr string) (net.Listener, error) {
 	l := &listener{
 		net:    h.net,
@@ -200,13 +202,13 @@
 	if l.net.listeners[l.addr.String()] == l {
 		delete(l.net.listeners, l.addr.String())
 	}
-	l.shut()
+	l.stopAccepting()
 	return nil
 }
 
-func (l *listener) shut() { l.once.Do(func() { close(l.closed) }) }
+func (l *listener) stopAccepting() { l.once.Do(func() { close(l.closed) }) }
 
-// Addr returns the address.
+// Addr returns the listener's address.
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.addr) }
 
 // DialContext connects the host to a listener.
@@ -215,12 +217,12 @@
 	fail := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: net.TCPAddrFromAddrPort(to), Err: err}
 	}
-	if h.dead.Load() {
+	if h.killed.Load() {
 		return fail(syscall.ENETDOWN)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if !h.net.open(h.ip, to.Addr(), ctx.Done()) || !h.net.open(to.Addr(), h.ip, ctx.Done()) {
+	if !h.net.awaitLink(h.ip, to.Addr(), ctx.Done()) || !h.net.awaitLink(to.Addr(), h.ip, ctx.Done()) {
 		return fail(os.ErrDeadlineExceeded)
 	}
 	h.net.mu.Lock()
@@ -246,19 +248,20 @@
 	from, to netip.Addr
 	closed   chan struct{}
 	once     *sync.Once
-	inner    []net.Conn
-	mute     atomic.Bool
+	pipes    []net.Conn
+	discard  atomic.Bool
 }
 
-// pair joins two pipes by two pumps that hold data back while the link is cut.
+// pair connects two pipes by two goroutines that hold data back while the link is cut,
+// and returns the outer ends.
 func (n *Net) pair(a, b netip.Addr) (*conn, *conn) {
 	a1, a2 := net.Pipe()
 	b1, b2 := net.Pipe()
 	closed := make(chan struct{})
 	once := new(sync.Once)
-	inner := []net.Conn{a1, a2, b1, b2}
-	near := &conn{Conn: a1, net: n, from: a, to: b, closed: closed, once: once, inner: inner}
-	far := &conn{Conn: b1, net: n, from: b, to: a, closed: closed, once: once, inner: inner}
+	pipes := []net.Conn{a1, a2, b1, b2}
+	near := &conn{Conn: a1, net: n, from: a, to: b, closed: closed, once: once, pipes: pipes}
+	far := &conn{Conn: b1, net: n, from: b, to: a, closed: closed, once: once, pipes: pipes}
 	n.mu.Lock()
 	n.conns[near] = struct{}{}
 	n.mu.Unlock()
@@ -267,22 +270,22 @@
 	return near, far
 }
 
-// Close lets what was written arrive and then ends both directions.
+// Close closes both directions of the connection; data in flight is lost.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
 		c.net.mu.Lock()
 		delete(c.net.conns, c)
 		c.net.mu.Unlock()
-		for _, p := range c.inner {
+		for _, p := range c.pipes {
 			_ = p.Close()
 		}
 	})
 	return nil
 }
 
-// pump carries bytes from one host to the other; what was taken from the
-// sender is held in memory while the link is cut.
+// pump copies bytes from one host to the other. What it has read from the sender is kept
+// in memory while the link is cut.
 func (n *Net) pump(src, dst net.Conn, c *conn, from, to netip.Addr) {
 	queue := make(chan []byte, 4096)
 	go func() {
@@ -291,7 +294,7 @@
 		for {
 			k, err := src.Read(buf)
 			n.mu.Lock()
-			n.written[from] += int64(k)
+			n.sentBytes[from] += int64(k)
 			n.mu.Unlock()
 			if k > 0 {
 				select {
@@ -307,10 +310,10 @@
 	}()
 	defer func() { _ = dst.Close() }()
 	for b := range queue {
-		if !n.open(from, to, c.closed) {
+		if !n.awaitLink(from, to, c.closed) {
 			return
 		}
-		if c.mute.Load() {
+		if c.discard.Load() {
 			continue
 		}
 		time.Sleep(n.latency)
