--- a/internal/page/page.go
+++ b/internal/page/page.go
@@ -1,5 +1,5 @@
-// Package page holds pages of the documentation equal to the tables that they
-// follow. It serves tests only.
+// Package page checks that pages of the documentation match the tables in the code that
+// they are generated from. Only tests use it.
 package page
 
 import (
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// update is the environment variable that makes Hold write the page.
-const update = "UPDATE_DOCS"
+// updateVar is the environment variable that makes Hold write the page.
+const updateVar = "UPDATE_DOCS"
 
-// Hold fails the test when the file at path differs from want. With UPDATE_DOCS
-// set it writes the file first.
+// Hold fails the test if the file at path differs from want. If UPDATE_DOCS is set it
+// writes the file first.
 func Hold(t testing.TB, path, want string) {
 	t.Helper()
-	if os.Getenv(update) != "" {
+	if os.Getenv(updateVar) != "" {
 		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -24,6 +24,6 @@
 		t.Fatal(err)
 	}
 	if string(have) != want {
-		t.Errorf("%s differs from the table that it follows; run this test with %s=1", path, update)
+		t.Errorf("%s differs from the table that it follows; run this test with %s=1", path, updateVar)
 	}
 }
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -1,5 +1,5 @@
-// Package script has the commands that test scripts with real processes share:
-// requests over HTTP, waiting for an answer, signals.
+// Package script has the commands that test scripts with real processes share: HTTP
+// requests, waiting for an answer, signals.
 package script
 
 import (
@@ -33,8 +33,8 @@
 	}
 }
 
-// call METHOD URL STATUS [BODYFILE [HEADER:VALUE...]] makes a request and
-// writes the answer to stdout.
+// call METHOD URL STATUS [BODYFILE [HEADER:VALUE...]] makes a request and writes the
+// answer to stdout.
 func call(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 3 {
 		ts.Fatalf("usage: call METHOD URL STATUS [BODYFILE [HEADER:VALUE...]]")
@@ -48,11 +48,11 @@
 }
 
 func request(ts *testscript.TestScript, args []string) (int, []byte, error) {
-	var in []byte
+	var reqBody []byte
 	if len(args) > 3 && args[3] != "-" {
-		in = []byte(ts.ReadFile(args[3]))
+		reqBody = []byte(ts.ReadFile(args[3]))
 	}
-	req, err := http.NewRequest(args[0], args[1], bytes.NewReader(in))
+	req, err := http.NewRequest(args[0], args[1], bytes.NewReader(reqBody))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -76,7 +76,8 @@
 	return resp.StatusCode, out, err
 }
 
-// httpClient trusts the authority in keys/ca.pem where the URL wants TLS.
+// httpClient returns a client that, for an https URL, trusts the authority in
+// keys/ca.pem.
 func httpClient(ts *testscript.TestScript, url string) (*http.Client, error) {
 	if !strings.HasPrefix(url, "https:") {
 		return http.DefaultClient, nil
@@ -91,8 +92,8 @@
 	return &http.Client{Transport: tr}, nil
 }
 
-// repeat METHOD URL STATUS [BODYFILE [HEADER:VALUE...]] makes a request again
-// and again until it has the status.
+// repeat METHOD URL STATUS [BODYFILE [HEADER:VALUE...]] repeats a request until the
+// answer has the status.
 func repeat(ts *testscript.TestScript, _ bool, args []string) {
 	for range 200 {
 		status, _, err := request(ts, args)
@@ -104,7 +105,8 @@
 	ts.Fatalf("%s: no status %s after 10 s", args[1], args[2])
 }
 
-// await URL [TEXT] asks until the answer is 200 and contains the text.
+// await URL [TEXT] repeats a request until the status is 200 and the answer contains the
+// text.
 func await(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 {
 		ts.Fatalf("usage: await URL [TEXT]")
@@ -119,7 +121,7 @@
 	ts.Fatalf("%s: not as awaited after 20 s", args[0])
 }
 
-// subst FILE... replaces the environment's variables in files.
+// subst FILE... expands environment variables in files.
 func subst(ts *testscript.TestScript, _ bool, args []string) {
 	for _, f := range args {
 		out := os.Expand(ts.ReadFile(f), ts.Getenv)
@@ -134,8 +136,8 @@
 	"CONT": syscall.SIGCONT,
 }
 
-// signal NAME TEXT sends the signal to the background process that has TEXT
-// among its arguments.
+// signal NAME TEXT sends the signal to the background process that has TEXT as one of its
+// arguments.
 func signalProcess(ts *testscript.TestScript, _ bool, args []string) {
 	for _, c := range ts.BackgroundCmds() {
 		if slices.Contains(c.Args, args[1]) {
@@ -146,7 +148,7 @@
 	ts.Fatalf("no background process with the argument %s", args[1])
 }
 
-// keep VAR KEY takes the string value of a JSON key in stdout.
+// keep VAR KEY sets the environment variable to the string value of a JSON key in stdout.
 func keep(ts *testscript.TestScript, _ bool, args []string) {
 	_, rest, ok := strings.Cut(ts.ReadFile("stdout"), `"`+args[1]+`":"`)
 	if !ok {
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -1,5 +1,5 @@
-// Package source reads the project's own Go files, for tests that hold tables
-// equal to what the code uses.
+// Package source parses the project's own Go files, for tests that compare tables with
+// what the code uses.
 package source
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Selectors returns every X that stands as pkg.X in the Go files below root,
-// tests left out.
+// Selectors returns every X that occurs as pkg.X in the Go files below root, except in
+// tests.
 func Selectors(root, pkg string) (map[string]bool, error) {
 	used := make(map[string]bool)
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
