--- a/operator/editor.go
+++ b/operator/editor.go
@@ -63,7 +63,7 @@
 }
 
 // Apply appends the edit that turns the current tables into want, and reads the log until
-// the edit has taken effect or never can.
+// the edit has taken effect or never can, or ctx ends.
 func Apply(ctx context.Context, log *ledger.Client, want tables.Rows, author string) (tables.Version, error) {
 	o, err := newEditor(log).change(ctx, func(tables.Rows) tables.Rows { return want }, nil, author)
 	return o.Version, err
@@ -145,7 +145,7 @@
 // read that failed.
 const outcomeWait = time.Second
 
-// awaitOutcome reads the log until the edit has taken effect or never can.
+// awaitOutcome reads the log until the edit has taken effect or never can, or ctx ends.
 func (e *editor) awaitOutcome(ctx context.Context, edit tables.Edit, want tables.Rows) (Outcome, error) {
 	for {
 		p, err := e.log.Read(ctx, tables.Stream, e.replay.Next(), outcomeWait)
--- a/operator/watch.go
+++ b/operator/watch.go
@@ -38,9 +38,9 @@
 }
 
 // printHistory prints the records of the tables stream that include accepts: without
-// followNew those that the log has, with followNew those that are appended from now on,
-// after the earlier ones if --all is set. It ends after count records if count is above
-// 0.
+// followNew those that the log has; with followNew those that are appended from now on,
+// after the earlier ones if --all is set. It ends after count records; a count of 0 means
+// no limit.
 func printHistory(ctx context.Context, c *cli.Command, count int, followNew bool, include func(historyRecord) bool) error {
 	log, err := openLog(c)
 	if err != nil {
--- a/stand/log.go
+++ b/stand/log.go
@@ -68,7 +68,7 @@
 )
 
 // NewLog returns an empty log that keeps records for the retention and accepts perSecond
-// appends.
+// appends a second.
 func NewLog(retention time.Duration, perSecond float64) *Log {
 	l := &Log{
 		retention: retention,
--- a/stand/log_test.go
+++ b/stand/log_test.go
@@ -107,7 +107,7 @@
 	})
 }
 
-// A VM that is removed from a list with a lag stays visible to readers for the lag.
+// A VM that is removed stays visible to readers for as long as the list lags.
 func TestListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLog(time.Hour, 10)
--- a/stand/record.go
+++ b/stand/record.go
@@ -28,8 +28,8 @@
 	Requests int64 `json:"requests"`
 	Starts   int64 `json:"starts"`
 	Refused  int64 `json:"refused"`
-	// Doubles counts starts of an id that had been started before.
-	Doubles int64 `json:"doubles"`
+	// RepeatedStarts counts starts of an id that had been started before.
+	RepeatedStarts int64 `json:"doubles"`
 	// Dropped counts starts that the full record did not take.
 	Dropped int64            `json:"dropped"`
 	Kinds   map[string]int64 `json:"kinds,omitempty"`
@@ -56,7 +56,7 @@
 	s.Starts++
 	s.Kinds[kind]++
 	if r.counts[task] > 0 {
-		s.Doubles++
+		s.RepeatedStarts++
 	}
 	if len(r.starts) >= maxStarts {
 		s.Dropped++
--- a/stand/worker_test.go
+++ b/stand/worker_test.go
@@ -184,7 +184,7 @@
 		var sum struct{ Servers []Summary }
 		_ = json.Unmarshal(request(k, http.MethodGet, "/stand/starts?view=summary", "").Body.Bytes(), &sum)
 		s := sum.Servers[0]
-		if s.Requests != 3 || s.Starts != 2 || s.Refused != 1 || s.Doubles != 1 || s.Peak != 1 || s.Running != 0 {
+		if s.Requests != 3 || s.Starts != 2 || s.Refused != 1 || s.RepeatedStarts != 1 || s.Peak != 1 || s.Running != 0 {
 			t.Errorf("summary: %+v", s)
 		}
 	})
