--- a/stand/command.go
+++ b/stand/command.go
@@ -63,8 +63,8 @@
 	defer cancel()
 	serveErrs := make(chan error, 2)
 	go func() { serveErrs <- f.Serve(ctx) }()
-	if at := c.String("control"); at != "" {
-		go func() { serveErrs <- serve(ctx, at, f) }()
+	if addr := c.String("control"); addr != "" {
+		go func() { serveErrs <- serve(ctx, addr, f) }()
 	}
 	err = <-serveErrs
 	cancel()
@@ -89,13 +89,13 @@
 
 // parseListen parses "ip:port" or "ip:port@speed"; the speed defaults to the given one.
 func parseListen(text string, speed float64) (netip.AddrPort, float64, error) {
-	addrText, ownSpeed, ok := strings.Cut(text, "@")
+	addrText, speedText, ok := strings.Cut(text, "@")
 	a, err := netip.ParseAddrPort(addrText)
 	if err != nil {
 		return a, 0, errors.Wrap(err, "listen")
 	}
 	if ok {
-		if speed, err = strconv.ParseFloat(ownSpeed, 64); err != nil {
+		if speed, err = strconv.ParseFloat(speedText, 64); err != nil {
 			return a, 0, errors.Wrap(err, "listen")
 		}
 	}
--- a/stand/farm.go
+++ b/stand/farm.go
@@ -58,12 +58,12 @@
 			return err
 		}
 		k.mu.Lock()
-		k.onVanish = wl.setVanished
+		k.onVanish = wl.setClosed
 		k.mu.Unlock()
 		f.listeners.Add(1)
 		context.AfterFunc(ctx, func() {
 			defer f.listeners.Done()
-			wl.setVanished(true)
+			wl.setClosed(true)
 		})
 	}
 	<-ctx.Done()
@@ -92,8 +92,8 @@
 	return nil
 }
 
-func (wl *workerListener) setVanished(gone bool) {
-	if !gone {
+func (wl *workerListener) setClosed(closed bool) {
+	if !closed {
 		_ = wl.listen()
 		return
 	}
--- a/stand/log.go
+++ b/stand/log.go
@@ -33,7 +33,9 @@
 	VMsLagMS int64 `json:"vms_lag_ms"`
 }
 
-// LogCounts counts the calls to the log since its start.
+// LogCounts are counters since the start of the log. Appends and AppendBytes count what
+// took effect, Refused the appends over the append rate. Reads and ListReads, the reads of
+// streams and of the VM list, also count reads that a fault fails.
 type LogCounts struct {
 	Appends     int64 `json:"appends"`
 	AppendBytes int64 `json:"append_bytes"`
@@ -56,8 +58,9 @@
 }
 
 type stream struct {
-	first    ledger.Offset
-	records  []ledger.Record
+	first   ledger.Offset
+	records []ledger.Record
+	// appended is closed and replaced at each append.
 	appended chan struct{}
 }
 
@@ -108,7 +111,8 @@
 	l.mux.ServeHTTP(w, r)
 }
 
-// countRead counts a read of a stream or of the VM list, and returns the faults in force.
+// countRead counts the request if it reads a stream or the VM list, and returns the faults
+// in force.
 func (l *Log) countRead(r *http.Request) LogFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,6 +208,7 @@
 	return p, s.appended
 }
 
+// dropExpired drops the records that are older than the retention or below ForgetBelow.
 func (l *Log) dropExpired(s *stream) {
 	cutoff := time.Now().Add(-l.retention)
 	expired := 0
--- a/stand/record.go
+++ b/stand/record.go
@@ -14,8 +14,8 @@
 type Start struct {
 	// Task is the id that the dispatcher sent: job, index and attempt.
 	Task string `json:"task"`
-	// Kind is the kind that the request was made for; the routes table shows which half
-	// requests it.
+	// Kind is the kind of request; its row in the routes table names the half that it is
+	// sent to.
 	Kind   string         `json:"kind"`
 	Server netip.AddrPort `json:"server"`
 	At     time.Time      `json:"at"`
@@ -28,9 +28,9 @@
 	Requests int64 `json:"requests"`
 	Starts   int64 `json:"starts"`
 	Refused  int64 `json:"refused"`
-	// RepeatedStarts counts starts of an id that had been started before.
+	// RepeatedStarts counts starts of an id of which an earlier start is recorded.
 	RepeatedStarts int64 `json:"doubles"`
-	// Dropped counts starts that the full record did not take.
+	// Dropped counts starts beyond maxStarts, which were not recorded.
 	Dropped int64            `json:"dropped"`
 	Kinds   map[string]int64 `json:"kinds,omitempty"`
 	Running int              `json:"running"`
--- a/stand/worker.go
+++ b/stand/worker.go
@@ -17,14 +17,14 @@
 type WorkerFaults struct {
 	// Fail answers every task with 500 at once, after counting the start.
 	Fail bool `json:"fail"`
-	// Freeze holds every call until the fault is cleared. A request that was read by then
-	// still runs, even if its sender has given up.
+	// Freeze holds every task request until the fault is cleared. A request that was read
+	// by then still runs, even if its sender has given up.
 	Freeze bool `json:"freeze"`
 	// Reset cuts the connection in the middle of the answer.
 	Reset bool `json:"reset"`
 	// Short announces a longer body than it sends.
 	Short bool `json:"short"`
-	// Refuse answers "not run".
+	// Refuse answers every task with 429, as when no core is free: the task was not run.
 	Refuse bool `json:"refuse"`
 	// Slow multiplies the service time; 0 counts as 1.
 	Slow float64 `json:"slow"`
@@ -79,7 +79,7 @@
 	record   *record
 	rnd      *rand.Rand
 	// onVanish is called with mu held when the Vanish fault changes.
-	onVanish func(gone bool)
+	onVanish func(vanished bool)
 }
 
 // NewWorker returns a backend server with the given cores; a speed of 2 halves the
--- a/stand/worker_test.go
+++ b/stand/worker_test.go
@@ -17,16 +17,17 @@
 
 var spread = Spread{Min: time.Millisecond, Max: 2 * time.Millisecond}
 
-// startFarm serves two workers of two cores at free ports.
+// startFarm serves two workers of two cores at free ports, and tries each until it has
+// answered, at most 1000 times.
 func startFarm(t *testing.T) (*Farm, []netip.AddrPort) {
 	t.Helper()
-	var at []netip.AddrPort
+	var addrs []netip.AddrPort
 	var workers []*Worker
 	for range 2 {
 		s := httptest.NewServer(nil)
 		a := netip.MustParseAddrPort(s.Listener.Addr().String())
 		s.Close()
-		at = append(at, a)
+		addrs = append(addrs, a)
 		workers = append(workers, NewWorker(a, 2, 1, spread, 1))
 	}
 	f := NewFarm(workers)
@@ -40,14 +41,14 @@
 		}
 	})
 	c := delivery.New(1<<10, 4, (&net.Dialer{}).DialContext)
-	for _, a := range at {
+	for _, a := range addrs {
 		for range 1000 {
 			if deliver(c, a, "up").Kind == delivery.Done {
 				break
 			}
 		}
 	}
-	return f, at
+	return f, addrs
 }
 
 func deliver(c *delivery.Client, to netip.AddrPort, task string) delivery.Outcome {
@@ -62,6 +63,7 @@
 	return w
 }
 
+// faults sets the faults of one server.
 func faults(t *testing.T, h http.Handler, server netip.AddrPort, body string) {
 	t.Helper()
 	if w := request(h, http.MethodPut, "/stand/faults?server="+server.String(), body); w.Code != http.StatusOK {
@@ -85,12 +87,12 @@
 		{"refuses", `{"refuse":true}`, delivery.NotRun, 0, "refused"},
 		{"vanished", `{"vanish":true}`, delivery.NotRun, 0, "connection refused"},
 	}
-	f, at := startFarm(t)
+	f, addrs := startFarm(t)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			faults(t, f, at[0], tt.faults)
-			defer faults(t, f, at[0], `{}`)
-			o := deliver(delivery.New(1<<10, 4, (&net.Dialer{}).DialContext), at[0], tt.name)
+			faults(t, f, addrs[0], tt.faults)
+			defer faults(t, f, addrs[0], `{}`)
+			o := deliver(delivery.New(1<<10, 4, (&net.Dialer{}).DialContext), addrs[0], tt.name)
 			if o.Kind != tt.want || !strings.Contains(o.Reason, tt.reason) {
 				t.Errorf("got %+v, want kind %v with %q", o, tt.want, tt.reason)
 			}
@@ -99,7 +101,7 @@
 			if starts[tt.name] != tt.starts {
 				t.Errorf("%d starts, want %d", starts[tt.name], tt.starts)
 			}
-			if o := deliver(delivery.New(1<<10, 4, (&net.Dialer{}).DialContext), at[1], "other "+tt.name); o.Kind != delivery.Done {
+			if o := deliver(delivery.New(1<<10, 4, (&net.Dialer{}).DialContext), addrs[1], "other "+tt.name); o.Kind != delivery.Done {
 				t.Errorf("the other server: %+v", o)
 			}
 		})
