--- a/operator/cell.go
+++ b/operator/cell.go
@@ -37,6 +37,7 @@
 		return err
 	}
 	planner, err := fetchPlannerStatus(ctx, s, address)
+	// Without an answer from the planner, the rest is printed all the same.
 	if err := printResult(c, []node.Status{s, planner}, func(w io.Writer) { writeCell(w, s, planner) }); err != nil {
 		return err
 	}
--- a/operator/editor.go
+++ b/operator/editor.go
@@ -14,7 +14,7 @@
 	"snipehub.example/tables"
 )
 
-// stream is the part of the log client that an editor uses.
+// stream is the part of ledger.Client that an editor uses to reach the tables stream.
 type stream interface {
 	Append(ctx context.Context, stream string, data []byte) (ledger.Offset, error)
 	Read(ctx context.Context, stream string, from ledger.Offset, wait time.Duration) (ledger.Page, error)
@@ -121,10 +121,10 @@
 const rateLimitBackoff = 250 * time.Millisecond
 
 // append appends the edit to the log once. Only a refusal by the rate limit, which
-// certainly had no effect, is retried. After a lost answer the edit may be on the log;
-// awaitOutcome finds out by reading. A second append would not harm the tables, since its
-// base version has passed, but the history would show it as a race that the operator lost
-// against their own edit.
+// certainly had no effect, is retried. Any other error counts as a lost answer and is not
+// returned: the edit may be on the log, and awaitOutcome finds out by reading. A second
+// append would not harm the tables, since its base version has passed, but the history
+// would show it as a race that the operator lost against their own edit.
 func (e *editor) append(ctx context.Context, edit tables.Edit) error {
 	b, err := json.Marshal(edit)
 	if err != nil {
--- a/operator/files.go
+++ b/operator/files.go
@@ -22,8 +22,8 @@
 	// "".
 	foreignSection func(r tables.Rows) string
 	// replaceRows returns the current rows with the table's own replaced by those of the
-	// file.
-	replaceRows func(cur, file tables.Rows) tables.Rows
+	// files.
+	replaceRows func(cur, fileRows tables.Rows) tables.Rows
 }
 
 var routesTable = table{
@@ -38,8 +38,8 @@
 		}
 		return ""
 	},
-	replaceRows: func(cur, file tables.Rows) tables.Rows {
-		cur.Routes, cur.Teams = file.Routes, file.Teams
+	replaceRows: func(cur, fileRows tables.Rows) tables.Rows {
+		cur.Routes, cur.Teams = fileRows.Routes, fileRows.Teams
 		return cur
 	},
 }
@@ -56,8 +56,8 @@
 		}
 		return ""
 	},
-	replaceRows: func(cur, file tables.Rows) tables.Rows {
-		cur.Pools, cur.Servers = file.Pools, file.Servers
+	replaceRows: func(cur, fileRows tables.Rows) tables.Rows {
+		cur.Pools, cur.Servers = fileRows.Pools, fileRows.Servers
 		return cur
 	},
 }
@@ -66,7 +66,7 @@
 	name:           "both",
 	content:        "all rows",
 	foreignSection: func(tables.Rows) string { return "" },
-	replaceRows:    func(_, file tables.Rows) tables.Rows { return file },
+	replaceRows:    func(_, fileRows tables.Rows) tables.Rows { return fileRows },
 }
 
 // ReadFiles reads the rows of several TOML files, which together make up both tables, and
@@ -136,6 +136,8 @@
 	return fmt.Sprintf(" (line %d)", 1+strings.Count(upToMatch, "\n"))
 }
 
+// namePattern matches the first name in a table error: a quoted name or the address of a
+// server.
 var namePattern = regexp.MustCompile(`"[^"]+"|[0-9a-f.:\[\]]+:[0-9]+`)
 
 // withLocation adds to a table error the file and line of the first row that the error
--- a/operator/print.go
+++ b/operator/print.go
@@ -20,7 +20,8 @@
 	return nil
 }
 
-// writeDiff writes a line for each row that is removed and for each that is added.
+// writeDiff writes a line for each row that is removed and for each that is added; a
+// changed row counts as both.
 func writeDiff(w io.Writer, cur *tables.State, put tables.Rows, drop tables.Keys) {
 	old := cur.Rows()
 	writeRowDiff(w, "routes", old.Routes, put.Routes, drop.Routes, func(r tables.Route) string { return r.Kind })
--- a/operator/tables.go
+++ b/operator/tables.go
@@ -60,7 +60,7 @@
 	defer cancel()
 	var d tablesDiff
 	paths := c.Args().Slice()
-	file, err := readRows(t, paths)
+	fileRows, err := readRows(t, paths)
 	if err != nil {
 		return nil, d, usageError(err)
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, d, err
 	}
-	rows := t.replaceRows(cur.Rows(), file)
+	rows := t.replaceRows(cur.Rows(), fileRows)
 	if _, err := tables.Build(cur.Version, rows); err != nil {
 		return nil, d, usageError(withLocation(paths, err))
 	}
@@ -100,7 +100,7 @@
 	ctx, cancel := withTimeout(ctx, c)
 	defer cancel()
 	paths := c.Args().Slice()
-	file, err := readRows(t, paths)
+	fileRows, err := readRows(t, paths)
 	if err != nil {
 		return usageError(err)
 	}
@@ -113,7 +113,7 @@
 		v := tables.Version(c.Int64("base"))
 		base = &v
 	}
-	want := func(cur tables.Rows) tables.Rows { return t.replaceRows(cur, file) }
+	want := func(cur tables.Rows) tables.Rows { return t.replaceRows(cur, fileRows) }
 	o, err := newEditor(log).change(ctx, want, base, c.String("author"))
 	if err != nil {
 		return withExitCode(c, paths, err)
@@ -142,6 +142,7 @@
 	case errors.Is(err, ErrOutcomeUnknown):
 		return cli.Exit(err.Error()+"; look for it with: snipectl routes history", ExitOutcomeUnknown)
 	case errors.As(err, &exitCoder):
+		// The rows were rejected; see editor.change.
 		return usageError(withLocation(paths, err))
 	}
 	return err
@@ -176,15 +177,16 @@
 // affectsTable reports whether a record belongs in the history of the table: it changes
 // the table's rows, or is a snapshot.
 func affectsTable(t table, r historyRecord) bool {
-	keys := tables.Rows{}
+	// A placeholder row stands for the dropped keys of a table.
+	dropRows := tables.Rows{}
 	if len(r.Drop.Pools)+len(r.Drop.Servers) > 0 {
-		keys.Pools = make([]tables.Pool, 1)
+		dropRows.Pools = make([]tables.Pool, 1)
 	}
 	if len(r.Drop.Routes)+len(r.Drop.Teams) > 0 {
-		keys.Routes = make([]tables.Route, 1)
+		dropRows.Routes = make([]tables.Route, 1)
 	}
 	ownRows := t.replaceRows(tables.Rows{}, r.Put)
 	put, _ := tables.Diff(tables.Rows{}, ownRows)
-	dropped, _ := tables.Diff(tables.Rows{}, t.replaceRows(tables.Rows{}, keys))
-	return !noChanges(put, tables.Keys{}) || !noChanges(dropped, tables.Keys{}) || r.What == outcomeSnapshot
+	dropped, _ := tables.Diff(tables.Rows{}, t.replaceRows(tables.Rows{}, dropRows))
+	return !noChanges(put, tables.Keys{}) || !noChanges(dropped, tables.Keys{}) || r.What == recordSnapshot
 }
--- a/operator/watch.go
+++ b/operator/watch.go
@@ -14,9 +14,9 @@
 
 // The values of historyRecord.What.
 const (
-	outcomeInForce  = "in force"
-	outcomeRejected = "rejected"
-	outcomeSnapshot = "snapshot"
+	recordInForce  = "in force"
+	recordRejected = "rejected"
+	recordSnapshot = "snapshot"
 )
 
 // watchReadWait is how long one read of the watch command waits for a new record.
@@ -90,17 +90,17 @@
 	var history []historyRecord
 	for _, n := range notes {
 		rec := recordsByOffset[n.Offset]
-		r := historyRecord{Version: n.Offset, At: rec.At, What: outcomeInForce}
+		r := historyRecord{Version: n.Offset, At: rec.At, What: recordInForce}
 		if e, err := tables.DecodeEdit(rec); err == nil {
 			r.Author, r.Edit, r.Put, r.Drop = e.Author, e.ID, e.Put, e.Drop
 		}
 		switch {
 		case n.Snapshot:
-			r.What = outcomeSnapshot
+			r.What = recordSnapshot
 		case n.Err != nil:
-			r.What, r.Reason = outcomeRejected, n.Err.Error()
+			r.What, r.Reason = recordRejected, n.Err.Error()
 		case !n.Applied:
-			r.What, r.Reason = outcomeRejected, "older than the first snapshot that the log has"
+			r.What, r.Reason = recordRejected, "older than the first snapshot that the log has"
 		}
 		history = append(history, r)
 	}
@@ -109,7 +109,7 @@
 
 // write writes the record as one line of text.
 func (r historyRecord) write(w io.Writer) {
-	if r.What == outcomeSnapshot {
+	if r.What == recordSnapshot {
 		fmt.Fprintf(w, "%d %s snapshot\n", r.Version, r.At.Format(time.RFC3339))
 		return
 	}
