--- a/cmd/snipehubd/main.go
+++ b/cmd/snipehubd/main.go
@@ -1,5 +1,5 @@
 // Command snipehubd is the dispatcher of snipehub; see package hub for its own
-// interface and package node for the users' platform.
+// interface, and packages platform and node for the users' platform.
 package main
 
 import (
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,6 @@
 // Package memnet is an in-memory network for tests on a fake clock: hosts with IP
-// addresses, links with a delay that can be cut in one direction, hosts that can be
-// frozen or have their connections reset.
+// addresses that can be frozen or have their connections reset, and links that have a
+// delay and can be cut in one direction.
 //
 // Limits: a connection buffers up to a few thousand writes in memory; limited bandwidth
 // and packet loss are not simulated.
@@ -28,8 +28,9 @@
 	listeners    map[string]*listener
 	cutLinks     map[[2]netip.Addr]bool
 	frozenHosts  map[netip.Addr]bool
-	conns        map[*conn]struct{}
-	sentBytes    map[netip.Addr]int64
+	// conns holds the dialing end of each connection.
+	conns     map[*conn]struct{}
+	sentBytes map[netip.Addr]int64
 }
 
 // New returns a network whose links have the delay latency.
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -47,6 +47,9 @@
 	}
 }
 
+// request makes the request that the arguments METHOD URL STATUS [BODYFILE
+// [HEADER:VALUE...]] of call describe, and returns the status and the body of the answer. A
+// BODYFILE of "-" stands for an empty body.
 func request(ts *testscript.TestScript, args []string) (int, []byte, error) {
 	var reqBody []byte
 	if len(args) > 3 && args[3] != "-" {
--- a/internal/sink/sink.go
+++ b/internal/sink/sink.go
@@ -19,7 +19,7 @@
 	// process.
 	maxBufferedBytes = 512 << 10
 	// flushInterval is how long lines are collected for one write. A write for each line
-	// costs more processor time than the line.
+	// would cost more processor time than producing the line.
 	flushInterval = 100 * time.Millisecond
 	// maxWriteBytes bounds one write. A pipe takes up to this many bytes atomically;
 	// parts of larger writes can be mixed with those of other processes.
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -40,7 +40,8 @@
 	return used, err
 }
 
-// Constants returns the names of the constants of a type in a Go file.
+// Constants returns the names of the constants and variables in a Go file that are declared
+// with the type written out; constants that repeat the type of the line above are left out.
 func Constants(path, typ string) ([]string, error) {
 	f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
