--- a/hub/matrix/callers_test.go
+++ b/hub/matrix/callers_test.go
@@ -17,27 +17,26 @@
 	call
 	refusal *refusal.Refusal
 	answer  job.Answer
-	// passed tells that a request got its backend server's whole answer.
-	passed bool
+	// passedThrough is set if a request got its backend server's complete answer.
+	passedThrough bool
 }
 
-// call is a submission under an identity: a job id, or the caller's own key.
-// The work of a key has a kind that no other work has, by which the backend
-// servers' records tell it apart.
+// call is a submission under an identity, which is a job id or the caller's own key. Each
+// key has a kind of its own, by which the backend servers' records identify its work.
 type call struct {
 	id    string
 	key   string
 	kind  string
 	tasks int
-	// request tells that it is one request passed through, and no job.
+	// request is set for a single request that is passed through instead of a job.
 	request bool
 }
 
-// name is the identity.
-func (c call) name() string { return c.id + c.key }
+// identity returns the job id or the key.
+func (c call) identity() string { return c.id + c.key }
 
-// to makes the HTTP request of the call.
-func (c call) to(n *node) (method, url string, header map[string]string, body []byte) {
+// httpRequest returns the parts of the call's HTTP request to a dispatcher.
+func (c call) httpRequest(n *node) (method, url string, header map[string]string, body []byte) {
 	header = make(map[string]string)
 	if c.key != "" {
 		header["Idempotency-Key"] = c.key
@@ -46,24 +45,24 @@
 		if c.id != "" {
 			header["Snipe-Job"] = c.id
 		}
-		return http.MethodPost, n.callers() + "/v1/requests/" + c.kind, header, []byte(`"` + c.name() + `"`)
+		return http.MethodPost, n.callerURL() + "/v1/requests/" + c.kind, header, []byte(`"` + c.identity() + `"`)
 	}
 	spec := job.Spec{Kind: c.kind}
 	for i := range c.tasks {
-		spec.Tasks = append(spec.Tasks, json.RawMessage(fmt.Sprintf(`"%s %d"`, c.name(), i)))
+		spec.Tasks = append(spec.Tasks, json.RawMessage(fmt.Sprintf(`"%s %d"`, c.identity(), i)))
 	}
 	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err)
 	}
 	if c.key != "" {
-		return http.MethodPost, n.callers() + "/v1/jobs", header, body
+		return http.MethodPost, n.callerURL() + "/v1/jobs", header, body
 	}
-	return http.MethodPut, n.callers() + "/v1/jobs/" + c.id, header, body
+	return http.MethodPut, n.callerURL() + "/v1/jobs/" + c.id, header, body
 }
 
-// record asks a backend server for its starts, in their order.
-func (w *system) record(k *workerNode) []stand.Start {
+// startsOf requests a backend server's starts, in order.
+func (w *system) startsOf(k *workerNode) []stand.Start {
 	_, b, err := w.do(http.MethodGet, fmt.Sprintf("http://%s/stand/starts?view=full", k.address()), nil, nil)
 	var out struct {
 		Starts []stand.Start `json:"starts"`
@@ -77,11 +76,11 @@
 	return out.Starts
 }
 
-func (n *node) callers() string { return fmt.Sprintf("http://%s:%d", n.ip, callerPort) }
+func (n *node) callerURL() string { return fmt.Sprintf("http://%s:%d", n.ip, callerPort) }
 
-// mint takes a ticket over a dispatcher.
+// mint takes a ticket from a dispatcher.
 func (w *system) mint(n *node) (job.Grant, bool) {
-	status, b, err := w.do(http.MethodPost, n.callers()+"/v1/tickets", nil, nil)
+	status, b, err := w.do(http.MethodPost, n.callerURL()+"/v1/tickets", nil, nil)
 	var g job.Grant
 	if err != nil || status != http.StatusCreated || json.Unmarshal(b, &g) != nil {
 		return g, false
@@ -94,21 +93,21 @@
 	return w.submit(n, id, "check", tasks)
 }
 
-// submit submits a job of the given number of tasks and keeps what it is told.
+// submit submits a job of the given number of tasks and records the answer.
 func (w *system) submit(n *node, id, kind string, tasks int) said {
 	return w.ask(n, call{id: id, kind: kind, tasks: tasks})
 }
 
-// ask makes the call over a dispatcher and keeps what the caller is told.
+// ask makes the call to a dispatcher and records what the caller is told.
 func (w *system) ask(n *node, c call) said {
 	s := said{call: c}
-	method, url, header, body := c.to(n)
+	method, url, header, body := c.httpRequest(n)
 	status, out, err := w.do(method, url, body, header)
 	switch {
 	case err != nil:
 		return s
 	case status < 300 && c.request:
-		s.passed = true
+		s.passedThrough = true
 	case status < 300:
 		err = json.Unmarshal(out, &s.answer)
 	default:
@@ -116,7 +115,7 @@
 		err = json.Unmarshal(out, s.refusal)
 	}
 	if err != nil {
-		w.t.Errorf("%s: answer %q: %v", c.name(), out, err)
+		w.t.Errorf("%s: answer %q: %v", c.identity(), out, err)
 	}
 	w.mu.Lock()
 	w.said = append(w.said, s)
@@ -124,14 +123,14 @@
 	return s
 }
 
-// done tells whether the caller got the whole answer.
-func (s said) done() bool { return s.refusal == nil && (s.passed || s.answer.State == job.Done) }
+// done reports whether the caller got the complete answer.
+func (s said) done() bool { return s.refusal == nil && (s.passedThrough || s.answer.State == job.Done) }
 
-// settled tells whether the caller got a final word: an answer, or a refusal
-// with which it need not come back under the same id.
-func (s said) settled() bool {
+// isFinal reports whether the caller got a final result: an answer, or a refusal after
+// which it need not retry under the same identity.
+func (s said) isFinal() bool {
 	if s.refusal != nil {
 		return s.refusal.Again != refusal.AgainSame
 	}
-	return s.passed || s.answer.State == job.Done || s.answer.State == job.Failed
+	return s.passedThrough || s.answer.State == job.Done || s.answer.State == job.Failed
 }
--- a/hub/matrix/edits_test.go
+++ b/hub/matrix/edits_test.go
@@ -17,30 +17,30 @@
 
 // change is what an operator may change in the tables of a system.
 type change struct {
-	// pool is where the kind "check" goes.
+	// pool is the pool to which the kind "check" is routed.
 	pool string
-	// moved gives the second backend server of each data centre to "south".
+	// moved assigns the second backend server of each data centre to "south".
 	moved bool
-	// leaving takes the first backend server of the first data centre away.
+	// leaving marks the first backend server of the first data centre as leaving.
 	leaving bool
 }
 
-// want notes what the scenario's operator asks for.
-func (w *system) want(c change) change {
+// setDesired records the change that the scenario's operator makes.
+func (w *system) setDesired(c change) change {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.changed = c
+	w.desired = c
 	return c
 }
 
-func (w *system) wanted() change {
+func (w *system) desiredChange() change {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.changed
+	return w.desired
 }
 
-// rows are tables that send the kind "check" to a pool of the half "north" and
-// "menu" to the one of "south". Both pools of "north" have the same servers.
+// rows returns tables that route the kind "check" to a pool of the half "north" and
+// "menu" to that of "south". Both pools of "north" have the same servers.
 func (w *system) rows(c change) tables.Rows {
 	r := tables.Rows{
 		Routes: []tables.Route{
@@ -56,27 +56,27 @@
 	}
 	for i, k := range w.workers {
 		pools := []string{"pool-a", "pool-b"}
-		if n := i % workersOfDC; n == 2 || n == 1 && c.moved {
+		if n := i % workersPerDC; n == 2 || n == 1 && c.moved {
 			pools = []string{"pool-s"}
 		}
 		for _, p := range pools {
 			r.Servers = append(r.Servers, tables.Server{
-				Pool: p, Address: k.address(), DataCenter: k.dc, Slots: coresOfWorker, Leaving: i == 0 && c.leaving,
+				Pool: p, Address: k.address(), DataCenter: k.dc, Slots: coresPerWorker, Leaving: i == 0 && c.leaving,
 			})
 		}
 	}
 	return r
 }
 
-// append puts an edit on the log as an operator does and returns its offset;
-// an operator whose answer is lost gets false.
+// append appends an edit to the log as an operator does and returns its offset. It
+// returns false if the operator gets no answer.
 func (w *system) append(base tables.Version, put tables.Rows) (tables.Version, bool) {
 	e := tables.Edit{ID: uuid.NewString(), Base: base, Author: "test", At: time.Now(), Put: put}
 	b, err := json.Marshal(e)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	status, out, err := w.do(http.MethodPost, "http://"+platformAt+"/v1/streams/"+tables.Stream, b, nil)
+	status, out, err := w.do(http.MethodPost, "http://"+platformAddr+"/v1/streams/"+tables.Stream, b, nil)
 	var got struct {
 		Offset tables.Version `json:"offset"`
 	}
@@ -92,10 +92,10 @@
 	}
 }
 
-// version asks a dispatcher for its tables version and holds that it never goes
-// down within one incarnation.
+// version requests a dispatcher's tables version and checks that it never decreases
+// within one incarnation.
 func (w *system) version(n *node) (tables.Version, bool) {
-	_, b, err := w.do(http.MethodGet, n.callers()+"/status", nil, nil)
+	_, b, err := w.do(http.MethodGet, n.callerURL()+"/status", nil, nil)
 	var s hub.Status
 	if err != nil || json.Unmarshal(b, &s) != nil {
 		return ledger.None, false
--- a/hub/matrix/identities_test.go
+++ b/hub/matrix/identities_test.go
@@ -9,40 +9,40 @@
 	"github.com/google/uuid"
 )
 
-// keyedKind begins the names of kinds under which only one key's work runs.
+// keyedKind is the prefix of kinds that are used by the work of a single key only.
 const keyedKind = "order"
 
-// ownKey is a caller that brings a key of its own, and sends the same order over
-// two dispatchers at once and again over others.
-func ownKey(w *system, at func(int), _ fault) {
-	at(0)
+// ownKey is a caller that uses a key of its own, and sends the same order to two
+// dispatchers at once and later to others.
+func ownKey(w *system, beginStep func(int), _ fault) {
+	beginStep(0)
 	c := call{key: uuid.Must(uuid.NewV7()).String(), kind: keyedKind + "-job", tasks: 3}
 	var wg sync.WaitGroup
 	wg.Go(func() { w.ask(w.hub(0), c) })
 	wg.Go(func() { w.ask(w.hub(2), c) })
 	time.Sleep(300 * time.Millisecond)
-	at(1)
+	beginStep(1)
 	wg.Go(func() { w.ask(w.hub(1), c) })
 	wg.Wait()
-	at(2)
+	beginStep(2)
 	w.ask(w.hub(3), c)
 	time.Sleep(time.Second)
 }
 
-// once is a caller with a charge that must not be repeated: it takes a ticket,
-// hears nothing, and sends the request again over other dispatchers.
-func once(w *system, at func(int), _ fault) {
-	at(0)
+// repeatedRequest is a caller with a charge that must not be repeated: it takes a ticket,
+// gets no answer, and sends the request again through other dispatchers.
+func repeatedRequest(w *system, beginStep func(int), _ fault) {
+	beginStep(0)
 	c := call{id: w.ticketFrom(0) + ".0", kind: "check", tasks: 1, request: true}
-	at(1)
+	beginStep(1)
 	var wg sync.WaitGroup
 	wg.Go(func() { w.ask(w.hub(1), c) })
 	time.Sleep(100 * time.Millisecond)
-	at(2)
+	beginStep(2)
 	wg.Go(func() { w.ask(w.hub(0), c) })
 	wg.Go(func() { w.ask(w.hub(2), c) })
 	wg.Wait()
-	at(3)
+	beginStep(3)
 	w.ask(w.hub(3), c)
 	time.Sleep(time.Second)
 }
--- a/hub/matrix/matrix_test.go
+++ b/hub/matrix/matrix_test.go
@@ -18,53 +18,53 @@
 	"snipehub.example/stand"
 )
 
-// pairs also runs every pair of unlike faults, which takes minutes.
+// pairs also runs each pair of different faults, which takes minutes.
 var pairs = flag.Bool("matrix.pairs", false, "run the fault matrix with every pair of faults")
 
 // fault is one row of the matrix.
 type fault struct {
 	number int
 	name   string
-	// inject begins the fault and returns what ends it.
+	// inject starts the fault and returns the function that ends it.
 	inject func(w *system) (heal func())
-	// cuts tells that the fault may cost the callers of the owner their
-	// answers: they may then be told "unknown" or "failed".
-	cuts bool
-	// late tells that some dispatcher can't hear of a change while the fault
+	// losesAnswers is set if the fault may cost the callers of the owner their answers,
+	// so that they may be told "unknown" or "failed".
+	losesAnswers bool
+	// delaysChanges is set if some dispatcher can't learn of a change while the fault
 	// lasts.
-	late bool
+	delaysChanges bool
 }
 
-func none() {}
+func noHeal() {}
 
 var faults = []fault{
-	{1, "owner killed", func(w *system) func() { return w.killing(0) }, true, false},
-	{2, "other dispatcher killed", func(w *system) func() { return w.killing(1) }, true, false},
-	{3, "owner frozen", func(w *system) func() { return w.freezing(w.hub(0).ip) }, true, true},
-	{4, "owner not heard", func(w *system) func() { return w.cutting(hubIPs(w, 0), hubIPs(w, 1, 2, 3), false) }, true, true},
-	{5, "owner hears nobody", func(w *system) func() { return w.cutting(hubIPs(w, 1, 2, 3), hubIPs(w, 0), false) }, true, true},
-	{6, "owner cut off both ways", func(w *system) func() { return w.cutting(hubIPs(w, 0), hubIPs(w, 1, 2, 3), true) }, true, true},
-	{7, "data centres cut", func(w *system) func() { return w.cutting(hubIPs(w, 0, 1), hubIPs(w, 2, 3), true) }, true, false},
+	{1, "owner killed", func(w *system) func() { return w.killHub(0) }, true, false},
+	{2, "other dispatcher killed", func(w *system) func() { return w.killHub(1) }, true, false},
+	{3, "owner frozen", func(w *system) func() { return w.freezeHost(w.hub(0).ip) }, true, true},
+	{4, "owner not heard", func(w *system) func() { return w.cutLinks(hubIPs(w, 0), hubIPs(w, 1, 2, 3), false) }, true, true},
+	{5, "owner hears nobody", func(w *system) func() { return w.cutLinks(hubIPs(w, 1, 2, 3), hubIPs(w, 0), false) }, true, true},
+	{6, "owner cut off both ways", func(w *system) func() { return w.cutLinks(hubIPs(w, 0), hubIPs(w, 1, 2, 3), true) }, true, true},
+	{7, "data centres cut", func(w *system) func() { return w.cutLinks(hubIPs(w, 0, 1), hubIPs(w, 2, 3), true) }, true, false},
 	{8, "data centre cut from the platform", func(w *system) func() {
-		return w.cutting(hubIPs(w, 0, 1), []string{platformIP}, true)
+		return w.cutLinks(hubIPs(w, 0, 1), []string{platformIP}, true)
 	}, false, true},
 	{9, "data centre cut from both", func(w *system) func() {
-		return w.cutting(hubIPs(w, 0, 1), append(hubIPs(w, 2, 3), platformIP), true)
+		return w.cutLinks(hubIPs(w, 0, 1), append(hubIPs(w, 2, 3), platformIP), true)
 	}, true, true},
 	{10, "owner alone", func(w *system) func() {
-		return w.cutting(hubIPs(w, 0), append(hubIPs(w, 1, 2, 3), platformIP), true)
+		return w.cutLinks(hubIPs(w, 0), append(hubIPs(w, 1, 2, 3), platformIP), true)
 	}, true, true},
-	{11, "log down", func(w *system) func() { return w.logFault(stand.LogFaults{Down: true}) }, false, true},
-	{12, "log slow", func(w *system) func() { return w.logFault(stand.LogFaults{SlowMS: 2500}) }, false, true},
-	{13, "append answers lost", func(w *system) func() { return w.logFault(stand.LogFaults{LoseAnswers: 3}) }, false, false},
-	{14, "log forgets", func(w *system) func() { return w.logFault(stand.LogFaults{ForgetBelow: 1000}) }, false, false},
-	{15, "VM list late", func(w *system) func() { return w.restarting(1) }, true, false},
-	{16, "operators race", func(w *system) func() { return w.racing() }, false, false},
-	{17, "backend server killed", func(w *system) func() { return w.killingWorker(0) }, true, false},
-	{18, "backend server frozen", func(w *system) func() { return w.freezing(w.workers[0].ip) }, true, false},
-	{19, "backend server cuts answers", func(w *system) func() { return w.workerFault(0, stand.WorkerFaults{Reset: true}) }, true, false},
-	{20, "backend server refuses", func(w *system) func() { return w.workerFault(0, stand.WorkerFaults{Refuse: true}) }, false, false},
-	{21, "backend server fails everything", func(w *system) func() { return w.workerFault(0, stand.WorkerFaults{Fail: true}) }, true, false},
+	{11, "log down", func(w *system) func() { return w.setLogFaults(stand.LogFaults{Down: true}) }, false, true},
+	{12, "log slow", func(w *system) func() { return w.setLogFaults(stand.LogFaults{SlowMS: 2500}) }, false, true},
+	{13, "append answers lost", func(w *system) func() { return w.setLogFaults(stand.LogFaults{LoseAnswers: 3}) }, false, false},
+	{14, "log forgets", func(w *system) func() { return w.setLogFaults(stand.LogFaults{ForgetBelow: 1000}) }, false, false},
+	{15, "VM list late", func(w *system) func() { return w.replaceHub(1) }, true, false},
+	{16, "operators race", func(w *system) func() { return w.raceOperators() }, false, false},
+	{17, "backend server killed", func(w *system) func() { return w.killWorker(0) }, true, false},
+	{18, "backend server frozen", func(w *system) func() { return w.freezeHost(w.workers[0].ip) }, true, false},
+	{19, "backend server cuts answers", func(w *system) func() { return w.setWorkerFaults(0, stand.WorkerFaults{Reset: true}) }, true, false},
+	{20, "backend server refuses", func(w *system) func() { return w.setWorkerFaults(0, stand.WorkerFaults{Refuse: true}) }, false, false},
+	{21, "backend server fails everything", func(w *system) func() { return w.setWorkerFaults(0, stand.WorkerFaults{Fail: true}) }, true, false},
 }
 
 func hubIPs(w *system, is ...int) []string {
@@ -75,14 +75,13 @@
 	return out
 }
 
-func (w *system) killing(i int) func() {
+func (w *system) killHub(i int) func() {
 	old := w.hub(i)
 	w.kill(old)
 	return func() { w.restart(i, old) }
 }
 
-// restart starts a new process on the VM of one that ended, unless somebody
-// else has done so.
+// restart starts a new process on the VM of one that ended, unless that was already done.
 func (w *system) restart(i int, old *node) {
 	<-old.done
 	w.starting.Lock()
@@ -92,21 +91,21 @@
 	}
 }
 
-// restarting replaces a process at once; the VM list does not show it.
-func (w *system) restarting(i int) func() {
+// replaceHub replaces a process immediately, without a change in the VM list.
+func (w *system) replaceHub(i int) func() {
 	old := w.hub(i)
 	w.kill(old)
 	w.restart(i, old)
-	return none
+	return noHeal
 }
 
-func (w *system) freezing(ip string) func() {
+func (w *system) freezeHost(ip string) func() {
 	a := netip.MustParseAddr(ip)
 	w.net.SetFrozen(a, true)
 	return func() { w.net.SetFrozen(a, false) }
 }
 
-func (w *system) cutting(from, to []string, both bool) func() {
+func (w *system) cutLinks(from, to []string, both bool) func() {
 	set := func(on bool) {
 		for _, f := range from {
 			for _, t := range to {
@@ -122,48 +121,48 @@
 	return func() { set(false) }
 }
 
-func (w *system) logFault(f stand.LogFaults) func() {
-	w.control("PUT", "http://"+platformAt+"/stand/faults", f)
-	return func() { w.control("PUT", "http://"+platformAt+"/stand/faults", stand.LogFaults{}) }
+func (w *system) setLogFaults(f stand.LogFaults) func() {
+	w.control("PUT", "http://"+platformAddr+"/stand/faults", f)
+	return func() { w.control("PUT", "http://"+platformAddr+"/stand/faults", stand.LogFaults{}) }
 }
 
-// workerFault does not go over the network: the backend server may be killed or
-// frozen as well.
-func (w *system) workerFault(i int, f stand.WorkerFaults) func() {
+// setWorkerFaults does not use the network, because the backend server may also be killed
+// or frozen.
+func (w *system) setWorkerFaults(i int, f stand.WorkerFaults) func() {
 	w.workers[i].w.SetFaults(f)
 	return func() { w.workers[i].w.SetFaults(stand.WorkerFaults{}) }
 }
 
-// killingWorker ends a backend server; its record of starts outlives it.
-func (w *system) killingWorker(i int) func() {
+// killWorker resets the connections of a backend server; its record of starts is kept.
+func (w *system) killWorker(i int) func() {
 	k := w.workers[i]
 	w.net.Reset(netip.MustParseAddr(k.ip))
 	return func() { w.serve(k.ip, workerPort, k.w) }
 }
 
-// racing lets two operators change the route from the same version. They leave
-// what else has been changed as it is.
-func (w *system) racing() func() {
+// raceOperators lets two operators change the route from the same version. Other changes
+// stay as they are.
+func (w *system) raceOperators() func() {
 	var wg sync.WaitGroup
 	for _, p := range []string{"pool-a", "pool-b"} {
-		c := w.wanted()
+		c := w.desiredChange()
 		c.pool = p
 		wg.Go(func() { _ = w.operate(c) })
 	}
 	wg.Wait()
-	return none
+	return noHeal
 }
 
-// operate changes the tables by the operators' own code, once.
+// operate applies a change to the tables once, with the code that operators use.
 func (w *system) operate(c change) error {
-	at := netip.MustParseAddrPort(platformAt)
+	at := netip.MustParseAddrPort(platformAddr)
 	log := ledger.New(at, at, 2*time.Second, w.net.Host(callerIP).DialContext)
 	_, err := operator.Apply(context.Background(), log, w.rows(c), "test")
 	return err
 }
 
-// scenario is a course of events with numbered steps, the columns of the
-// matrix. It calls at before each step; a fault may begin there.
+// scenario is a sequence of numbered steps, the columns of the matrix. It calls beginStep
+// before each step, where a fault may start.
 type scenario struct {
 	name  string
 	steps []string
@@ -173,7 +172,7 @@
 var scenarios = []scenario{
 	{"submission", []string{"before the ticket", "before the submission", "tasks running", "answer given"}, submission},
 	{"own key", []string{"before the claim", "claimed", "answer given"}, ownKey},
-	{"charge", []string{"before the ticket", "before the request", "running", "answer given"}, once},
+	{"charge", []string{"before the ticket", "before the request", "running", "answer given"}, repeatedRequest},
 	{"table change", []string{"before the append", "after the append", "in force here", "in force everywhere"}, tableChange},
 	{"planned stop", []string{"before the signal", "draining", "ended"}, plannedStop},
 	{"move between halves", []string{"before the edit", "after the edit", "in force"}, moveHalves},
@@ -182,63 +181,63 @@
 
 const jobTasks = 6
 
-// submission is a caller that submits, believes its job lost, and submits it
-// again over other dispatchers.
-func submission(w *system, at func(int), _ fault) {
-	at(0)
+// submission is a caller that submits a job, considers it lost, and submits it again
+// through other dispatchers.
+func submission(w *system, beginStep func(int), _ fault) {
+	beginStep(0)
 	id := w.ticketFrom(0) + ".0"
-	at(1)
+	beginStep(1)
 	var wg sync.WaitGroup
 	wg.Go(func() { w.put(w.hub(1), id, jobTasks) })
 	time.Sleep(300 * time.Millisecond)
-	at(2)
+	beginStep(2)
 	wg.Go(func() { w.put(w.hub(2), id, jobTasks) })
 	wg.Go(func() { w.put(w.hub(0), id, jobTasks) })
 	wg.Wait()
-	at(3)
+	beginStep(3)
 	w.put(w.hub(3), id, jobTasks)
 	time.Sleep(time.Second)
 }
 
 // tableChange is an operator who changes the route while jobs run.
-func tableChange(w *system, at func(int), _ fault) {
+func tableChange(w *system, beginStep func(int), _ fault) {
 	id := w.ticketFrom(0)
 	var wg sync.WaitGroup
 	wg.Go(func() { w.put(w.hub(0), id+".0", jobTasks) })
-	at(0)
+	beginStep(0)
 	_ = w.operate(change{pool: "pool-b"})
-	at(1)
+	beginStep(1)
 	time.Sleep(500 * time.Millisecond)
 	w.version(w.hub(0))
-	at(2)
+	beginStep(2)
 	wg.Go(func() { w.put(w.hub(1), id+".1", jobTasks) })
 	time.Sleep(6 * time.Second)
-	at(3)
+	beginStep(3)
 	wg.Wait()
 }
 
-// plannedStop is a dispatcher that is told to stop under load. The callers that
-// have submitted get their whole answers.
-func plannedStop(w *system, at func(int), f fault) {
+// plannedStop is a planned stop of a dispatcher under load. The callers that have
+// submitted must get complete answers.
+func plannedStop(w *system, beginStep func(int), f fault) {
 	id := w.ticketFrom(0)
 	var wg sync.WaitGroup
 	for i := range 3 {
 		wg.Go(func() {
 			s := w.put(w.hub(i%2), fmt.Sprintf("%s.%d", id, i), jobTasks)
-			if !f.cuts && !s.done() {
-				w.t.Errorf("planned stop: job %s: %+v %v", s.name(), s.answer, s.refusal)
+			if !f.losesAnswers && !s.done() {
+				w.t.Errorf("planned stop: job %s: %+v %v", s.identity(), s.answer, s.refusal)
 			}
 		})
 	}
 	time.Sleep(200 * time.Millisecond)
-	at(0)
+	beginStep(0)
 	old := w.hub(0)
 	old.cancel()
 	time.Sleep(100 * time.Millisecond)
-	at(1)
+	beginStep(1)
 	wg.Wait()
 	<-old.done
-	at(2)
+	beginStep(2)
 	w.restart(0, old)
 	time.Sleep(2 * time.Second)
 	for i := range 3 {
@@ -246,8 +245,7 @@
 	}
 }
 
-// ticketFrom takes a ticket of the dispatcher, or of another one when it gives
-// none.
+// ticketFrom takes a ticket from dispatcher i, or from another one if it issues none.
 func (w *system) ticketFrom(i int) string {
 	for k := range hubCount * 10 {
 		if g, ok := w.mint(w.hub((i + k) % hubCount)); ok {
@@ -259,11 +257,10 @@
 	return ""
 }
 
-// TestMatrix runs every fault at every step, and every fault twice: it ends,
-// and begins again. What must always hold is checked at the end of each cell:
-// no task has started twice, "not run" was true, answers were whole, every
-// dispatcher has the newest tables, versions never went down, and the system
-// serves again.
+// TestMatrix runs every fault at every step, once and also twice in succession. Each cell
+// checks at its end that no task has started twice, that "not run" was true, that answers
+// were complete, that all dispatchers have the newest tables, that versions never
+// decreased, and that the system serves again.
 func TestMatrix(t *testing.T) {
 	cells := 0
 	for _, sc := range scenarios {
@@ -282,7 +279,7 @@
 	t.Logf("matrix: %d faults, single and twice, at %d steps: %d cells, 0 empty", len(faults), cells/len(faults)/2, cells)
 }
 
-// TestMatrixPairs runs every pair of unlike faults that begin together.
+// TestMatrixPairs runs every pair of different faults that start at the same time.
 func TestMatrixPairs(t *testing.T) {
 	if !*pairs {
 		t.Skip("run with -matrix.pairs; it takes minutes")
@@ -292,8 +289,8 @@
 			for i, f := range faults {
 				for _, g := range faults[i+1:] {
 					both := f
-					both.cuts = f.cuts || g.cuts
-					both.late = f.late || g.late
+					both.losesAnswers = f.losesAnswers || g.losesAnswers
+					both.delaysChanges = f.delaysChanges || g.delaysChanges
 					both.inject = func(w *system) func() {
 						a, b := f.inject(w), g.inject(w)
 						return func() { a(); b() }
@@ -317,8 +314,8 @@
 }
 
 const (
-	faultLasts = 10 * time.Second
-	settleTime = 16 * time.Second
+	faultDuration = 10 * time.Second
+	settleTime    = 16 * time.Second
 )
 
 func runCell(t *testing.T, sc scenario, step int, f fault, twice bool) {
@@ -332,12 +329,12 @@
 			}
 			heal := f.inject(w)
 			wg.Go(func() {
-				time.Sleep(faultLasts)
+				time.Sleep(faultDuration)
 				heal()
 				if twice {
 					time.Sleep(time.Second)
 					heal = f.inject(w)
-					time.Sleep(faultLasts)
+					time.Sleep(faultDuration)
 					heal()
 				}
 			})
@@ -346,14 +343,14 @@
 		time.Sleep(settleTime)
 		w.checkTables()
 		w.checkServes()
-		w.check()
+		w.checkInvariants()
 		if t.Failed() {
 			t.Logf("logs:\n%s", w.logs)
 		}
 	})
 }
 
-// checkTables holds that every dispatcher has the state that the log gives.
+// checkTables checks that all dispatchers answer and have the same tables version.
 func (w *system) checkTables() {
 	want := ledger.None
 	for i, n := range w.hubs {
@@ -372,16 +369,16 @@
 	}
 }
 
-// cameBack is how many of the identities are asked for again at the end.
-const cameBack = 12
+// retriedIdentities is the number of identities that are requested again at the end.
+const retriedIdentities = 12
 
-// checkServes holds that an identity gets a final word when its caller comes
-// back, and that new jobs are done.
+// checkServes checks that a caller that retries gets a final answer for its identity, and
+// that new jobs are done.
 func (w *system) checkServes() {
-	for _, s := range w.said[max(0, len(w.said)-cameBack):] {
+	for _, s := range w.said[max(0, len(w.said)-retriedIdentities):] {
 		for _, n := range w.hubs {
-			if a := w.ask(n, s.call); !a.settled() {
-				w.t.Errorf("%s over %s: no final word: %+v %v", s.name(), n.ip, a.answer, a.refusal)
+			if a := w.ask(n, s.call); !a.isFinal() {
+				w.t.Errorf("%s over %s: no final word: %+v %v", s.identity(), n.ip, a.answer, a.refusal)
 			}
 		}
 	}
--- a/hub/matrix/smoke_test.go
+++ b/hub/matrix/smoke_test.go
@@ -21,6 +21,6 @@
 				t.Errorf("over %s: %+v\n%s", n.ip, s, w.logs)
 			}
 		}
-		w.check()
+		w.checkInvariants()
 	})
 }
--- a/hub/matrix/system_test.go
+++ b/hub/matrix/system_test.go
@@ -24,16 +24,16 @@
 	"snipehub.example/tables"
 )
 
-// The hosts of a system. Two data centres have two dispatchers and three backend
-// servers each: the first two are of the half "north", the third of "south".
+// The hosts of a system. Each of the two data centres has two dispatchers and three backend
+// servers, of which the first two belong to the half "north" and the third to "south".
 const (
-	platformIP = "127.9.0.1"
-	callerIP   = "127.9.0.2"
-	platformAt = platformIP + ":7300"
+	platformIP   = "127.9.0.1"
+	callerIP     = "127.9.0.2"
+	platformAddr = platformIP + ":7300"
 )
 
-// system is a small one in memory: real dispatchers, the platform's stand-in
-// and backend servers, on a fake clock.
+// system is a small deployment in memory, on a fake clock: real dispatchers, and
+// stand-ins for the platform and the backend servers.
 type system struct {
 	t       *testing.T
 	net     *memnet.Net
@@ -44,8 +44,8 @@
 	logs    *lockedBuffer
 
 	starting sync.Mutex
-	// changed is what the scenario's operator has asked for.
-	changed change
+	// desired is the latest change that the scenario's operator made.
+	desired change
 
 	mu      sync.Mutex
 	said    []said
@@ -87,16 +87,16 @@
 }
 
 const (
-	hubCount      = 4
-	workersOfDC   = 3
-	workerCount   = 6
-	callerPort    = 7400
-	peerPort      = 7500
-	workerPort    = 9000
-	coresOfWorker = 8
+	hubCount       = 4
+	workersPerDC   = 3
+	workerCount    = 6
+	callerPort     = 7400
+	peerPort       = 7500
+	workerPort     = 9000
+	coresPerWorker = 8
 )
 
-// newSystem starts everything and waits until all dispatchers are ready.
+// newSystem starts all parts and gives the dispatchers time to become ready.
 func newSystem(t *testing.T) *system {
 	w := &system{
 		t:       t,
@@ -111,8 +111,8 @@
 	w.log = stand.NewLog(time.Hour, 300)
 	w.serve(platformIP, 7300, w.log)
 	for i := range workerCount {
-		k := &workerNode{dc: dcName(i / workersOfDC), ip: fmt.Sprintf("127.3.%d.%d", i/workersOfDC, i%workersOfDC+1)}
-		k.w = stand.NewWorker(netip.AddrPortFrom(netip.MustParseAddr(k.ip), workerPort), coresOfWorker, 1, stand.Spread{Min: 200 * time.Millisecond, Max: 2 * time.Second}, uint64(i))
+		k := &workerNode{dc: dcName(i / workersPerDC), ip: fmt.Sprintf("127.3.%d.%d", i/workersPerDC, i%workersPerDC+1)}
+		k.w = stand.NewWorker(netip.AddrPortFrom(netip.MustParseAddr(k.ip), workerPort), coresPerWorker, 1, stand.Spread{Min: 200 * time.Millisecond, Max: 2 * time.Second}, uint64(i))
 		w.serve(k.ip, workerPort, k.w)
 		w.workers = append(w.workers, k)
 	}
@@ -125,7 +125,7 @@
 	return w
 }
 
-// hub returns the process that runs on a VM now.
+// hub returns the current process on VM i.
 func (w *system) hub(i int) *node {
 	w.starting.Lock()
 	defer w.starting.Unlock()
@@ -144,8 +144,8 @@
 	w.t.Cleanup(func() { _ = s.Close() })
 }
 
-// startHub starts a dispatcher process on its VM; a second start on the same VM
-// is a restart.
+// startHub starts a dispatcher process on its VM. A second start on the same VM is a
+// restart.
 func (w *system) startHub(i int) *node {
 	n := &node{i: i, dc: dcName(i / 2), ip: fmt.Sprintf("127.1.%d.%d", i/2, i%2+1), done: make(chan struct{})}
 	cfg, err := settings.Parse("system.toml", []byte(w.settings(n)))
@@ -188,7 +188,7 @@
 open = true
 [tables]
 settle = "6s"
-`, n.dc, n.i, n.ip, callerPort, n.ip, peerPort, platformAt, platformAt, strings.Join(seeds, ", "))
+`, n.dc, n.i, n.ip, callerPort, n.ip, peerPort, platformAddr, platformAddr, strings.Join(seeds, ", "))
 }
 
 func (k *workerNode) address() netip.AddrPort {
@@ -206,10 +206,10 @@
 			DataCenter: dcName(i / 2),
 		})
 	}
-	w.control(http.MethodPut, "http://"+platformAt+"/stand/vms", in)
+	w.control(http.MethodPut, "http://"+platformAddr+"/stand/vms", in)
 }
 
-// control speaks to a stand-in.
+// control sends a request to a stand-in.
 func (w *system) control(method, url string, in any) {
 	b, err := json.Marshal(in)
 	if err != nil {
@@ -238,8 +238,8 @@
 	return resp.StatusCode, b, err
 }
 
-// kill ends a process without a planned stop: its connections are reset and
-// nothing that it does afterwards is heard.
+// kill ends a process without a planned stop: its connections are reset, and nothing that
+// it sends afterwards arrives.
 func (w *system) kill(n *node) {
 	if n.killed {
 		return
@@ -249,7 +249,7 @@
 	n.cancel()
 }
 
-// close ends everything.
+// close stops all dispatchers and the network.
 func (w *system) close() {
 	for _, n := range w.hubs {
 		n.cancel()
@@ -259,6 +259,6 @@
 	}
 	w.hc.CloseIdleConnections()
 	w.net.Close()
-	// The clock stands still once the test function has returned.
+	// The fake clock stops once the test function has returned.
 	time.Sleep(time.Minute)
 }
