--- a/hub/certificates.go
+++ b/hub/certificates.go
@@ -7,9 +7,9 @@
 	"snipehub.example/meter"
 )
 
-// refreshKeys brings changed certificate files into force. An error is logged
-// once and not at every look, which would bury everything else.
-func (h *Hub) refreshKeys(ctx context.Context) error {
+// refreshCertificates puts changed certificate files into use. A repeated error is logged
+// once and not at every check, where it would drown all other log lines.
+func (h *Hub) refreshCertificates(ctx context.Context) error {
 	sub := h.clock.Subscribe(h.cfg.TLS.Refresh.D())
 	defer sub.Stop()
 	last := ""
--- a/hub/command.go
+++ b/hub/command.go
@@ -11,7 +11,7 @@
 	"snipehub.example/settings"
 )
 
-// ExitSettings is the exit code for settings that can't be used.
+// ExitSettings is the exit code for invalid settings.
 const ExitSettings = 2
 
 // Command returns the command line of snipehubd.
--- a/hub/desk.go
+++ b/hub/desk.go
@@ -12,9 +12,9 @@
 	"snipehub.example/ticket"
 )
 
-// desk takes the callers' requests: it gives those about identities of this
-// process to its owner, and the rest to the forwarder.
-type desk struct {
+// jobService handles the callers' requests. Requests for identities of this process go to
+// its owner, all others to the forwarder.
+type jobService struct {
 	self   ticket.Owner
 	owner  *job.Owner
 	fwd    *forwarder
@@ -22,55 +22,55 @@
 	tables func() *tables.State
 }
 
-// keys finds the identity that stands for a caller's own key.
+// keys resolves a caller's own key to the identity that it stands for.
 type keys interface {
 	Resolve(ctx context.Context, caller, key string) (ticket.JobID, error)
 }
 
-// The methods between dispatchers.
+// Methods that dispatchers call on each other.
 const (
-	methodBeat    = "beat"
-	methodSubmit  = "submit"
-	methodRequest = "request"
-	methodLookup  = "lookup"
-	methodCancel  = "cancel"
-	methodAwait   = "await"
-	methodStatus  = "status"
-	methodFind    = "find"
-	methodHeld    = "held"
-	methodHold    = "hold"
+	methodHeartbeat = "beat"
+	methodSubmit    = "submit"
+	methodRequest   = "request"
+	methodLookup    = "lookup"
+	methodCancel    = "cancel"
+	methodAwait     = "await"
+	methodStatus    = "status"
+	methodFind      = "find"
+	methodHeld      = "held"
+	methodHold      = "hold"
 )
 
-// reference names a caller's job between dispatchers.
-type reference struct {
+// jobReference identifies a caller's job in calls between dispatchers.
+type jobReference struct {
 	Caller job.Caller   `json:"caller"`
 	ID     ticket.JobID `json:"id"`
 }
 
-// handle sets the methods by which peers reach this process. They answer from
-// this process alone and never forward.
-func (d *desk) handle(s *peer.Server) {
-	peer.Handle(s, methodSubmit, d.submitHere)
-	peer.Handle(s, methodAwait, d.awaitHere)
+// registerMethods registers the methods for requests that peers forward. They are
+// answered from the state of this process only and are never forwarded again.
+func (d *jobService) registerMethods(s *peer.Server) {
+	peer.Handle(s, methodSubmit, d.submitLocally)
+	peer.Handle(s, methodAwait, d.awaitLocally)
 	peer.Handle(s, methodRequest, d.owner.Request)
-	peer.Handle(s, methodLookup, func(_ context.Context, r reference) (job.Answer, error) {
+	peer.Handle(s, methodLookup, func(_ context.Context, r jobReference) (job.Answer, error) {
 		return d.owner.Lookup(r.Caller, r.ID)
 	})
-	peer.Handle(s, methodCancel, func(_ context.Context, r reference) (job.Answer, error) {
+	peer.Handle(s, methodCancel, func(_ context.Context, r jobReference) (job.Answer, error) {
 		return d.owner.Cancel(r.Caller, r.ID)
 	})
-	peer.Handle(s, methodFind, d.fwd.find)
+	peer.Handle(s, methodFind, d.fwd.answerSearch)
 	peer.Handle(s, methodHeld, d.fwd.answerHeld)
-	peer.Handle(s, methodHold, d.fwd.hold)
+	peer.Handle(s, methodHold, d.fwd.holdPart)
 }
 
-// Mint makes a ticket of this process.
-func (d *desk) Mint(_ context.Context, c job.Caller) (job.Grant, error) {
+// Mint issues a ticket of this process.
+func (d *jobService) Mint(_ context.Context, c job.Caller) (job.Grant, error) {
 	return d.owner.Mint(c)
 }
 
-// Submit starts the job here, or forwards it to the owner of its identity.
-func (d *desk) Submit(ctx context.Context, s job.Submission) (job.Answer, error) {
+// Submit starts the job here, or forwards the submission to the owner of its identity.
+func (d *jobService) Submit(ctx context.Context, s job.Submission) (job.Answer, error) {
 	if s.Key != "" {
 		id, err := d.keys.Resolve(ctx, s.Caller.Name, s.Key)
 		if err != nil {
@@ -79,16 +79,16 @@
 		s.ID, s.Key = id, ""
 	}
 	if s.ID.Owner == d.self {
-		return d.submitHere(ctx, s)
+		return d.submitLocally(ctx, s)
 	}
-	q := question{caller: s.Caller.Name, id: s.ID, sum: s.Digest(), method: methodSubmit, params: s}
+	q := ownerQuery{caller: s.Caller.Name, id: s.ID, digest: s.Digest(), method: methodSubmit, params: s}
 	return forward(ctx, d.fwd, q, job.Outcome.AsAnswer)
 }
 
-// Request passes one request through.
-func (d *desk) Request(ctx context.Context, r job.Request) (job.Reply, error) {
+// Request passes a single request through to a backend server.
+func (d *jobService) Request(ctx context.Context, r job.Request) (job.Reply, error) {
 	if r.ID == nil && r.Key == "" {
-		return d.pass(ctx, r)
+		return d.passThrough(ctx, r)
 	}
 	if r.Key != "" {
 		id, err := d.keys.Resolve(ctx, r.Caller.Name, r.Key)
@@ -100,13 +100,14 @@
 	if r.ID.Owner == d.self {
 		return d.owner.Request(ctx, r)
 	}
-	q := question{caller: r.Caller.Name, id: *r.ID, sum: r.Digest(), method: methodRequest, params: r}
+	q := ownerQuery{caller: r.Caller.Name, id: *r.ID, digest: r.Digest(), method: methodRequest, params: r}
 	return forward(ctx, d.fwd, q, job.Outcome.AsReply)
 }
 
-// pass takes a request without an identity, if its kind may be repeated: the
-// caller that hears nothing sends it again, and both may run.
-func (d *desk) pass(ctx context.Context, r job.Request) (job.Reply, error) {
+// passThrough handles a request without an identity, which is allowed only for kinds that
+// may be repeated: a caller that gets no answer sends the request again, and both copies
+// may run.
+func (d *jobService) passThrough(ctx context.Context, r job.Request) (job.Reply, error) {
 	route, ok := d.tables().Route(r.Kind)
 	switch {
 	case !ok:
@@ -117,30 +118,30 @@
 	return d.owner.PassThrough(ctx, r)
 }
 
-// Lookup tells where a job stands.
-func (d *desk) Lookup(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error) {
+// Lookup returns the state of a job.
+func (d *jobService) Lookup(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error) {
 	if id.Owner == d.self {
 		return d.owner.Lookup(c, id)
 	}
-	q := question{caller: c.Name, id: id, method: methodLookup, params: reference{c, id}}
+	q := ownerQuery{caller: c.Name, id: id, method: methodLookup, params: jobReference{c, id}}
 	return forward(ctx, d.fwd, q, job.Outcome.AsAnswer)
 }
 
-// Cancel asks that no more tasks of the job start. A stopped owner's job is
-// past cancelling, and is shown as it ended.
-func (d *desk) Cancel(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error) {
+// Cancel requests that no more tasks of the job start. If the job's owner has stopped,
+// the job can't be cancelled any more and its outcome is returned.
+func (d *jobService) Cancel(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error) {
 	if id.Owner == d.self {
 		return d.owner.Cancel(c, id)
 	}
-	q := question{caller: c.Name, id: id, method: methodCancel, params: reference{c, id}}
+	q := ownerQuery{caller: c.Name, id: id, method: methodCancel, params: jobReference{c, id}}
 	return forward(ctx, d.fwd, q, job.Outcome.AsAnswer)
 }
 
-// dialed makes the peer package's calls a caller.
-type dialed struct{ d *peer.Dialer }
+// dialerClient implements peerClient with a peer.Dialer.
+type dialerClient struct{ d *peer.Dialer }
 
-// Call calls a peer and decodes its answer into result.
-func (c dialed) Call(ctx context.Context, to netip.AddrPort, method string, params, result any) error {
+// Call calls a peer's method and decodes its answer into result.
+func (c dialerClient) Call(ctx context.Context, to netip.AddrPort, method string, params, result any) error {
 	raw, err := peer.Call[json.RawMessage](ctx, c.d, to, method, params)
 	if err != nil {
 		return err
--- a/hub/directory.go
+++ b/hub/directory.go
@@ -8,23 +8,23 @@
 	"snipehub.example/tables"
 )
 
-// directory gives the dispatch package its view of the world.
+// directory implements dispatch.Directory.
 type directory struct{ h *Hub }
 
 // State returns the tables in force.
 func (d directory) State() *tables.State { return d.h.tables.State() }
 
-// Usable tells whether new work may go to a backend server: not while the VM
-// list says that it is leaving, nor before the settle time after its move from
-// one half to the other.
+// Usable reports whether new work may go to a backend server. It is false while the VM
+// list says that the server is leaving, and until the settle time after the server's move
+// from one half to the other has passed.
 func (d directory) Usable(now time.Time, server netip.AddrPort) bool {
-	return !d.h.platform.isLeaving(server.Addr()) && !d.h.tables.Held(now, server)
+	return !d.h.knownVMs.isLeaving(server.Addr()) && !d.h.tables.Held(now, server)
 }
 
-// MayPlace tells whether this process may start work.
+// MayPlace reports whether this process may start work.
 func (d directory) MayPlace(now time.Time) bool { return d.h.mayPlace(now) }
 
-// Members returns the dispatchers that are not gone, this process included.
+// Members returns the dispatchers that are not gone, including this process.
 func (d directory) Members(now time.Time) []roster.Known {
 	out := []roster.Known{{Member: d.h.roster.Self(), State: roster.Live, Heard: now}}
 	for _, k := range d.h.roster.All(now) {
--- a/hub/documented_test.go
+++ b/hub/documented_test.go
@@ -10,8 +10,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// documented FILE OLD NEW... writes the shell lines of a page of the docs to
-// documented.sh, with its addresses replaced.
+// documented FILE OLD NEW... writes the shell lines of a docs page to documented.sh, with
+// each OLD replaced by its NEW.
 func documented(ts *testscript.TestScript, _ bool, args []string) {
 	page, err := os.ReadFile("../docs/" + args[0])
 	ts.Check(err)
@@ -24,9 +24,8 @@
 	ts.Check(os.WriteFile(ts.MkAbs("documented.sh"), []byte(text), 0o600))
 }
 
-// move FILE... puts the addresses of this script in place of those of the
-// examples.
-func move(ts *testscript.TestScript, _ bool, args []string) {
+// move FILE... replaces the addresses of the examples by those of this script.
+func replaceAddresses(ts *testscript.TestScript, _ bool, args []string) {
 	r := strings.NewReplacer(
 		"127.0.0.1:7300", ts.Getenv("A0"),
 		"127.0.0.1:7400", ts.Getenv("A1"), "127.0.0.1:7500", ts.Getenv("A2"),
@@ -39,8 +38,8 @@
 	}
 }
 
-// curl stands in for the program of that name, which a machine with Go alone
-// may lack. It knows what the docs use: -sS, -X, -H, -d and a URL.
+// curl stands in for the program of that name, which may be missing on a machine that has
+// only Go. It supports what the docs use: -sS, -X, -H, -d and a URL.
 func curl() int {
 	method, url, body := http.MethodGet, "", ""
 	header := make(http.Header)
@@ -66,25 +65,25 @@
 			k, v, _ := strings.Cut(value, ": ")
 			header.Set(k, v)
 		default:
-			return failed(fmt.Errorf("unknown option %s", option))
+			return curlFailed(fmt.Errorf("unknown option %s", option))
 		}
 	}
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
-		return failed(err)
+		return curlFailed(err)
 	}
 	req.Header = header
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return failed(err)
+		return curlFailed(err)
 	}
 	if _, err := io.Copy(os.Stdout, resp.Body); err != nil {
-		return failed(err)
+		return curlFailed(err)
 	}
 	return 0
 }
 
-func failed(err error) int {
+func curlFailed(err error) int {
 	fmt.Fprintln(os.Stderr, "curl:", err)
 	return 1
 }
--- a/hub/faults_test.go
+++ b/hub/faults_test.go
@@ -16,11 +16,12 @@
 	"snipehub.example/job"
 )
 
-// relays and floods are what a script has under way, by its directory.
 var (
-	running   sync.Mutex
-	relayOf   = make(map[string]*relay)
-	floodOf   = make(map[string]*flood)
+	// relays and floods are the running relays and floods of all scripts, by script
+	// directory (for a relay followed by its name). runningMu guards both.
+	runningMu sync.Mutex
+	relays    = make(map[string]*relay)
+	floods    = make(map[string]*flood)
 	faultCmds = map[string]func(ts *testscript.TestScript, neg bool, args []string){
 		"relay":   startRelay,
 		"cut":     func(ts *testscript.TestScript, _ bool, args []string) { findRelay(ts, args[0]).cut(true) },
@@ -30,8 +31,8 @@
 	}
 )
 
-// relay passes TCP connections on and can be cut: open connections are closed
-// in mid-stream and new ones too.
+// relay forwards TCP connections and can be cut: then it closes its open connections and
+// each new one.
 type relay struct {
 	ln     net.Listener
 	target string
@@ -46,17 +47,17 @@
 	ln, err := net.Listen("tcp", args[1])
 	ts.Check(err)
 	r := &relay{ln: ln, target: args[2], conns: make(map[net.Conn]struct{})}
-	running.Lock()
-	relayOf[ts.Getenv("WORK")+args[0]] = r
-	running.Unlock()
+	runningMu.Lock()
+	relays[ts.Getenv("WORK")+args[0]] = r
+	runningMu.Unlock()
 	ts.Defer(func() { _ = ln.Close() })
 	go r.serve()
 }
 
 func findRelay(ts *testscript.TestScript, name string) *relay {
-	running.Lock()
-	defer running.Unlock()
-	r, ok := relayOf[ts.Getenv("WORK")+name]
+	runningMu.Lock()
+	defer runningMu.Unlock()
+	r, ok := relays[ts.Getenv("WORK")+name]
 	if !ok {
 		ts.Fatalf("no relay %s", name)
 	}
@@ -69,21 +70,21 @@
 		if err != nil {
 			return
 		}
-		go r.pass(c)
+		go r.forward(c)
 	}
 }
 
-func (r *relay) pass(near net.Conn) {
+func (r *relay) forward(near net.Conn) {
 	defer func() { _ = near.Close() }()
 	far, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
 	defer func() { _ = far.Close() }()
-	if !r.enter(near, far) {
+	if !r.track(near, far) {
 		return
 	}
-	defer r.leave(near, far)
+	defer r.untrack(near, far)
 	go func() {
 		_, _ = io.Copy(far, near)
 		_ = far.Close()
@@ -91,7 +92,7 @@
 	_, _ = io.Copy(near, far)
 }
 
-func (r *relay) enter(cs ...net.Conn) bool {
+func (r *relay) track(cs ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isCut {
@@ -103,7 +104,7 @@
 	return true
 }
 
-func (r *relay) leave(cs ...net.Conn) {
+func (r *relay) untrack(cs ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range cs {
@@ -120,31 +121,31 @@
 	}
 }
 
-// flood is callers that submit jobs one after the other until told to end.
+// flood submits jobs one after the other from several callers until it is ended.
 type flood struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu   sync.Mutex
-	done int
-	bad  []string
+	mu       sync.Mutex
+	done     int
+	failures []string
 }
 
 const (
-	floodCallers = 8
-	floodTasks   = 4
-	floodMin     = 20
-	floodLook    = 20 * time.Millisecond
-	floodLooks   = 1000
+	floodCallers      = 8
+	floodTasks        = 4
+	floodMin          = 20
+	floodPollInterval = 20 * time.Millisecond
+	maxFloodPolls     = 1000
 )
 
-// flood TOKEN ADDRESS... submits jobs over the dispatchers at the addresses.
+// flood TOKEN ADDRESS... submits jobs through the dispatchers at the addresses.
 func startFlood(ts *testscript.TestScript, _ bool, args []string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &flood{cancel: cancel}
-	running.Lock()
-	floodOf[ts.Getenv("WORK")] = f
-	running.Unlock()
+	runningMu.Lock()
+	floods[ts.Getenv("WORK")] = f
+	runningMu.Unlock()
 	ts.Defer(cancel)
 	for i := range floodCallers {
 		cfg := client.Config{Token: args[0]}
@@ -167,7 +168,7 @@
 		cancel()
 		f.mu.Lock()
 		if err != nil || a.State != job.Done {
-			f.bad = append(f.bad, fmt.Sprintf("%+v %v", a, err))
+			f.failures = append(f.failures, fmt.Sprintf("%+v %v", a, err))
 		} else {
 			f.done++
 		}
@@ -175,28 +176,28 @@
 	}
 }
 
-func (f *flood) enough() bool {
+func (f *flood) finished() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.done >= floodMin || len(f.bad) > 0
+	return f.done >= floodMin || len(f.failures) > 0
 }
 
-// flooded lets the flood go on until enough jobs are done, ends it, and holds
-// that every job was done.
+// flooded waits until the flood has completed enough jobs or one has failed, ends it, and
+// checks that every job was done.
 func endFlood(ts *testscript.TestScript, _ bool, _ []string) {
-	running.Lock()
-	f := floodOf[ts.Getenv("WORK")]
-	running.Unlock()
-	for range floodLooks {
-		if f.enough() {
+	runningMu.Lock()
+	f := floods[ts.Getenv("WORK")]
+	runningMu.Unlock()
+	for range maxFloodPolls {
+		if f.finished() {
 			break
 		}
-		time.Sleep(floodLook)
+		time.Sleep(floodPollInterval)
 	}
 	f.cancel()
 	f.wg.Wait()
 	ts.Logf("jobs done: %d", f.done)
-	if len(f.bad) > 0 || f.done < floodMin {
-		ts.Fatalf("%d jobs done, others: %q", f.done, f.bad)
+	if len(f.failures) > 0 || f.done < floodMin {
+		ts.Fatalf("%d jobs done, others: %q", f.done, f.failures)
 	}
 }
--- a/hub/forward.go
+++ b/hub/forward.go
@@ -19,35 +19,33 @@
 	"snipehub.example/ticket"
 )
 
-// caller makes calls to peers.
-type caller interface {
+// peerClient calls methods of peers.
+type peerClient interface {
 	Call(ctx context.Context, to netip.AddrPort, method string, params, result any) error
 }
 
-// members is what forwarding needs of the roster.
+// members is the part of the roster that forwarding needs.
 type members interface {
 	Find(now time.Time, o ticket.Owner) (roster.Known, bool)
 	All(now time.Time) []roster.Known
 }
 
 const (
-	// unreachableRetryAfter is when a caller should ask again about an
-	// identity whose owner does not answer.
+	// unreachableRetryAfter is the delay after which a caller should retry a request for
+	// an identity whose owner does not answer.
 	unreachableRetryAfter = time.Second
-	// unknownRetryAfter is the same for an owner of which nobody here has
-	// heard: it has just started, or this process has.
+	// unknownRetryAfter is the same delay for an owner that no peer asked here knows:
+	// either the owner or this process has just started.
 	unknownRetryAfter = 100 * time.Millisecond
-	// askTimeout bounds the questions to peers on the way.
-	askTimeout = 300 * time.Millisecond
-	// watchEvery is how often the owners are looked at whose answers are
-	// awaited.
-	watchEvery = 250 * time.Millisecond
+	// peerQueryTimeout bounds the queries to peers that precede the answer to a caller.
+	peerQueryTimeout = 300 * time.Millisecond
+	// watchInterval is the interval at which the owners of in-flight calls are checked.
+	watchInterval = 250 * time.Millisecond
 )
 
-// forwarder brings a caller's request to the owner of its identity. It never
-// starts anything itself, and neither does a peer that it calls by mistake:
-// peers answer forwarded calls from their own tickets only, so a call can't go
-// in circles.
+// forwarder sends a caller's request to the owner of its identity. It never starts work
+// itself, and neither does a peer that it calls by mistake: peers answer forwarded calls
+// from their own tickets only, so that a call can't be forwarded in a loop.
 type forwarder struct {
 	log         *slog.Logger
 	meter       *meter.Meter
@@ -55,70 +53,73 @@
 	address     netip.AddrPort
 	seeds       []netip.AddrPort
 	now         func() time.Time
-	net         caller
+	net         peerClient
 	members     members
 	closedStore *job.ClosedStore
-	// stopping tells that this process is stopping.
+	// stopping reports whether this process is stopping.
 	stopping func() bool
 
-	// asking counts the questions to peers whose answers may no longer matter.
-	asking sync.WaitGroup
+	// pendingQueries counts the queries to peers that are still open, including those
+	// whose answers are no longer needed.
+	pendingQueries sync.WaitGroup
 
-	mu      sync.Mutex
-	waiting map[*awaited]struct{}
-	unheld  map[ticket.Owner]time.Time
+	mu       sync.Mutex
+	inFlight map[*inFlightCall]struct{}
+	// unheldAt holds, for each owner whose closed state no peer holds, when that was
+	// found.
+	unheldAt map[ticket.Owner]time.Time
 }
 
-// awaited is a call to an owner that has not been answered.
-type awaited struct {
+// inFlightCall is a call to an owner that has not been answered.
+type inFlightCall struct {
 	owner  ticket.Owner
 	cancel context.CancelCauseFunc
 }
 
-// question is a caller's request about an identity, as it goes to the owner.
-type question struct {
+// ownerQuery is a caller's request about an identity, to be sent to the owner.
+type ownerQuery struct {
 	caller string
 	id     ticket.JobID
-	// sum is the digest of a submission, 0 where there is no body.
-	sum    uint64
+	// digest is the digest of a submission, or 0 for a request without a body.
+	digest uint64
 	method string
 	params any
 }
 
-// forward asks the owner of an identity, or the holders of its closed state
-// once it has stopped. Whatever goes wrong on the way is "unknown": this
-// process can't know what the owner has done.
-func forward[R any](ctx context.Context, f *forwarder, q question, show func(job.Outcome) (R, error)) (R, error) {
-	var none R
-	at, failed := f.locate(ctx, q.id.Owner)
-	if failed == nil {
+// forward calls the owner of an identity or, once the owner has stopped, the holders of
+// its closed state. Any failure on the way means "unknown", because this process can't
+// know what the owner has done.
+func forward[R any](ctx context.Context, f *forwarder, q ownerQuery, convert func(job.Outcome) (R, error)) (R, error) {
+	var zero R
+	addr, refused := f.locate(ctx, q.id.Owner)
+	if refused == nil {
 		var out R
-		if failed = f.ask(ctx, at, q, &out); failed == nil {
+		if refused = f.callOwner(ctx, addr, q, &out); refused == nil {
 			return out, nil
 		}
-		if failed.Code != refusal.OwnerUnreachable && failed.Code != refusal.OwnerGone {
-			return none, failed
+		if refused.Code != refusal.OwnerUnreachable && refused.Code != refusal.OwnerGone {
+			return zero, refused
 		}
 	}
-	held, certain := f.held(ctx, q)
+	heldOutcome, conclusive := f.heldOutcome(ctx, q)
 	switch {
-	case held != nil:
-		return show(*held)
-	case failed.Code == refusal.OwnerGone && !certain:
+	case heldOutcome != nil:
+		return convert(*heldOutcome)
+	case refused.Code == refusal.OwnerGone && !conclusive:
 		// A holder that does not answer now may have the caller's answer.
-		return none, refusal.New(refusal.OwnerUnreachable, "it has stopped, and who holds its answers does not answer").After(unreachableRetryAfter)
+		return zero, refusal.New(refusal.OwnerUnreachable, "it has stopped, and who holds its answers does not answer").After(unreachableRetryAfter)
 	}
-	return none, failed
+	return zero, refused
 }
 
-// locate finds the owner's address.
+// locate returns the owner's address, or the refusal for an owner that can't be called.
 func (f *forwarder) locate(ctx context.Context, o ticket.Owner) (netip.AddrPort, *refusal.Refusal) {
 	k, ok := f.members.Find(f.now(), o)
 	switch {
 	case !ok && o.Precedes(f.self):
 		return k.Address, refusal.New(refusal.OwnerGone, "")
 	case !ok:
-		return f.search(ctx, o)
+		return f.searchPeers(ctx, o)
 	case k.State == roster.Gone:
 		return k.Address, refusal.New(refusal.OwnerGone, "")
 	case k.State == roster.Suspect:
@@ -127,21 +128,20 @@
 	return k.Address, nil
 }
 
-// found is a peer's answer about where an owner is.
-type found struct {
+// searchAnswer is a peer's answer to a search for an owner's address.
+type searchAnswer struct {
 	Known   bool           `json:"known"`
 	Gone    bool           `json:"gone,omitempty"`
 	Address netip.AddrPort `json:"address"`
 }
 
-// search asks peers about an owner that the roster here doesn't have. Without
-// it, a caller who takes a ticket from a process that has just started, and
-// submits over another one, waits for a Retry-After until a heartbeat has come
-// round.
-func (f *forwarder) search(ctx context.Context, o ticket.Owner) (netip.AddrPort, *refusal.Refusal) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// searchPeers asks peers for an owner that is missing from the local roster. Without it,
+// a caller that takes a ticket from a newly started process and submits through another
+// one would have to wait for a Retry-After until a heartbeat has announced the owner.
+func (f *forwarder) searchPeers(ctx context.Context, o ticket.Owner) (netip.AddrPort, *refusal.Refusal) {
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
-	answers := gather[found](ctx, f, f.near(o, searchWidth), methodFind, o)
+	answers := callPeers[searchAnswer](ctx, f, f.responsiblePeers(o, searchWidth), methodFind, o)
 	for a := range answers {
 		switch {
 		case a.err != nil || !a.value.Known:
@@ -154,45 +154,47 @@
 	return netip.AddrPort{}, refusal.New(refusal.OwnerUnreachable, "not known here").After(unknownRetryAfter)
 }
 
-// find answers a peer's search.
-func (f *forwarder) find(_ context.Context, o ticket.Owner) (found, error) {
+// answerSearch handles a peer's search for an owner.
+func (f *forwarder) answerSearch(_ context.Context, o ticket.Owner) (searchAnswer, error) {
 	if o == f.self {
-		return found{Known: true, Address: f.address}, nil
+		return searchAnswer{Known: true, Address: f.address}, nil
 	}
 	k, ok := f.members.Find(f.now(), o)
-	return found{Known: ok && k.State != roster.Suspect, Gone: k.State == roster.Gone, Address: k.Address}, nil
+	return searchAnswer{Known: ok && k.State != roster.Suspect, Gone: k.State == roster.Gone, Address: k.Address}, nil
 }
 
-// ask calls the owner, and gives up when the roster loses it meanwhile: a
-// frozen or cut-off owner would else keep the caller waiting without an answer.
-func (f *forwarder) ask(ctx context.Context, at netip.AddrPort, q question, out any) *refusal.Refusal {
+// callOwner calls the owner, and gives up if the roster reports the owner as suspect or
+// gone meanwhile: otherwise a suspended or cut-off owner would keep the caller waiting
+// without an answer.
+func (f *forwarder) callOwner(ctx context.Context, addr netip.AddrPort, q ownerQuery, out any) *refusal.Refusal {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	w := &awaited{owner: q.id.Owner, cancel: cancel}
+	call := &inFlightCall{owner: q.id.Owner, cancel: cancel}
 	f.mu.Lock()
-	f.waiting[w] = struct{}{}
+	f.inFlight[call] = struct{}{}
 	f.mu.Unlock()
 	f.meter.Count(meter.Forwards, 1)
-	err := f.net.Call(ctx, at, q.method, q.params, out)
+	err := f.net.Call(ctx, addr, q.method, q.params, out)
 	f.mu.Lock()
-	delete(f.waiting, w)
+	delete(f.inFlight, call)
 	f.mu.Unlock()
 	if err == nil {
 		return nil
 	}
-	if r := given(err); r != nil {
+	if r := refusalFrom(err); r != nil {
 		return r
 	}
 	f.meter.Count(meter.ForwardsFailed, 1)
 	event.JobForwardFailed.Log(f.log, "owner", q.id.ID, "error", err)
-	if r := given(context.Cause(ctx)); r != nil {
+	if r := refusalFrom(context.Cause(ctx)); r != nil {
 		return r
 	}
 	return refusal.New(refusal.OwnerUnreachable, "").After(unreachableRetryAfter)
 }
 
-// given returns the refusal in an error, or the one that a peer answered.
-func given(err error) *refusal.Refusal {
+// refusalFrom returns the refusal in err, or the refusal that a peer answered. It returns
+// nil if err has neither.
+func refusalFrom(err error) *refusal.Refusal {
 	var r *refusal.Refusal
 	if errors.As(err, &r) {
 		return r
@@ -207,42 +209,42 @@
 	return nil
 }
 
-// watch ends the calls to owners that are no longer live. It runs each
-// watchEvery.
-func (f *forwarder) watch(now time.Time) {
+// cancelLostCalls cancels the calls to owners that have become suspect or gone. It runs
+// every watchInterval.
+func (f *forwarder) cancelLostCalls(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for w := range f.waiting {
-		k, ok := f.members.Find(now, w.owner)
+	for call := range f.inFlight {
+		k, ok := f.members.Find(now, call.owner)
 		switch {
 		case ok && k.State == roster.Gone:
-			w.cancel(refusal.New(refusal.OwnerGone, ""))
+			call.cancel(refusal.New(refusal.OwnerGone, ""))
 		case ok && k.State == roster.Suspect:
-			w.cancel(refusal.New(refusal.OwnerUnreachable, "").After(unreachableRetryAfter))
+			call.cancel(refusal.New(refusal.OwnerUnreachable, "").After(unreachableRetryAfter))
 		}
 	}
 }
 
-// reply is one peer's answer to a question that went to several.
-type reply[R any] struct {
+// peerReply is one peer's reply to a query that was sent to several.
+type peerReply[R any] struct {
 	value R
 	err   error
 }
 
-// gather asks all peers at once; the channel closes after the last answer.
-func gather[R any](ctx context.Context, f *forwarder, peers []netip.AddrPort, method string, params any) <-chan reply[R] {
-	out := make(chan reply[R], len(peers))
+// callPeers calls all peers concurrently and closes the channel after the last reply.
+func callPeers[R any](ctx context.Context, f *forwarder, peers []netip.AddrPort, method string, params any) <-chan peerReply[R] {
+	out := make(chan peerReply[R], len(peers))
 	var wg sync.WaitGroup
 	for _, p := range peers {
 		wg.Add(1)
-		f.asking.Go(func() {
+		f.pendingQueries.Go(func() {
 			defer wg.Done()
-			var r reply[R]
+			var r peerReply[R]
 			r.err = f.net.Call(ctx, p, method, params, &r.value)
 			out <- r
 		})
 	}
-	f.asking.Go(func() {
+	f.pendingQueries.Go(func() {
 		wg.Wait()
 		close(out)
 	})
--- a/hub/gauges.go
+++ b/hub/gauges.go
@@ -9,25 +9,26 @@
 	"snipehub.example/roster"
 )
 
-const gaugeEvery = time.Second
+const gaugeInterval = time.Second
 
-// bound is a limit of memory: a gauge of what is there, and a count of how
-// often the limit was reached, whose growth is logged.
-type bound struct {
-	gauge meter.Name
-	event event.ID
-	seen  int64
+// memoryLimit reports on a limit of memory: it sets a gauge of the current use, and logs
+// an event when the limit was reached since the last update. lastReached is the count at
+// that update.
+type memoryLimit struct {
+	gauge       meter.Name
+	event       event.ID
+	lastReached int64
 }
 
-// gauges keeps the metrics of what is remembered for callers, and logs when a
-// limit is reached.
-func (h *Hub) gauges(ctx context.Context) error {
-	sub := h.clock.Subscribe(gaugeEvery)
+// updateGauges updates the metrics of what is stored for callers, and logs when a limit
+// was reached.
+func (h *Hub) updateGauges(ctx context.Context) error {
+	sub := h.clock.Subscribe(gaugeInterval)
 	defer sub.Stop()
-	answers := &bound{gauge: meter.KeptAnswerBytes, event: event.AnswersEvicted}
-	tickets := &bound{gauge: meter.Tickets, event: event.TicketsFull}
-	held := &bound{gauge: meter.HeldBytes, event: event.HeldAnswersDropped}
-	keys := &bound{gauge: meter.Claims, event: event.ClaimsEvicted}
+	answers := &memoryLimit{gauge: meter.KeptAnswerBytes, event: event.AnswersEvicted}
+	tickets := &memoryLimit{gauge: meter.Tickets, event: event.TicketsFull}
+	held := &memoryLimit{gauge: meter.HeldBytes, event: event.HeldAnswersDropped}
+	keys := &memoryLimit{gauge: meter.Claims, event: event.ClaimsEvicted}
 	for {
 		select {
 		case <-ctx.Done():
@@ -37,20 +38,20 @@
 		s := h.owner.Stats()
 		h.meter.Gauge(meter.RunningJobs, float64(s.Running))
 		h.meter.Gauge(meter.KeptAnswers, float64(s.Kept))
-		h.observe(answers, s.KeptBytes, s.EvictedAnswers)
-		h.observe(tickets, s.Tickets, s.RefusedTickets+s.RetiredTickets)
+		h.updateLimit(answers, s.KeptBytes, s.EvictedAnswers)
+		h.updateLimit(tickets, s.Tickets, s.RefusedTickets+s.RetiredTickets)
 		claims, pending, evicted := h.claims.Stats()
 		h.meter.Gauge(meter.PendingKeys, float64(pending))
-		h.observe(keys, int64(claims), evicted)
+		h.updateLimit(keys, int64(claims), evicted)
 		bytes, dropped := h.fwd.closedStore.Stats()
-		h.observe(held, bytes, dropped)
+		h.updateLimit(held, bytes, dropped)
 		h.meter.Gauge(meter.Windows, float64(s.Tickets*int64(h.cfg.Limits.TicketWindow)))
-		h.observeOthers()
+		h.updateClusterGauges()
 	}
 }
 
-// observeOthers keeps the metrics of the tables and of the other dispatchers.
-func (h *Hub) observeOthers() {
+// updateClusterGauges updates the metrics of the tables and of the other dispatchers.
+func (h *Hub) updateClusterGauges() {
 	now := h.clock.Now()
 	h.meter.Gauge(meter.TablesVersion, float64(h.tables.State().Version))
 	h.meter.Gauge(meter.TablesAge, now.Sub(h.tables.Confirmed()).Seconds())
@@ -67,10 +68,10 @@
 	h.meter.Gauge(meter.MembersSuspect, float64(suspect))
 }
 
-func (h *Hub) observe(b *bound, value, reached int64) {
+func (h *Hub) updateLimit(b *memoryLimit, value, reached int64) {
 	h.meter.Gauge(b.gauge, float64(value))
-	if reached > b.seen {
-		b.event.Log(h.log, "times", reached-b.seen)
+	if reached > b.lastReached {
+		b.event.Log(h.log, "times", reached-b.lastReached)
 	}
-	b.seen = reached
+	b.lastReached = reached
 }
--- a/hub/gauges_test.go
+++ b/hub/gauges_test.go
@@ -11,16 +11,16 @@
 	"snipehub.example/meter"
 )
 
-// A limit of memory is reached three times and then no more. The operator sees
-// the gauge, and one log line with the event's number, not one each second.
+// A memory limit is reached three times and then no more. The metrics must show the
+// gauge, and the log a single line with the event's number instead of one per second.
 func TestBoundIsLoggedWhenReached(t *testing.T) {
 	var out bytes.Buffer
 	m := meter.New(100, func() {})
 	defer m.Close()
 	h := &Hub{log: slog.New(slog.NewTextHandler(&out, nil)), meter: m}
-	b := &bound{gauge: "kept_bytes", event: event.AnswersEvicted}
+	b := &memoryLimit{gauge: "kept_bytes", event: event.AnswersEvicted}
 	for _, reached := range []int64{0, 3, 3} {
-		h.observe(b, 77, reached)
+		h.updateLimit(b, 77, reached)
 	}
 	if got := out.String(); strings.Count(got, "event=402") != 1 || !strings.Contains(got, "times=3") {
 		t.Errorf("logged %q", got)
--- a/hub/handoff.go
+++ b/hub/handoff.go
@@ -17,135 +17,138 @@
 )
 
 const (
-	// holderCount is how many peers get the closed state of a process that
-	// stops.
+	// holderCount is the number of peers that receive the closed state of a stopping
+	// process.
 	holderCount = 2
-	// searchWidth is how many peers are asked who may hold it, or who may know
-	// where an owner is. It is larger than holderCount, because members may
-	// have come since the hand-over.
+	// searchWidth is the number of peers that are asked for a closed state that they may
+	// hold, or for an owner's address. It is larger than holderCount because members may
+	// have joined since the transfer.
 	searchWidth = 4
-	// unheldFor is how long the answer that nobody holds a state is believed.
-	unheldFor = time.Second
-	// unheldMax bounds the memory of such answers.
-	unheldMax = 1024
+	// unheldTTL is how long the result that no peer holds a closed state is cached.
+	unheldTTL = time.Second
+	// maxUnheld bounds the memory of that cache.
+	maxUnheld = 1024
 )
 
-// near returns up to n peers that are responsible for an owner: those of its
-// data centre that are live, in the order of a hash over the pair, so that
-// whoever stops and whoever searches come to the same ones without asking.
-// Without such peers it falls back to any peer, and to the seeds.
-func (f *forwarder) near(o ticket.Owner, n int) []netip.AddrPort {
+// responsiblePeers returns the addresses of up to n peers that are responsible for an
+// owner. These are the live and leaving members of the owner's data centre, ordered by a
+// hash of owner and member, so that the process that stops and the one that searches
+// select the same peers without communicating. If there are none it falls back to members
+// of any data centre, then to the seeds.
+func (f *forwarder) responsiblePeers(o ticket.Owner, n int) []netip.AddrPort {
 	all := f.members.All(f.now())
-	pick := ranked(o, all, func(k roster.Known) bool { return k.Owner.DataCenter == o.DataCenter })
-	if len(pick) == 0 {
-		pick = ranked(o, all, func(roster.Known) bool { return true })
+	peers := rankPeers(o, all, func(k roster.Known) bool { return k.Owner.DataCenter == o.DataCenter })
+	if len(peers) == 0 {
+		peers = rankPeers(o, all, func(roster.Known) bool { return true })
 	}
-	if len(pick) == 0 {
+	if len(peers) == 0 {
 		for _, a := range f.seeds {
 			if a != f.address {
-				pick = append(pick, a)
+				peers = append(peers, a)
 			}
 		}
 	}
-	return pick[:min(n, len(pick))]
+	return peers[:min(n, len(peers))]
 }
 
-func ranked(o ticket.Owner, all []roster.Known, may func(roster.Known) bool) []netip.AddrPort {
+// rankPeers returns the addresses of the live or leaving members that are eligible, other
+// than the owner itself, with the highest score first.
+func rankPeers(o ticket.Owner, all []roster.Known, eligible func(roster.Known) bool) []netip.AddrPort {
 	type scored struct {
-		at    netip.AddrPort
+		addr  netip.AddrPort
 		score uint64
 	}
 	var s []scored
 	for _, k := range all {
-		if k.Owner != o && (k.State == roster.Live || k.State == roster.Leaving) && may(k) {
+		if k.Owner != o && (k.State == roster.Live || k.State == roster.Leaving) && eligible(k) {
 			s = append(s, scored{k.Address, score(o, k.Owner)})
 		}
 	}
 	slices.SortFunc(s, func(a, b scored) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), a.at.Compare(b.at))
+		return cmp.Or(cmp.Compare(b.score, a.score), a.addr.Compare(b.addr))
 	})
 	out := make([]netip.AddrPort, len(s))
 	for i := range s {
-		out[i] = s[i].at
+		out[i] = s[i].addr
 	}
 	return out
 }
 
-// score is the weight of a member for an owner.
+// score returns the rendezvous hash of an owner and a member.
 func score(o, member ticket.Owner) uint64 {
 	return xxhash.Sum64String(ticket.ID{Owner: o}.String() + "/" + ticket.ID{Owner: member}.String())
 }
 
-// heldQuestion asks a holder about an identity.
-type heldQuestion struct {
+// heldQuery asks a peer for the outcome of an identity in the closed state that it holds.
+type heldQuery struct {
 	Caller string       `json:"caller"`
 	ID     ticket.JobID `json:"id"`
-	Sum    uint64       `json:"sum,omitempty"`
+	Digest uint64       `json:"sum,omitempty"`
 }
 
-// heldAnswer is a holder's answer; Outcome counts only when Held.
+// heldAnswer is the reply to a heldQuery. Outcome is valid only if Held is set.
 type heldAnswer struct {
 	Held    bool        `json:"held"`
 	Outcome job.Outcome `json:"outcome"`
 }
 
-// held asks for the closed state of an identity's owner, here and at the peers
-// that may hold it. Without an outcome, certain tells that all were asked and
-// none holds it.
-func (f *forwarder) held(ctx context.Context, q question) (out *job.Outcome, certain bool) {
-	if o, ok := f.closedStore.Answer(q.caller, q.id, q.sum); ok {
+// heldOutcome looks for an identity's outcome in the closed state of its owner, in this
+// process and then at the peers that may hold that state. If there is no outcome,
+// conclusive reports whether all of these peers answered that they do not hold it.
+func (f *forwarder) heldOutcome(ctx context.Context, q ownerQuery) (out *job.Outcome, conclusive bool) {
+	if o, ok := f.closedStore.Answer(q.caller, q.id, q.digest); ok {
 		return &o, true
 	}
-	if f.knownUnheld(q.id.Owner) {
+	if f.isKnownUnheld(q.id.Owner) {
 		return nil, true
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
-	peers := f.near(q.id.Owner, searchWidth)
-	certain = len(peers) > 0 || len(f.members.All(f.now())) == 0
-	for a := range gather[heldAnswer](ctx, f, peers, methodHeld, heldQuestion{q.caller, q.id, q.sum}) {
+	peers := f.responsiblePeers(q.id.Owner, searchWidth)
+	conclusive = len(peers) > 0 || len(f.members.All(f.now())) == 0
+	for a := range callPeers[heldAnswer](ctx, f, peers, methodHeld, heldQuery{q.caller, q.id, q.digest}) {
 		switch {
 		case a.err != nil:
-			certain = false
+			conclusive = false
 		case a.value.Held:
 			return &a.value.Outcome, true
 		}
 	}
-	if certain {
-		f.noteUnheld(q.id.Owner)
+	if conclusive {
+		f.recordUnheld(q.id.Owner)
 	}
-	return nil, certain
+	return nil, conclusive
 }
 
-func (f *forwarder) knownUnheld(o ticket.Owner) bool {
+func (f *forwarder) isKnownUnheld(o ticket.Owner) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, ok := f.unheld[o]
-	return ok && f.now().Sub(at) < unheldFor
+	at, ok := f.unheldAt[o]
+	return ok && f.now().Sub(at) < unheldTTL
 }
 
-func (f *forwarder) noteUnheld(o ticket.Owner) {
+func (f *forwarder) recordUnheld(o ticket.Owner) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.unheld) >= unheldMax {
-		clear(f.unheld)
+	if len(f.unheldAt) >= maxUnheld {
+		clear(f.unheldAt)
 	}
-	f.unheld[o] = f.now()
+	f.unheldAt[o] = f.now()
 }
 
-// answerHeld answers a peer's question to the holder.
-func (f *forwarder) answerHeld(_ context.Context, q heldQuestion) (heldAnswer, error) {
-	o, ok := f.closedStore.Answer(q.Caller, q.ID, q.Sum)
+// answerHeld handles a peer's heldQuery.
+func (f *forwarder) answerHeld(_ context.Context, q heldQuery) (heldAnswer, error) {
+	o, ok := f.closedStore.Answer(q.Caller, q.ID, q.Digest)
 	return heldAnswer{Held: ok, Outcome: o}, nil
 }
 
-// errStopping is the answer of a process that can't hold a closed state.
+// errStopping is returned to a peer when this process is stopping and can't hold state.
 var errStopping = errors.New("hub: stopping")
 
-// hold takes a part of a closed state. A process that stops too refuses, so
-// that the giver finds another: of two that stop at once and hold each other's
-// state, nothing would be left.
-func (f *forwarder) hold(_ context.Context, c job.ClosedPart) (struct{}, error) {
+// holdPart stores a part of a peer's closed state. A process that is itself stopping
+// refuses, so that the sender finds another holder: if two processes that stop at the
+// same time held each other's state, nothing would be left of either.
+func (f *forwarder) holdPart(_ context.Context, c job.ClosedPart) (struct{}, error) {
 	if f.stopping() {
 		return struct{}{}, errStopping
 	}
@@ -153,45 +156,45 @@
 	return struct{}{}, nil
 }
 
-// handOver gives the closed states to peers: this process's own, and those
-// that it holds of others. Without it every answer that a caller has not yet
-// fetched is lost at each planned stop, and the caller is told "outcome
-// unknown" of orders that were done.
-func (f *forwarder) handOver(ctx context.Context, parts []job.ClosedPart) {
-	short := make(map[ticket.Owner]int)
-	silent := make(map[netip.AddrPort]bool)
+// transferClosed transfers closed state to peers, both this process's own and what it
+// holds for others. Without the transfer, each planned stop would lose all answers that
+// callers have not yet fetched, and those callers would be told "outcome unknown" about
+// orders that were done.
+func (f *forwarder) transferClosed(ctx context.Context, parts []job.ClosedPart) {
+	underReplicated := make(map[ticket.Owner]int)
+	unresponsive := make(map[netip.AddrPort]bool)
 	for _, p := range parts {
-		if f.handPart(ctx, p, silent) < holderCount {
-			short[p.Owner] += len(p.Tickets)
+		if f.transferPart(ctx, p, unresponsive) < holderCount {
+			underReplicated[p.Owner] += len(p.Tickets)
 		}
 	}
-	for o, n := range short {
+	for o, n := range underReplicated {
 		event.HandoverFailed.Log(f.log, "owner", ticket.ID{Owner: o}, "tickets", n)
 	}
 }
 
-// handPart gives one part to peers until enough of them hold it, and returns
-// how many do. A peer that fails once is not tried with the next part: a frozen
-// one would else use up the time that the stop has.
-func (f *forwarder) handPart(ctx context.Context, p job.ClosedPart, silent map[netip.AddrPort]bool) int {
+// transferPart sends one part to peers until holderCount of them hold it, and returns the
+// number that do. A peer that fails once is not tried for later parts: a suspended peer
+// would otherwise use up the time left for the stop.
+func (f *forwarder) transferPart(ctx context.Context, p job.ClosedPart, unresponsive map[netip.AddrPort]bool) int {
 	n := 0
-	for _, at := range f.near(p.Owner, searchWidth) {
+	for _, addr := range f.responsiblePeers(p.Owner, searchWidth) {
 		switch {
-		case n == holderCount || silent[at]:
-		case f.give(ctx, at, p):
+		case n == holderCount || unresponsive[addr]:
+		case f.sendPart(ctx, addr, p):
 			n++
 		default:
-			silent[at] = true
+			unresponsive[addr] = true
 		}
 	}
 	return n
 }
 
-const giveTimeout = 2 * time.Second
+const sendPartTimeout = 2 * time.Second
 
-func (f *forwarder) give(ctx context.Context, at netip.AddrPort, p job.ClosedPart) bool {
-	ctx, cancel := context.WithTimeout(ctx, giveTimeout)
+func (f *forwarder) sendPart(ctx context.Context, addr netip.AddrPort, p job.ClosedPart) bool {
+	ctx, cancel := context.WithTimeout(ctx, sendPartTimeout)
 	defer cancel()
-	var none struct{}
-	return f.net.Call(ctx, at, methodHold, p, &none) == nil
+	var empty struct{}
+	return f.net.Call(ctx, addr, methodHold, p, &empty) == nil
 }
--- a/hub/hub.go
+++ b/hub/hub.go
@@ -1,5 +1,5 @@
-// Package hub assembles a dispatcher process out of its parts, under one
-// supervisor tree, and carries its planned stop.
+// Package hub assembles the parts of a dispatcher process under one supervisor tree and
+// performs its planned stop.
 package hub
 
 import (
@@ -33,47 +33,48 @@
 
 // Hub is one dispatcher process.
 type Hub struct {
-	cfg    settings.Config
-	net    Network
-	log    *slog.Logger
-	self   ticket.Owner
-	clock  *clock.Service
-	meter  *meter.Meter
-	tables *tables.Follower
-	roster *roster.Roster
-	dialer *peer.Dialer
-	peers  *peer.Server
-	place  *dispatch.Dispatcher
-	guests *handover.Receiver
-	owner  *job.Owner
-	fwd    *forwarder
-	desk   *desk
-	claims *claim.Claimer
-	http   *http.Server
-	ln     listeners
-	certs  *certificate.Set
+	cfg        settings.Config
+	net        Network
+	log        *slog.Logger
+	self       ticket.Owner
+	clock      *clock.Service
+	meter      *meter.Meter
+	tables     *tables.Follower
+	roster     *roster.Roster
+	dialer     *peer.Dialer
+	peers      *peer.Server
+	dispatcher *dispatch.Dispatcher
+	handovers  *handover.Receiver
+	owner      *job.Owner
+	fwd        *forwarder
+	jobService *jobService
+	claims     *claim.Claimer
+	http       *http.Server
+	ln         listeners
+	certs      *certificate.Set
 
 	ledger   countedLog
-	platform *platform
+	knownVMs *knownVMs
 	stopping atomic.Bool
-	// fetching is set while the tables are fetched from a peer.
-	fetching atomic.Bool
-	// allowed is the last answer to whether work may be placed, cutOffOK
-	// whether it may be although the tables are not confirmed.
-	allowed, cutOffOK atomic.Bool
+	// fetchingTables is set while the tables are being fetched from a peer.
+	fetchingTables atomic.Bool
+	// placingAllowed is the latest result of the check whether this process may place
+	// work. placingAllowedUnconfirmed is set if it may place work although its tables
+	// have not been confirmed within the settle time.
+	placingAllowed, placingAllowedUnconfirmed atomic.Bool
 }
 
-// Network is the way to listen and to connect. Tests put one in memory in its
-// place, to run several dispatchers on a fake clock.
+// Network opens listeners and connections. Tests substitute an in-memory network, so that
+// several dispatchers run on a fake clock.
 type Network interface {
 	Listen(network, addr string) (net.Listener, error)
 	DialContext(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// dialTimeout bounds the opening of a connection.
+// dialTimeout bounds how long opening a connection may take.
 const dialTimeout = time.Second
 
-// TCP is the network of the operating system.
+// TCP is the operating system's network.
 type TCP struct{}
 
 // Listen listens on a TCP address.
@@ -86,17 +87,17 @@
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 }
 
-// New binds the addresses of the settings and makes the parts.
+// New binds the addresses in cfg and creates the parts of the process.
 func New(cfg settings.Config, log *slog.Logger, nw Network) (*Hub, error) {
 	certs, err := certificate.Load(cfg.TLS)
 	if err != nil {
 		return nil, err
 	}
-	ln, err := bind(cfg.Listen, nw)
+	ln, err := listenAll(cfg.Listen, nw)
 	if err != nil {
 		return nil, err
 	}
-	ln.secure(certs)
+	ln.enableTLS(certs)
 	h := &Hub{
 		cfg:   cfg,
 		net:   nw,
@@ -120,8 +121,8 @@
 	cfg := h.cfg
 	h.ledger = countedLog{ledger.New(cfg.Platform.Log, cfg.Platform.VMs, cfg.Platform.Timeout.D(), h.net.DialContext), h.meter}
 	h.tables = h.newTables()
-	h.platform = newPlatform(cfg.Peers)
-	h.place = h.placing()
+	h.knownVMs = newKnownVMs(cfg.Peers)
+	h.dispatcher = h.newDispatcher()
 	h.owner = job.New(h.self, gate{h}, job.Limits{
 		Tickets:         cfg.Limits.Tickets,
 		Range:           cfg.Limits.TicketRange,
@@ -140,12 +141,12 @@
 		address:     cfg.Listen.Peers,
 		seeds:       cfg.Peers.Seeds,
 		now:         h.clock.Now,
-		net:         dialed{h.dialer},
+		net:         dialerClient{h.dialer},
 		members:     h.roster,
 		closedStore: job.NewClosedStore(cfg.Limits.HeldBytes, cfg.Limits.KeptAnswerFor.D(), h.clock.Now),
 		stopping:    h.stopping.Load,
-		waiting:     make(map[*awaited]struct{}),
-		unheld:      make(map[ticket.Owner]time.Time),
+		inFlight:    make(map[*inFlightCall]struct{}),
+		unheldAt:    make(map[ticket.Owner]time.Time),
 	}
 	h.claims = claim.New(claim.Config{
 		Claims:         cfg.Limits.Claims,
@@ -153,19 +154,20 @@
 		Skew:           cfg.Limits.KeySkew.D(),
 		LogTimeout:     cfg.Platform.Timeout.D(),
 		MarkerInterval: markerInterval,
-	}, h.ledger, h.clock.Now, h.appendShare, h.owner.Reserve)
-	h.desk = &desk{self: h.self, owner: h.owner, fwd: h.fwd, keys: h.claims, tables: h.tables.State}
-	h.handlePeers()
-	h.handOver()
-	h.http = counter.NewServer(cfg.Limits, counter.New(h.log, cfg, callerService{h.desk, h}, h.meter))
+	}, h.ledger, h.clock.Now, h.appendRateShare, h.owner.Reserve)
+	h.jobService = &jobService{self: h.self, owner: h.owner, fwd: h.fwd, keys: h.claims, tables: h.tables.State}
+	h.registerPeerMethods()
+	h.setUpHandover()
+	h.http = counter.NewServer(cfg.Limits, counter.New(h.log, cfg, callerService{h.jobService, h}, h.meter))
 }
 
-// Addr returns the address that callers are served at.
+// Addr returns the address on which callers are served.
 func (h *Hub) Addr() netip.AddrPort {
 	return h.ln.callers.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Run serves until ctx ends, then stops without cutting what is in flight.
+// Run serves until ctx ends, then performs a planned stop that lets the requests in
+// flight complete within the stop deadline.
 func (h *Hub) Run(ctx context.Context) error {
 	root, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -182,25 +184,26 @@
 	return nil
 }
 
-// stop ends the callers' requests first and the parts that they need last.
+// stop ends the callers' requests first, and last the parts that those requests depend
+// on.
 func (h *Hub) stop() {
 	event.ProcessStopping.Log(h.log)
 	h.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), h.cfg.Limits.StopDeadline.D())
 	defer cancel()
-	h.guests.Stop()
-	h.finish(ctx)
-	h.fwd.handOver(ctx, append(h.owner.ClosedParts(h.cfg.Limits.HandoffBytes), h.fwd.closedStore.ClosedParts()...))
+	h.handovers.Stop()
+	h.finishJobs(ctx)
+	h.fwd.transferClosed(ctx, append(h.owner.ClosedParts(h.cfg.Limits.HandoffBytes), h.fwd.closedStore.ClosedParts()...))
 	_ = h.http.Shutdown(ctx)
-	h.guests.Drain(ctx)
+	h.handovers.Drain(ctx)
 	h.peers.Drain(ctx)
 }
 
-// finish waits for what runs, for at most three quarters of the stop deadline.
-// The rest is for handing over: a job on a hung backend server would else use
-// up the deadline, and every other caller would lose the answers that were not
-// yet fetched.
-func (h *Hub) finish(ctx context.Context) {
+// finishJobs waits for running jobs, for at most three quarters of the stop deadline. The
+// remainder is for transferring closed state: otherwise a job on a hung backend server
+// would use up the deadline, and all other callers would lose the answers that they have
+// not yet fetched.
+func (h *Hub) finishJobs(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.Limits.StopDeadline.D()*3/4)
 	defer cancel()
 	_ = h.owner.Stop(ctx)
@@ -217,40 +220,40 @@
 	})
 	root.Add(h.clock)
 	root.Add(h.tables)
-	root.Add(h.place)
+	root.Add(h.dispatcher)
 	root.Add(h.peers)
-	root.Add(service("snapshots", h.snapshots))
-	root.Add(service("VM list", h.watchVMs))
-	root.Add(service("standing", h.watchStanding))
-	root.Add(service("heartbeat", h.heartbeat))
-	root.Add(service("callers", h.serveHTTP))
-	root.Add(service("forwards", h.watchForwards))
-	root.Add(service("gauges", h.gauges))
+	root.Add(newService("snapshots", h.appendSnapshots))
+	root.Add(newService("VM list", h.watchVMs))
+	root.Add(newService("standing", h.watchPlacement))
+	root.Add(newService("heartbeat", h.runHeartbeats))
+	root.Add(newService("callers", h.serveHTTP))
+	root.Add(newService("forwards", h.watchForwards))
+	root.Add(newService("gauges", h.updateGauges))
 	if !h.certs.Expires().IsZero() {
-		root.Add(service("certificates", h.refreshKeys))
+		root.Add(newService("certificates", h.refreshCertificates))
 	}
 	if h.ln.operators != nil {
-		root.Add(service("operators", h.serveOperators))
+		root.Add(newService("operators", h.serveOperators))
 	}
-	root.Add(service("claim reads", h.claims.ServeReads))
-	root.Add(service("claim appends", h.claims.ServeAppends))
+	root.Add(newService("claim reads", h.claims.ServeReads))
+	root.Add(newService("claim appends", h.claims.ServeAppends))
 	return root
 }
 
-// namedService makes a function a suture service with a name in the logs.
+// namedService adapts a function to suture.Service and gives it a name in the logs.
 type namedService struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
-func service(name string, run func(ctx context.Context) error) suture.Service {
+func newService(name string, run func(ctx context.Context) error) suture.Service {
 	return namedService{name, run}
 }
 
 // Serve runs the function.
 func (s namedService) Serve(ctx context.Context) error { return s.run(ctx) }
 
-// String names the service.
+// String returns the name of the service.
 func (s namedService) String() string { return s.name }
 
 func (h *Hub) serveHTTP(ctx context.Context) error {
@@ -262,26 +265,27 @@
 	return err
 }
 
-// callerService is what stands behind the counter.
+// callerService is the backend of the HTTP API for callers.
 type callerService struct {
-	*desk
+	*jobService
 	*Hub
 }
 
-func (h *Hub) handlePeers() {
-	h.handleMembers()
+func (h *Hub) registerPeerMethods() {
+	h.registerMemberMethods()
 	peer.Handle(h.peers, methodStatus, func(context.Context, struct{}) (Status, error) {
 		return h.status(), nil
 	})
-	h.desk.handle(h.peers)
+	h.jobService.registerMethods(h.peers)
 }
 
-// markerInterval is how old the newest claim on the log may get; see claim.Config.
+// markerInterval is the age of the newest claim in the log at which a marker is due; see
+// claim.Config.
 const markerInterval = time.Minute
 
-// appendShare is this process's part of the append rate: all dispatchers that
-// are not gone share it alike.
-func (h *Hub) appendShare() float64 {
+// appendRateShare returns this process's share of the append rate, which is divided
+// equally among the dispatchers that are not gone.
+func (h *Hub) appendRateShare() float64 {
 	n := 1
 	for _, k := range h.roster.All(h.clock.Now()) {
 		if k.State != roster.Gone {
@@ -292,14 +296,14 @@
 }
 
 func (h *Hub) watchForwards(ctx context.Context) error {
-	return h.each(ctx, watchEvery, func(now time.Time) error {
-		h.fwd.watch(now)
+	return h.runEvery(ctx, watchInterval, func(now time.Time) error {
+		h.fwd.cancelLostCalls(now)
 		return nil
 	})
 }
 
-// each calls do once a period, until it fails or ctx ends.
-func (h *Hub) each(ctx context.Context, period time.Duration, do func(now time.Time) error) error {
+// runEvery calls fn once per period until fn fails or ctx ends.
+func (h *Hub) runEvery(ctx context.Context, period time.Duration, fn func(now time.Time) error) error {
 	sub := h.clock.Subscribe(period)
 	defer sub.Stop()
 	for {
@@ -307,14 +311,14 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-sub.C:
-			if err := do(now); err != nil {
+			if err := fn(now); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// Ready tells whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers to this process.
 func (h *Hub) Ready() bool {
 	return !h.stopping.Load() && h.tables.State().Version != ledger.None && h.mayPlace(h.clock.Now()) && h.claims.Ready()
 }
--- a/hub/listen.go
+++ b/hub/listen.go
@@ -11,14 +11,14 @@
 	"snipehub.example/settings"
 )
 
-// listeners are the addresses that a process serves. operators is nil when the
-// settings name none for them.
+// listeners are the listeners of a process. operators is nil if the settings contain no
+// address for operators.
 type listeners struct {
 	callers, peers, operators net.Listener
 }
 
-// bind listens on all addresses or on none.
-func bind(cfg settings.Listen, nw Network) (listeners, error) {
+// listenAll listens on all configured addresses, or on none if one of them fails.
+func listenAll(cfg settings.Listen, nw Network) (listeners, error) {
 	var l listeners
 	for _, b := range []struct {
 		key  string
@@ -42,9 +42,9 @@
 	return l, nil
 }
 
-// secure puts TLS on the addresses that have certificates. The operators'
-// address shows the callers' one.
-func (l *listeners) secure(certs *certificate.Set) {
+// enableTLS wraps the listeners for which there are certificates. The listener for
+// operators uses the certificate of the one for callers.
+func (l *listeners) enableTLS(certs *certificate.Set) {
 	if cfg := certs.Callers(); cfg != nil {
 		l.callers = tls.NewListener(l.callers, cfg)
 		if l.operators != nil {
--- a/hub/log.go
+++ b/hub/log.go
@@ -15,13 +15,13 @@
 	m *meter.Meter
 }
 
-// Read counts the read and makes it.
+// Read counts and performs a read.
 func (l countedLog) Read(ctx context.Context, stream string, from ledger.Offset, wait time.Duration) (ledger.Page, error) {
 	l.m.Count(meter.LogReads, 1)
 	return l.Client.Read(ctx, stream, from, wait)
 }
 
-// Append counts the append if it is of claims, and makes it.
+// Append performs an append, and counts it if it is to the stream of claims.
 func (l countedLog) Append(ctx context.Context, stream string, data []byte) (ledger.Offset, error) {
 	if stream == claim.Stream {
 		l.m.Count(meter.ClaimsAppends, 1)
--- a/hub/members.go
+++ b/hub/members.go
@@ -13,7 +13,7 @@
 	"snipehub.example/tables"
 )
 
-// methodTables asks a peer for the tables.
+// methodTables fetches the tables from a peer.
 const methodTables = "tables"
 
 func (h *Hub) newRoster() *roster.Roster {
@@ -26,21 +26,21 @@
 		News:         p.News,
 	}
 	rnd := rand.New(rand.NewPCG(h.self.Incarnation, 1))
-	return roster.New(h.member(), cfg, rnd, h.describe, h.memberChanged)
+	return roster.New(h.selfMember(), cfg, rnd, h.fillHeartbeat, h.logMemberChange)
 }
 
-// describe fills in what a heartbeat tells of this process.
-func (h *Hub) describe(now time.Time, m *roster.Member) {
+// fillHeartbeat sets the fields of a heartbeat that describe the state of this process.
+func (h *Hub) fillHeartbeat(now time.Time, m *roster.Member) {
 	m.Tables = h.tables.State().Version
 	m.Leaving = h.stopping.Load()
-	m.FreeSlots = h.place.Free()
+	m.FreeSlots = h.dispatcher.Free()
 	m.Connections = h.cfg.Dispatch.Connections
 	if at := h.tables.Confirmed(); !at.IsZero() {
 		m.Confirmed, m.Age = true, max(0, now.Sub(at))
 	}
 }
 
-func (h *Hub) memberChanged(c roster.Change) {
+func (h *Hub) logMemberChange(c roster.Change) {
 	id := event.MemberJoined
 	switch {
 	case c.Self:
@@ -55,9 +55,9 @@
 	id.Log(h.log, "owner", c.Owner, "address", c.Address, "state", c.State)
 }
 
-// handleMembers answers what the peers' rosters and tables ask.
-func (h *Hub) handleMembers() {
-	peer.Handle(h.peers, methodBeat, func(_ context.Context, b roster.Beat) (roster.Beat, error) {
+// registerMemberMethods registers the methods that serve the rosters and tables of peers.
+func (h *Hub) registerMemberMethods() {
+	peer.Handle(h.peers, methodHeartbeat, func(_ context.Context, b roster.Beat) (roster.Beat, error) {
 		return h.roster.Answer(h.clock.Now(), b), nil
 	})
 	peer.Handle(h.peers, methodTables, func(_ context.Context, a tables.Ask) (tables.Body, error) {
@@ -65,18 +65,18 @@
 	})
 }
 
-// searchEvery is the pause between heartbeats while no other member is known:
-// until one is, nobody can find the tickets that this process mints.
-const searchEvery = 100 * time.Millisecond
+// searchInterval is the interval between heartbeats while no other member is known: until
+// one is, no other process can find the tickets that this process mints.
+const searchInterval = 100 * time.Millisecond
 
-func (h *Hub) heartbeat(ctx context.Context) error {
-	sub := h.clock.Subscribe(min(searchEvery, h.cfg.Peers.Heartbeat.D()))
+func (h *Hub) runHeartbeats(ctx context.Context) error {
+	sub := h.clock.Subscribe(min(searchInterval, h.cfg.Peers.Heartbeat.D()))
 	defer sub.Stop()
 	var next time.Time
 	for {
 		if now := h.clock.Now(); !now.Before(next) || h.roster.Len() == 0 {
 			next = now.Add(h.cfg.Peers.Heartbeat.D())
-			h.beat(ctx, now)
+			h.sendHeartbeats(ctx, now)
 		}
 		select {
 		case <-ctx.Done():
@@ -86,21 +86,21 @@
 	}
 }
 
-func (h *Hub) beat(ctx context.Context, now time.Time) {
-	b, to := h.roster.Beat(now, h.cfg.Peers.Fanout, h.platform.addresses())
+func (h *Hub) sendHeartbeats(ctx context.Context, now time.Time) {
+	b, to := h.roster.Beat(now, h.cfg.Peers.Fanout, h.knownVMs.dispatcherAddresses())
 	for _, addr := range to {
 		if addr != h.cfg.Listen.Peers {
-			go h.beatTo(ctx, addr, b)
+			go h.sendHeartbeat(ctx, addr, b)
 		}
 	}
 }
 
-func (h *Hub) beatTo(ctx context.Context, addr netip.AddrPort, b roster.Beat) {
+func (h *Hub) sendHeartbeat(ctx context.Context, addr netip.AddrPort, b roster.Beat) {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.Peers.Timeout.D())
 	defer cancel()
 	h.meter.Count(meter.Heartbeats, 1)
 	sent := h.clock.Now()
-	answer, err := peer.Call[roster.Beat](ctx, h.dialer, addr, methodBeat, b)
+	answer, err := peer.Call[roster.Beat](ctx, h.dialer, addr, methodHeartbeat, b)
 	now := h.clock.Now()
 	if err != nil {
 		h.meter.Count(meter.HeartbeatsFailed, 1)
@@ -111,19 +111,19 @@
 	h.learnTables(ctx, addr, sent, answer.From)
 }
 
-// learnTables takes what a peer told of its tables: their version, which is
-// fetched when the log does not bring it, and the age of its confirmation.
+// learnTables processes what a peer reported about its tables: it fetches their version
+// if the log does not deliver it, and adopts the age of the peer's confirmation.
 func (h *Hub) learnTables(ctx context.Context, addr netip.AddrPort, sent time.Time, m roster.Member) {
-	if h.tables.Wants(h.clock.Now(), m.Tables) && h.fetching.CompareAndSwap(false, true) {
-		h.fetch(ctx, addr)
-		h.fetching.Store(false)
+	if h.tables.Wants(h.clock.Now(), m.Tables) && h.fetchingTables.CompareAndSwap(false, true) {
+		h.fetchTables(ctx, addr)
+		h.fetchingTables.Store(false)
 	}
 	if m.Confirmed {
 		h.tables.Confirm(m.Tables, sent, m.Age)
 	}
 }
 
-func (h *Hub) fetch(ctx context.Context, addr netip.AddrPort) {
+func (h *Hub) fetchTables(ctx context.Context, addr netip.AddrPort) {
 	b, err := peer.Call[tables.Body](ctx, h.dialer, addr, methodTables, h.tables.Ask())
 	if err == nil {
 		err = h.tables.Take(b)
--- a/hub/placing.go
+++ b/hub/placing.go
@@ -16,8 +16,8 @@
 	"snipehub.example/ticket"
 )
 
-// member returns this process as it joins the roster.
-func (h *Hub) member() roster.Member {
+// selfMember returns the roster entry with which this process joins.
+func (h *Hub) selfMember() roster.Member {
 	return roster.Member{
 		Owner:       h.self,
 		Address:     h.cfg.Listen.Peers,
@@ -25,12 +25,12 @@
 	}
 }
 
-// placing makes the dispatcher that the settings ask for.
-func (h *Hub) placing() *dispatch.Dispatcher {
+// newDispatcher returns a dispatcher configured from the settings.
+func (h *Hub) newDispatcher() *dispatch.Dispatcher {
 	cfg := h.cfg.Dispatch
 	chosen, _ := policy.Find(cfg.Policy)
 	return dispatch.New(dispatch.Config{
-		Self: h.member(),
+		Self: h.selfMember(),
 		Config: plan.Config{
 			DataCenter:       h.cfg.Process.DataCenter,
 			Policy:           chosen.Policy,
@@ -48,35 +48,35 @@
 	}, delivery.New(h.cfg.Limits.AnswerBytes, cfg.Connections, h.net.DialContext), directory{h}, h.clock, h.log, h.meter)
 }
 
-// methodHand hands tasks over to a peer.
-const methodHand = "hand"
+// methodHandover hands tasks over to a peer.
+const methodHandover = "hand"
 
-// handOver connects the dispatcher to its peers: it takes tasks over from them,
-// and with a policy that hands over it gives them some.
-func (h *Hub) handOver() {
-	h.guests = handover.NewReceiver(h.self, h.place, h.clock.Now)
-	peer.Handle(h.peers, methodHand, h.guests.Handle)
+// setUpHandover connects the dispatcher to its peers: it accepts tasks from them, and
+// hands tasks over to them if its policy uses hand-overs.
+func (h *Hub) setUpHandover() {
+	h.handovers = handover.NewReceiver(h.self, h.dispatcher, h.clock.Now)
+	peer.Handle(h.peers, methodHandover, h.handovers.Handle)
 	chosen, _ := policy.Find(h.cfg.Dispatch.Policy)
 	if chosen.Policy.HandsOver() {
-		h.place.SetSender(handover.NewSender(h.self, neighbours{h}, h.clock.Now))
+		h.dispatcher.SetSender(handover.NewSender(h.self, handoverTransport{h}, h.clock.Now))
 	}
 }
 
-// neighbours carries hand-overs over the connections between dispatchers.
-type neighbours struct{ h *Hub }
+// handoverTransport sends hand-over requests over the connections between dispatchers.
+type handoverTransport struct{ h *Hub }
 
 // Ask sends a request and returns the response.
-func (n neighbours) Ask(ctx context.Context, to roster.Known, r handover.Request) (handover.Response, error) {
+func (n handoverTransport) Ask(ctx context.Context, to roster.Known, r handover.Request) (handover.Response, error) {
 	n.h.meter.Count(meter.HandoverCalls, 1)
-	out, err := peer.Call[handover.Response](ctx, n.h.dialer, to.Address, methodHand, r)
+	out, err := peer.Call[handover.Response](ctx, n.h.dialer, to.Address, methodHandover, r)
 	if errors.Is(err, peer.ErrNotSent) {
 		return out, errors.Wrap(handover.ErrNotSent, err.Error())
 	}
 	return out, err
 }
 
-// Gone tells whether the incarnation is gone for good.
-func (n neighbours) Gone(o ticket.Owner) bool {
+// Gone reports whether the incarnation is permanently gone.
+func (n handoverTransport) Gone(o ticket.Owner) bool {
 	k, ok := n.h.roster.Find(n.h.clock.Now(), o)
 	return ok && k.State == roster.Gone
 }
--- a/hub/platform.go
+++ b/hub/platform.go
@@ -11,35 +11,35 @@
 	"snipehub.example/settings"
 )
 
-// platform is what this process knows of the platform's VM list. The list may
-// be late, down or empty; the last one that has VMs stays in use.
-type platform struct {
-	cfg  settings.Peers
-	last atomic.Pointer[vmList]
+// knownVMs is the most recent VM list of the platform that was not empty. It stays in use
+// while the platform's list is late, unavailable or empty.
+type knownVMs struct {
+	cfg     settings.Peers
+	current atomic.Pointer[vmList]
 }
 
 type vmList struct {
 	leaving map[netip.Addr]struct{}
-	// members are addresses at which there may be dispatchers.
-	members []netip.AddrPort
+	// dispatchers are addresses at which there may be dispatchers.
+	dispatchers []netip.AddrPort
 }
 
-func newPlatform(cfg settings.Peers) *platform {
-	p := &platform{cfg: cfg}
-	p.last.Store(p.list(nil))
+func newKnownVMs(cfg settings.Peers) *knownVMs {
+	p := &knownVMs{cfg: cfg}
+	p.current.Store(p.newList(nil))
 	return p
 }
 
-// take takes a list that was read. One without VMs tells nothing: this process
-// runs on a VM.
-func (p *platform) take(vms []ledger.VM) {
+// update replaces the list. A list without VMs is ignored: it can't be right, because
+// this process runs on a VM.
+func (p *knownVMs) update(vms []ledger.VM) {
 	if len(vms) > 0 {
-		p.last.Store(p.list(vms))
+		p.current.Store(p.newList(vms))
 	}
 }
 
-func (p *platform) list(vms []ledger.VM) *vmList {
-	l := &vmList{leaving: make(map[netip.Addr]struct{}), members: append([]netip.AddrPort(nil), p.cfg.Seeds...)}
+func (p *knownVMs) newList(vms []ledger.VM) *vmList {
+	l := &vmList{leaving: make(map[netip.Addr]struct{}), dispatchers: append([]netip.AddrPort(nil), p.cfg.Seeds...)}
 	for _, v := range vms {
 		if v.Leaving {
 			l.leaving[v.Address] = struct{}{}
@@ -48,22 +48,22 @@
 			continue
 		}
 		for _, port := range p.cfg.Ports {
-			l.members = append(l.members, netip.AddrPortFrom(v.Address, port))
+			l.dispatchers = append(l.dispatchers, netip.AddrPortFrom(v.Address, port))
 		}
 	}
 	return l
 }
 
-// isLeaving tells whether the VM list says that the VM will be taken away.
-func (p *platform) isLeaving(a netip.Addr) bool {
-	_, ok := p.last.Load().leaving[a]
+// isLeaving reports whether the VM list says that the VM will be taken away.
+func (p *knownVMs) isLeaving(a netip.Addr) bool {
+	_, ok := p.current.Load().leaving[a]
 	return ok
 }
 
-// addresses returns where there may be dispatchers.
-func (p *platform) addresses() []netip.AddrPort { return p.last.Load().members }
+// dispatcherAddresses returns the addresses at which there may be dispatchers.
+func (p *knownVMs) dispatcherAddresses() []netip.AddrPort { return p.current.Load().dispatchers }
 
-// watchVMs reads the VM list from time to time.
+// watchVMs reads the VM list periodically.
 func (h *Hub) watchVMs(ctx context.Context) error {
 	sub := h.clock.Subscribe(h.cfg.Peers.VMPoll.D())
 	defer sub.Stop()
@@ -80,7 +80,7 @@
 		}
 		down = err != nil
 		if err == nil {
-			h.platform.take(vms)
+			h.knownVMs.update(vms)
 			h.roster.List(h.clock.Now(), vms)
 		}
 		select {
--- a/hub/platform_test.go
+++ b/hub/platform_test.go
@@ -8,24 +8,24 @@
 	"snipehub.example/settings"
 )
 
-// The platform's VM list answers, but with nothing in it, as one that starts empty does. A
-// list without even the VM of this process tells nothing: with it in place of the last
-// one, new work would go to VMs that are about to be taken away, and a process that knows
-// nobody would not find its peers.
+// The platform answers with an empty VM list, as a platform that starts without data
+// does. Such a list can't be right, since this process runs on a VM itself. If it
+// replaced the previous list, new work would go to VMs that are about to be taken away,
+// and a process that knows no other would not find its peers.
 func TestEmptyVMListChangesNothing(t *testing.T) {
 	leaving := netip.MustParseAddr("10.0.0.7")
-	p := newPlatform(settings.Peers{Ports: []uint16{7500}, VMPrefix: "entry"})
-	p.take([]ledger.VM{
+	p := newKnownVMs(settings.Peers{Ports: []uint16{7500}, VMPrefix: "entry"})
+	p.update([]ledger.VM{
 		{Name: "entry1", Address: netip.MustParseAddr("10.0.0.1")},
 		{Name: "worker7", Address: leaving, Leaving: true},
 	})
 	for _, vms := range [][]ledger.VM{nil, {}} {
-		p.take(vms)
-		if !p.isLeaving(leaving) || len(p.addresses()) != 1 {
-			t.Errorf("leaving %t, addresses %v", p.isLeaving(leaving), p.addresses())
+		p.update(vms)
+		if !p.isLeaving(leaving) || len(p.dispatcherAddresses()) != 1 {
+			t.Errorf("leaving %t, addresses %v", p.isLeaving(leaving), p.dispatcherAddresses())
 		}
 	}
-	p.take([]ledger.VM{{Name: "entry1", Address: netip.MustParseAddr("10.0.0.1")}})
+	p.update([]ledger.VM{{Name: "entry1", Address: netip.MustParseAddr("10.0.0.1")}})
 	if p.isLeaving(leaving) {
 		t.Error("a VM that is not on the list any more counts as leaving")
 	}
--- a/hub/refusals_test.go
+++ b/hub/refusals_test.go
@@ -21,56 +21,57 @@
 	"snipehub.example/ticket"
 )
 
-// refusing is a world whose node 0 is refused something, over HTTP.
-type refusing struct {
+// refusalCase provokes a refusal in a world whose node 0 owns the identity.
+type refusalCase struct {
 	*world
 	owner, other *node
 	id           ticket.JobID
-	// late sends the copy that was long on its way; by default a PUT of id.
-	late func()
-	// tune changes the next request and the settings that it meets.
-	tune func(cfg *settings.Config, req *http.Request)
+	// sendLateCopy delivers a copy of the order that was delayed in the network. The
+	// default is a PUT of id.
+	sendLateCopy func()
+	// modify changes the next request and the settings with which it is handled.
+	modify func(cfg *settings.Config, req *http.Request)
 }
 
-// front makes a node what stands behind the counter.
-type front struct {
-	*desk
+// nodeService makes a node the backend of a counter.
+type nodeService struct {
+	*jobService
 	*node
 }
 
-func (front) Ready() bool { return true }
-func (front) Status() any { return nil }
+func (nodeService) Ready() bool { return true }
+func (nodeService) Status() any { return nil }
 
-// StatusAll is for operators and not asked here.
-func (front) StatusAll(context.Context) any { return nil }
+// StatusAll is for operators only and is not called here.
+func (nodeService) StatusAll(context.Context) any { return nil }
 
-// Submit picks the desk's method; the node's is that of the placer.
-func (f front) Submit(ctx context.Context, s job.Submission) (job.Answer, error) {
-	return f.desk.Submit(ctx, s)
+// Submit selects the jobService's method; the node's Submit is that of a dispatcher.
+func (f nodeService) Submit(ctx context.Context, s job.Submission) (job.Answer, error) {
+	return f.jobService.Submit(ctx, s)
 }
 
-// Cancel picks the desk's method.
-func (f front) Cancel(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error) {
-	return f.desk.Cancel(ctx, c, id)
+// Cancel selects the jobService's method.
+func (f nodeService) Cancel(ctx context.Context, c job.Caller, id ticket.JobID) (job.Answer, error) {
+	return f.jobService.Cancel(ctx, c, id)
 }
 
 // tokenHash is the SHA-256 of "token-a".
 const tokenHash = "a70bf50e531ce1a817561f2f5d5b6645d4e806becf58ccc5e8cf6b8045a090a8"
 
-// http sends a request to a node's counter and returns the refusal, if it is
-// one.
-func (r *refusing) http(n *node, method, path, body, token string) *refusal.Refusal {
+// http sends a request to the counter of a node. It returns the refusal, or nil if the
+// answer is not a refusal.
+func (r *refusalCase) http(n *node, method, path, body, token string) *refusal.Refusal {
 	cfg := settings.Default()
 	cfg.Limits.BodyBytes = 200
 	cfg.Callers.Tokens = []settings.Token{{Caller: lake.Name, SHA256: tokenHash}}
 	req := httptest.NewRequest(method, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+token)
 	req.Header.Set("Prefer", "respond-async")
-	if r.tune != nil {
-		r.tune(&cfg, req)
-		r.tune = nil
+	if r.modify != nil {
+		r.modify(&cfg, req)
+		r.modify = nil
 	}
-	c := counter.New(slog.New(slog.DiscardHandler), cfg, front{n.desk, n}, nil)
+	c := counter.New(slog.New(slog.DiscardHandler), cfg, nodeService{n.jobService, n}, nil)
 	rec := httptest.NewRecorder()
 	c.ServeHTTP(rec, req)
 	if rec.Code < http.StatusBadRequest {
@@ -85,194 +86,196 @@
 
 const order = `{"kind":"price","tasks":["order"]}`
 
-func (r *refusing) put(n *node) *refusal.Refusal {
+func (r *refusalCase) putOrder(n *node) *refusal.Refusal {
 	return r.http(n, http.MethodPut, "/v1/jobs/"+r.id.String(), order, "token-a")
 }
 
-// placed answers by the dispatch package's refusal.
-func placed(code refusal.Code) func(r *refusing) *refusal.Refusal {
-	return func(r *refusing) *refusal.Refusal {
-		r.owner.refuse = refusal.New(code, "")
-		out := r.put(r.other)
-		r.owner.refuse = nil
+// refusedByDispatcher submits the order while the owner's dispatcher refuses submissions
+// with the code.
+func refusedByDispatcher(code refusal.Code) func(r *refusalCase) *refusal.Refusal {
+	return func(r *refusalCase) *refusal.Refusal {
+		r.owner.submitErr = refusal.New(code, "")
+		out := r.putOrder(r.other)
+		r.owner.submitErr = nil
 		return out
 	}
 }
 
-// ran submits the order and ends it.
-func (r *refusing) ran() {
-	r.put(r.owner)
-	r.owner.finish()
+// runOrder submits the order and completes it.
+func (r *refusalCase) runOrder() {
+	r.putOrder(r.owner)
+	r.owner.finishOldest()
 }
 
-func (r *refusing) request(q job.Request) *refusal.Refusal {
+func (r *refusalCase) request(q job.Request) *refusal.Refusal {
 	q.Caller, q.Kind, q.Body = lake, "price", []byte(`"order"`)
-	_, err := r.other.desk.Request(context.Background(), q)
-	return given(err)
+	_, err := r.other.jobService.Request(context.Background(), q)
+	return refusalFrom(err)
 }
 
-// key submits the order under a key, now and as the late copy.
-func (r *refusing) key(k string) *refusal.Refusal {
-	r.late = func() {
+// submitUnderKey submits the order under a key, and once more as the late copy.
+func (r *refusalCase) submitUnderKey(k string) *refusal.Refusal {
+	r.sendLateCopy = func() {
 		r.logFault = ""
-		_, _ = r.owner.putKey(k, `"order"`)
+		_, _ = r.owner.submitWithKey(k, `"order"`)
 	}
-	_, err := r.other.putKey(k, `"order"`)
-	return given(err)
+	_, err := r.other.submitWithKey(k, `"order"`)
+	return refusalFrom(err)
 }
 
-// refusals brings about each code. The order is submitted under r.id; what the
-// refusal says of it is compared with the backend servers' record.
+// refusals has a case for each code. The order is submitted under r.id, or as the case
+// says under a key or without an identity. What the refusal says about it is compared
+// with the starts at the backend servers.
 var refusals = []struct {
-	code  refusal.Code
-	bring func(r *refusing) *refusal.Refusal
+	code    refusal.Code
+	provoke func(r *refusalCase) *refusal.Refusal
 }{
-	{refusal.BadRequest, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
+	{refusal.BadRequest, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
 		return r.http(r.other, http.MethodPut, "/v1/jobs/"+r.id.String(), `{"kind":`, "token-a")
 	}},
-	{refusal.Unauthorized, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
+	{refusal.Unauthorized, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
 		return r.http(r.other, http.MethodPut, "/v1/jobs/"+r.id.String(), order, "wrong")
 	}},
-	{refusal.NotFound, func(r *refusing) *refusal.Refusal {
-		r.ran()
+	{refusal.NotFound, func(r *refusalCase) *refusal.Refusal {
+		r.runOrder()
 		id := r.id
 		id.Number++
 		return r.http(r.other, http.MethodPut, "/v1/jobs/"+id.String(), order, "token-a")
 	}},
-	{refusal.TooLarge, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
+	{refusal.TooLarge, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
 		return r.http(r.other, http.MethodPut, "/v1/jobs/"+r.id.String(), `"`+strings.Repeat("a", 300)+`"`, "token-a")
 	}},
-	{refusal.NoRoute, placed(refusal.NoRoute)},
-	{refusal.NeedsID, func(r *refusing) *refusal.Refusal {
+	{refusal.NoRoute, refusedByDispatcher(refusal.NoRoute)},
+	{refusal.NeedsID, func(r *refusalCase) *refusal.Refusal {
 		r.other.repeatable = false
-		r.late = func() { r.request(job.Request{}) }
+		r.sendLateCopy = func() { r.request(job.Request{}) }
 		return r.request(job.Request{})
 	}},
-	{refusal.NoPath, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
+	{refusal.NoPath, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
 		return r.http(r.other, http.MethodPut, "/v1/jobs/"+r.id.String()+"/tasks", order, "token-a")
 	}},
-	{refusal.NoMethod, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
+	{refusal.NoMethod, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
 		return r.http(r.other, http.MethodPost, "/v1/jobs/"+r.id.String(), order, "token-a")
 	}},
-	{refusal.TooSlow, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
-		r.tune = func(_ *settings.Config, req *http.Request) {
+	{refusal.TooSlow, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
+		r.modify = func(_ *settings.Config, req *http.Request) {
 			req.Body = io.NopCloser(iotest.ErrReader(os.ErrDeadlineExceeded))
 		}
-		return r.put(r.other)
+		return r.putOrder(r.other)
 	}},
-	{refusal.Busy, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
-		r.tune = func(cfg *settings.Config, _ *http.Request) { cfg.Limits.OpenRequests = 0 }
-		return r.put(r.other)
+	{refusal.Busy, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
+		r.modify = func(cfg *settings.Config, _ *http.Request) { cfg.Limits.OpenRequests = 0 }
+		return r.putOrder(r.other)
 	}},
-	{refusal.Burned, func(r *refusing) *refusal.Refusal {
-		placed(refusal.Overloaded)(r)
-		r.pass(r.limits.AnswerRetention)
-		r.owner.desk.owner.Stats()
-		return r.put(r.other)
+	{refusal.Burned, func(r *refusalCase) *refusal.Refusal {
+		refusedByDispatcher(refusal.Overloaded)(r)
+		r.advance(r.limits.AnswerRetention)
+		r.owner.jobService.owner.Stats()
+		return r.putOrder(r.other)
 	}},
-	{refusal.Forgotten, func(r *refusing) *refusal.Refusal {
-		r.ran()
-		r.pass(r.limits.AnswerRetention)
-		r.owner.desk.owner.Stats()
-		return r.put(r.other)
+	{refusal.Forgotten, func(r *refusalCase) *refusal.Refusal {
+		r.runOrder()
+		r.advance(r.limits.AnswerRetention)
+		r.owner.jobService.owner.Stats()
+		return r.putOrder(r.other)
 	}},
-	{refusal.OwnerGone, func(r *refusing) *refusal.Refusal {
-		r.put(r.owner)
-		r.boot(0)
-		return r.put(r.other)
+	{refusal.OwnerGone, func(r *refusalCase) *refusal.Refusal {
+		r.putOrder(r.owner)
+		r.startNode(0)
+		return r.putOrder(r.other)
 	}},
-	{refusal.Mismatch, func(r *refusing) *refusal.Refusal {
-		r.ran()
+	{refusal.Mismatch, func(r *refusalCase) *refusal.Refusal {
+		r.runOrder()
 		return r.http(r.other, http.MethodPut, "/v1/jobs/"+r.id.String(), `{"kind":"price","tasks":["other"]}`, "token-a")
 	}},
-	{refusal.OutOfRange, func(r *refusing) *refusal.Refusal {
+	{refusal.OutOfRange, func(r *refusalCase) *refusal.Refusal {
 		r.id.Seq = r.limits.Range
-		return r.put(r.other)
+		return r.putOrder(r.other)
 	}},
-	{refusal.Cancelled, func(r *refusing) *refusal.Refusal {
+	{refusal.Cancelled, func(r *refusalCase) *refusal.Refusal {
 		return r.http(r.owner, http.MethodDelete, "/v1/jobs/"+r.id.String(), "", "token-a")
 	}},
-	{refusal.WindowFull, func(r *refusing) *refusal.Refusal {
+	{refusal.WindowFull, func(r *refusalCase) *refusal.Refusal {
 		r.http(r.owner, http.MethodPut, "/v1/jobs/"+r.id.String(), `{"kind":"price","tasks":["other"]}`, "token-a")
 		r.id.Seq = uint64(r.limits.Window)
-		return r.put(r.other)
+		return r.putOrder(r.other)
 	}},
-	{refusal.NotSubmitted, func(r *refusing) *refusal.Refusal {
+	{refusal.NotSubmitted, func(r *refusalCase) *refusal.Refusal {
 		return r.http(r.other, http.MethodGet, "/v1/jobs/"+r.id.String(), "", "token-a")
 	}},
-	{refusal.Failed, func(r *refusing) *refusal.Refusal {
-		r.owner.instant = &dispatch.Result{Ran: refusal.RanUnknown, Error: "reset"}
-		defer func() { r.owner.instant = nil }()
+	{refusal.Failed, func(r *refusalCase) *refusal.Refusal {
+		r.owner.immediateResult = &dispatch.Result{Ran: refusal.RanUnknown, Error: "reset"}
+		defer func() { r.owner.immediateResult = nil }()
 		return r.request(job.Request{ID: &r.id})
 	}},
-	{refusal.Overloaded, placed(refusal.Overloaded)},
-	{refusal.Stopping, func(r *refusing) *refusal.Refusal {
-		_ = r.owner.desk.owner.Stop(context.Background())
-		return r.put(r.other)
+	{refusal.Overloaded, refusedByDispatcher(refusal.Overloaded)},
+	{refusal.Stopping, func(r *refusalCase) *refusal.Refusal {
+		_ = r.owner.jobService.owner.Stop(context.Background())
+		return r.putOrder(r.other)
 	}},
-	{refusal.Hopeless, placed(refusal.Hopeless)},
-	{refusal.OverQuota, placed(refusal.OverQuota)},
-	{refusal.NoServer, placed(refusal.NoServer)},
-	{refusal.OwnerUnreachable, func(r *refusing) *refusal.Refusal {
-		r.mute[r.owner.at] = true
-		defer delete(r.mute, r.owner.at)
-		return r.put(r.other)
+	{refusal.Hopeless, refusedByDispatcher(refusal.Hopeless)},
+	{refusal.OverQuota, refusedByDispatcher(refusal.OverQuota)},
+	{refusal.NoServer, refusedByDispatcher(refusal.NoServer)},
+	{refusal.OwnerUnreachable, func(r *refusalCase) *refusal.Refusal {
+		r.answersLost[r.owner.at] = true
+		defer delete(r.answersLost, r.owner.at)
+		return r.putOrder(r.other)
 	}},
-	{refusal.LogDown, func(r *refusing) *refusal.Refusal {
+	{refusal.LogDown, func(r *refusalCase) *refusal.Refusal {
 		r.logFault = logDown
-		return r.key(keyAt(r.now, 1))
+		return r.submitUnderKey(uuidAt(r.now, 1))
 	}},
-	{refusal.BadKey, func(r *refusing) *refusal.Refusal { return r.key("order-17") }},
-	{refusal.KeyEarly, func(r *refusing) *refusal.Refusal { return r.key(keyAt(r.now.Add(30*time.Second), 1)) }},
-	{refusal.KeysBusy, func(r *refusing) *refusal.Refusal {
+	{refusal.BadKey, func(r *refusalCase) *refusal.Refusal { return r.submitUnderKey("order-17") }},
+	{refusal.KeyEarly, func(r *refusalCase) *refusal.Refusal { return r.submitUnderKey(uuidAt(r.now.Add(30*time.Second), 1)) }},
+	{refusal.KeysBusy, func(r *refusalCase) *refusal.Refusal {
 		r.logFault = appendLost
 		for i := range 20 {
-			_, _ = r.other.putKey(keyAt(r.now, 2+i), `"filler"`)
+			_, _ = r.other.submitWithKey(uuidAt(r.now, 2+i), `"filler"`)
 		}
-		return r.key(keyAt(r.now, 1))
+		return r.submitUnderKey(uuidAt(r.now, 1))
 	}},
-	{refusal.CutOff, placed(refusal.CutOff)},
-	{refusal.Internal, func(r *refusing) *refusal.Refusal {
-		r.owner.broken = true
-		defer func() { r.owner.broken = false }()
-		return r.put(r.owner)
+	{refusal.CutOff, refusedByDispatcher(refusal.CutOff)},
+	{refusal.Internal, func(r *refusalCase) *refusal.Refusal {
+		r.owner.panics = true
+		defer func() { r.owner.panics = false }()
+		return r.putOrder(r.owner)
 	}},
 }
 
-// An order is refused in each of the ways that there are. Afterwards a copy of
-// it that was long on its way arrives, at a moment when there is room again. If
-// the refusal said "not run", the caller has by then ordered anew: the backend
-// servers must never have started the first one. If it said anything else, the
-// order may have started, but once.
+// An order is refused in each possible way, and a delayed copy of it arrives afterwards,
+// when there is capacity again. If the refusal said "not run", the caller may have
+// ordered anew by then, so the backend servers must never start the first order. If the
+// refusal said that a retry changes nothing, the copy must start nothing more. In all
+// other cases the order may have started, but only once.
 func TestEveryRefusalIsTrue(t *testing.T) {
-	brought := make(map[refusal.Code]bool)
+	covered := make(map[refusal.Code]bool)
 	for _, c := range refusals {
-		brought[c.code] = true
+		covered[c.code] = true
 		t.Run(string(c.code), func(t *testing.T) {
 			w := newWorld(3)
-			r := &refusing{world: w, owner: w.nodes[0], other: w.nodes[1]}
+			r := &refusalCase{world: w, owner: w.nodes[0], other: w.nodes[1]}
 			r.id = r.owner.mint().Job(0)
-			got := c.bring(r)
+			got := c.provoke(r)
 			entry, _ := refusal.Find(c.code)
 			want := refusal.New(c.code, "").AboutIdentity()
 			if got == nil || got.Code != c.code || got.Ran != want.Ran || got.Again != want.Again {
 				t.Fatalf("got %+v, want %+v", got, entry)
 			}
 			before := w.starts[`"order"`]
-			if r.late == nil {
-				r.late = func() { r.put(r.other) }
+			if r.sendLateCopy == nil {
+				r.sendLateCopy = func() { r.putOrder(r.other) }
 			}
-			r.late()
-			r.owner.finish()
-			r.pass(time.Minute)
-			r.late()
+			r.sendLateCopy()
+			r.owner.finishOldest()
+			r.advance(time.Minute)
+			r.sendLateCopy()
 			after := w.starts[`"order"`]
 			switch {
 			case got.Ran == refusal.RanNo && after > 0:
@@ -285,7 +288,7 @@
 		})
 	}
 	for _, e := range refusal.All() {
-		if !brought[e.Code] {
+		if !covered[e.Code] {
 			t.Errorf("%s: no case brings it about", e.Code)
 		}
 	}
--- a/hub/script_test.go
+++ b/hub/script_test.go
@@ -29,12 +29,12 @@
 	})
 }
 
-// TestScript runs the binaries as processes. Each script gets free addresses as
-// $A0 to $A11, and the files of testdata/common: two dispatchers (callers at $A1
-// and $A3, peers at $A2 and $A4), the log at $A0, a backend server at $A5.
+// TestScript runs the binaries as processes. Each script gets free addresses in $A0 to
+// $A11 and the files of testdata/common, which configure two dispatchers (callers at $A1
+// and $A3, peers at $A2 and $A4), the log at $A0 and a backend server at $A5.
 func TestScript(t *testing.T) {
 	cmds := script.Cmds()
-	cmds["documented"], cmds["move"] = documented, move
+	cmds["documented"], cmds["move"] = documented, replaceAddresses
 	maps.Copy(cmds, faultCmds)
 	testscript.Run(t, testscript.Params{Dir: "testdata/script", Setup: setUp, Cmds: cmds})
 }
@@ -49,8 +49,8 @@
 	return copyCommon(e)
 }
 
-// copyCommon puts the files of testdata/common into the script's directory,
-// with the addresses filled in.
+// copyCommon copies the files of testdata/common into the script's directory and fills in
+// the addresses.
 func copyCommon(e *testscript.Env) error {
 	const dir = "testdata/common"
 	files, err := os.ReadDir(dir)
@@ -73,29 +73,28 @@
 	return nil
 }
 
-// scripts counts the scripts of this process.
-var scripts atomic.Int32
+// scriptCount is the number of scripts started in this process.
+var scriptCount atomic.Int32
 
 const (
-	addresses = 12
-	// firstPort lies below the ports that the system gives to outgoing
+	addressCount = 12
+	// firstPort lies below the range from which the system takes ports for outgoing
 	// connections.
 	firstPort = 21000
 )
 
-// freeAddresses gives each script a loopback address of its own, $HOST, and
-// ports there. A port that was asked of the system, and given back for the
-// script to use, may by then be somebody's outgoing connection: the script fails
-// with "address already in use". It also sets fresh keys of a caller's own,
-// $KEY0 to $KEY2.
+// freeAddresses gives each script a loopback address of its own, $HOST, with fixed ports.
+// A port that is requested from the system and released for the script may by then be in
+// use by some outgoing connection, so that the script fails with "address already in
+// use". It also sets unused caller keys, $KEY0 to $KEY2.
 func freeAddresses(e *testscript.Env) {
 	pid := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 1+scripts.Add(1)%250)
+	host := fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 1+scriptCount.Add(1)%250)
 	e.Setenv("HOST", host)
 	for i := range 3 {
 		e.Setenv(fmt.Sprintf("KEY%d", i), uuid.Must(uuid.NewV7()).String())
 	}
-	for i := range addresses {
+	for i := range addressCount {
 		e.Setenv(fmt.Sprintf("A%d", i), fmt.Sprintf("%s:%d", host, firstPort+i))
 	}
 }
--- a/hub/standing.go
+++ b/hub/standing.go
@@ -11,46 +11,47 @@
 	"snipehub.example/tables"
 )
 
-// standing is what decides whether a process may place work.
-type standing struct {
+// placementState holds the inputs of the decision whether a process may place work.
+type placementState struct {
 	now time.Time
-	// confirmed is when the tables were last known to be the newest.
-	confirmed time.Time
-	version   tables.Version
-	// settle is the bound in which a change is in force everywhere, reach how
-	// old an answer may be to show that a neighbour is reached.
-	settle, reach time.Duration
-	// thawed is when the process last was frozen.
-	thawed     time.Time
+	// confirmedAt is when the tables were last known to be the newest version.
+	confirmedAt time.Time
+	version     tables.Version
+	// settleTime is the time within which a change takes effect everywhere. maxAnswerAge
+	// is the greatest age of an answer that still shows that a neighbour is reachable.
+	settleTime, maxAnswerAge time.Duration
+	// resumedAt is when the process last resumed after a suspension.
+	resumedAt  time.Time
 	neighbours []roster.Neighbour
 }
 
-// fresh tells whether the tables are confirmed within the settle time.
-func (s standing) fresh() bool {
-	return !s.confirmed.IsZero() && s.now.Sub(s.confirmed) <= s.settle
+// fresh reports whether the tables were confirmed within the settle time.
+func (s placementState) fresh() bool {
+	return !s.confirmedAt.IsZero() && s.now.Sub(s.confirmedAt) <= s.settleTime
 }
 
-// mayPlace tells whether the process may place work.
+// mayPlace reports whether the process may place work.
 //
-// With tables older than the settle time it might use a backend server that
-// already works for the other half. But a data centre that is cut off from the
-// platform must go on with what it has, and may: its backend servers get work
-// from its own dispatchers only, which all have the same tables. So the question
-// is whether it is the data centre that is cut off or this process alone. It is
-// the data centre if a neighbour answers and knows nothing newer; a neighbour
-// with a fresh confirmation passes it on with its answer, so one that answers is
-// as old. It is the process if neighbours are known and none answers. With no
-// neighbour known, the process is all there is of its data centre.
-func (s standing) mayPlace() bool {
+// With tables older than the settle time, the process might use a backend server that
+// already works for the other half. A data centre that is cut off from the platform,
+// however, must continue with the tables that it has. That is safe: its backend servers
+// get work only from its own dispatchers, which all have the same tables. So the decision
+// depends on whether the whole data centre is cut off or this process alone. The data
+// centre is cut off if a neighbour answers and is not ahead: a neighbour with a fresh
+// confirmation includes it in its answer, so a neighbour that answers without one is as
+// stale as this process. The process alone is cut off if neighbours are known and none
+// answers. If no neighbour is known, this process is the only dispatcher of its data
+// centre.
+func (s placementState) mayPlace() bool {
 	if s.fresh() {
 		return true
 	}
 	reached := false
 	for _, n := range s.neighbours {
-		if n.Answered.Before(s.thawed) || s.now.Sub(n.Answered) > s.reach {
+		if n.Answered.Before(s.resumedAt) || s.now.Sub(n.Answered) > s.maxAnswerAge {
 			continue
 		}
-		if s.knowsMore(n) {
+		if s.isAhead(n) {
 			return false
 		}
 		reached = true
@@ -58,86 +59,89 @@
 	return reached || len(s.neighbours) == 0
 }
 
-// knowsMore tells whether a neighbour has newer tables, or had them confirmed
-// within the settle time and this process could not use that.
-func (s standing) knowsMore(n roster.Neighbour) bool {
+// isAhead reports whether a neighbour has newer tables, or has a confirmation from within
+// the settle time that this process could not adopt.
+func (s placementState) isAhead(n roster.Neighbour) bool {
 	age := n.Told.Age + s.now.Sub(n.Answered)
-	return n.Told.Tables > s.version || n.Told.Confirmed && age <= s.settle
+	return n.Told.Tables > s.version || n.Told.Confirmed && age <= s.settleTime
 }
 
-// standingEvery is how often the slow part of the rule is worked out.
-const standingEvery = 100 * time.Millisecond
+// placementInterval is the interval at which updatePlacement compares this process with
+// its neighbours, which is too slow to do for each task.
+const placementInterval = 100 * time.Millisecond
 
-// watchStanding works out whether this process may place work, and after a
-// freeze makes it confirm its tables anew.
-func (h *Hub) watchStanding(ctx context.Context) error {
-	sub := h.clock.Subscribe(standingEvery)
+// watchPlacement keeps the decision whether this process may place work up to date, and
+// has the tables confirmed again after the process was suspended.
+func (h *Hub) watchPlacement(ctx context.Context) error {
+	sub := h.clock.Subscribe(placementInterval)
 	defer sub.Stop()
 	gaps := h.clock.Gaps()
-	var thawed time.Time
+	var resumedAt time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case g := <-gaps:
 			event.ProcessSuspended.Log(h.log, "gap", g.To.Sub(g.From).Round(time.Millisecond))
-			thawed = g.To
-			h.cutOffOK.Store(false)
+			resumedAt = g.To
+			h.placingAllowedUnconfirmed.Store(false)
 			h.tables.Refresh(g.To)
 		case <-sub.C:
-			h.judge(thawed)
+			h.updatePlacement(resumedAt)
 		}
 	}
 }
 
-func (h *Hub) judge(thawed time.Time) {
-	s := standing{
-		now:       h.clock.Now(),
-		confirmed: h.tables.Confirmed(),
-		version:   h.tables.State().Version,
-		settle:    h.cfg.Tables.Settle.D(),
-		reach:     h.cfg.Peers.SuspectAfter.D(),
-		thawed:    thawed,
+func (h *Hub) updatePlacement(resumedAt time.Time) {
+	s := placementState{
+		now:          h.clock.Now(),
+		confirmedAt:  h.tables.Confirmed(),
+		version:      h.tables.State().Version,
+		settleTime:   h.cfg.Tables.Settle.D(),
+		maxAnswerAge: h.cfg.Peers.SuspectAfter.D(),
+		resumedAt:    resumedAt,
 	}
 	fresh := s.fresh()
 	if !fresh {
 		s.neighbours = h.roster.Neighbours()
 	}
 	ok := s.mayPlace()
-	h.cutOffOK.Store(ok && !fresh)
-	if was := h.allowed.Swap(ok); was == ok {
+	h.placingAllowedUnconfirmed.Store(ok && !fresh)
+	if was := h.placingAllowed.Swap(ok); was == ok {
 		return
 	}
 	id := event.PlacingStopped
 	if ok {
 		id = event.PlacingResumed
 	}
-	id.Log(h.log, "version", s.version, "confirmed", s.confirmed, "neighbours", len(s.neighbours))
+	id.Log(h.log, "version", s.version, "confirmed", s.confirmedAt, "neighbours", len(s.neighbours))
 }
 
-// mayPlace tells whether this process may start work now. The age is looked at
-// for each task; whether the data centre is cut off is worked out before.
+// mayPlace reports whether this process may start work now. The age of the confirmation
+// is checked on each call; whether the data centre is cut off was decided by
+// updatePlacement.
 func (h *Hub) mayPlace(now time.Time) bool {
-	s := standing{now: now, confirmed: h.tables.Confirmed(), settle: h.cfg.Tables.Settle.D()}
-	return s.fresh() || h.cutOffOK.Load()
+	s := placementState{now: now, confirmedAt: h.tables.Confirmed(), settleTime: h.cfg.Tables.Settle.D()}
+	return s.fresh() || h.placingAllowedUnconfirmed.Load()
 }
 
-// cutOffRetryAfter is when a caller should come back, over another entry VM.
+// cutOffRetryAfter is the delay after which a caller should retry through another entry
+// VM.
 const cutOffRetryAfter = time.Second
 
-// gate turns new jobs of the own tickets away while this process must not place
-// work. It stands between the owner and the queue, so that the refusal burns the
-// identity like any other "not run", and submissions of known identities still
-// get their answers.
+// gate refuses new jobs under tickets of this process while the process must not place
+// work. It stands between the owner and the dispatcher's queue, so that the refusal burns
+// the identity like any other "not run", while submissions of known identities still get
+// their answers.
 type gate struct{ h *Hub }
 
-// Submit passes the submission on or refuses all of it.
+// Submit forwards the submission to the dispatcher or refuses it as a whole.
 func (g gate) Submit(s dispatch.Submission) error {
 	if !g.h.mayPlace(g.h.clock.Now()) {
 		return refusal.New(refusal.CutOff, "").After(cutOffRetryAfter)
 	}
-	return g.h.place.Submit(s)
+	return g.h.dispatcher.Submit(s)
 }
 
-// Cancel passes the cancellation on.
-func (g gate) Cancel(job string) { g.h.place.Cancel(job) }
+// Cancel forwards the cancellation to the dispatcher.
+func (g gate) Cancel(job string) { g.h.dispatcher.Cancel(job) }
--- a/hub/status.go
+++ b/hub/status.go
@@ -14,7 +14,7 @@
 	"snipehub.example/tables"
 )
 
-// Status is what operators see of a dispatcher.
+// Status is the state of a dispatcher as shown to operators.
 type Status struct {
 	Self   roster.Member  `json:"self"`
 	Tables tables.Version `json:"tables"`
@@ -24,18 +24,18 @@
 	Roster      []roster.Known `json:"roster"`
 }
 
-// Report is what one dispatcher has said of itself to another.
+// Report is the status that one dispatcher has returned to another.
 type Report struct {
 	Member roster.Member `json:"member"`
 	State  roster.State  `json:"state"`
-	// Status is nil when it did not answer; Error then says why.
+	// Status is nil if the dispatcher did not answer; Error then holds the reason.
 	Status *Status `json:"status,omitempty"`
 	Error  string  `json:"error,omitempty"`
 }
 
-// statusAtOnce bounds the calls to other dispatchers that one question of an
-// operator causes at a time.
-const statusAtOnce = 16
+// maxStatusCalls bounds the concurrent calls to other dispatchers for one operator's
+// request.
+const maxStatusCalls = 16
 
 // Status returns the status of this process.
 func (h *Hub) Status() any { return h.status() }
@@ -51,8 +51,7 @@
 	}
 }
 
-// StatusAll asks every dispatcher of the roster for its status. Members that
-// are gone for good are left out.
+// StatusAll requests the status of every dispatcher in the roster that is not gone.
 func (h *Hub) StatusAll(ctx context.Context) any {
 	self := h.status()
 	out := []Report{{Member: self.Self, State: roster.Live, Status: &self}}
@@ -61,20 +60,20 @@
 			out = append(out, Report{Member: k.Member, State: k.State})
 		}
 	}
-	places := make(chan struct{}, statusAtOnce)
+	slots := make(chan struct{}, maxStatusCalls)
 	var wg sync.WaitGroup
 	for i := range out[1:] {
 		wg.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			h.ask(ctx, &out[i+1])
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			h.fetchStatus(ctx, &out[i+1])
 		})
 	}
 	wg.Wait()
 	return out
 }
 
-func (h *Hub) ask(ctx context.Context, r *Report) {
+func (h *Hub) fetchStatus(ctx context.Context, r *Report) {
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.Peers.Timeout.D())
 	defer cancel()
 	s, err := peer.Call[Status](ctx, h.dialer, r.Member.Address, methodStatus, struct{}{})
--- a/hub/tables.go
+++ b/hub/tables.go
@@ -13,16 +13,15 @@
 		Poll:     h.cfg.Tables.Poll.D(),
 		Snapshot: h.cfg.Tables.Snapshot.D(),
 		Settle:   h.cfg.Tables.Settle.D(),
-		Changed:  func() { h.place.TablesChanged() },
+		Changed:  func() { h.dispatcher.TablesChanged() },
 	}, rand.New(rand.NewPCG(h.self.Incarnation, 0)))
 }
 
-// snapshotCheck is how often it is looked whether a snapshot is due.
-const snapshotCheck = time.Second
+const snapshotCheckInterval = time.Second
 
-// snapshots puts snapshots of the tables on the log when they are due.
-func (h *Hub) snapshots(ctx context.Context) error {
-	return h.each(ctx, snapshotCheck, func(now time.Time) error {
+// appendSnapshots appends snapshots of the tables to the log when they are due.
+func (h *Hub) appendSnapshots(ctx context.Context) error {
+	return h.runEvery(ctx, snapshotCheckInterval, func(now time.Time) error {
 		return h.tables.PutSnapshot(ctx, now)
 	})
 }
--- a/hub/world_test.go
+++ b/hub/world_test.go
@@ -27,21 +27,21 @@
 	teranga = job.Caller{Name: "teranga"}
 )
 
-// world is several dispatchers in one process: real owners, forwarders and
-// holders, over a network, a roster, a log and backend servers that are fakes.
+// world simulates several dispatchers in one process. Owners, forwarders and holders are
+// real; the network, the roster, the log and the backend servers are fakes.
 type world struct {
 	mu    sync.Mutex
 	now   time.Time
 	nodes []*node
-	// deaf loses the requests to an address, mute the answers from it.
-	deaf, mute map[netip.AddrPort]bool
-	// starts is the backend servers' record: starts of each task by its body.
+	// requestsLost is set for addresses to which requests are lost, answersLost for those
+	// whose answers are lost.
+	requestsLost, answersLost map[netip.AddrPort]bool
+	// starts counts the starts of each task at the backend servers, by the task's body.
 	starts map[string]int
 	limits job.Limits
-	// incarnation is the newest that was given out.
+	// incarnation is the newest incarnation so far.
 	incarnation uint64
-	// log has the claims; logFault is what happens to the next append, or
-	// "down".
+	// log holds the claims. logFault is one of the faults of the log, or empty.
 	log      []ledger.Record
 	logFirst ledger.Offset
 	logFault string
@@ -49,38 +49,40 @@
 
 // node is one incarnation of a dispatcher.
 type node struct {
-	w    *world
-	self ticket.Owner
-	at   netip.AddrPort
-	desk *desk
-	// down processes answer nothing; gone tells that the roster knows it.
+	w          *world
+	self       ticket.Owner
+	at         netip.AddrPort
+	jobService *jobService
+	// A node that is down answers no calls; gone and suspect are its state in every
+	// roster.
 	down, gone, suspect, stopping bool
 	keys                          *claim.Core
-	// refuse is the answer to the next submissions.
-	refuse      error
+	// submitErr is returned for submissions while it is set.
+	submitErr   error
 	submissions []dispatch.Submission
-	// broken panics, repeatable is what the route says of the kind.
-	broken, repeatable bool
-	// instant ends each submission at once with the result.
-	instant *dispatch.Result
+	// panics makes submissions panic. repeatable is the property of the test kind's
+	// route.
+	panics, repeatable bool
+	// immediateResult, if set, ends each submission at once with this result.
+	immediateResult *dispatch.Result
 }
 
 func newWorld(n int) *world {
 	w := &world{
-		now:    time.Unix(1.7e9, 0),
-		deaf:   make(map[netip.AddrPort]bool),
-		mute:   make(map[netip.AddrPort]bool),
-		starts: make(map[string]int),
-		limits: job.Limits{Tickets: 64, Range: 100, Window: 4, KeptBytes: 1 << 20, AnswerRetention: time.Hour, JobTimeout: time.Minute},
+		now:          time.Unix(1.7e9, 0),
+		requestsLost: make(map[netip.AddrPort]bool),
+		answersLost:  make(map[netip.AddrPort]bool),
+		starts:       make(map[string]int),
+		limits:       job.Limits{Tickets: 64, Range: 100, Window: 4, KeptBytes: 1 << 20, AnswerRetention: time.Hour, JobTimeout: time.Minute},
 	}
 	for i := range n {
-		w.boot(i)
+		w.startNode(i)
 	}
 	return w
 }
 
-// boot starts a new incarnation in place i.
-func (w *world) boot(i int) *node {
+// startNode starts a new incarnation of dispatcher i.
+func (w *world) startNode(i int) *node {
 	w.incarnation++
 	n := &node{
 		w:    w,
@@ -102,11 +104,11 @@
 		members:     n,
 		closedStore: job.NewClosedStore(1<<20, time.Hour, w.clock),
 		stopping:    func() bool { return n.stopping },
-		waiting:     make(map[*awaited]struct{}),
-		unheld:      make(map[ticket.Owner]time.Time),
+		inFlight:    make(map[*inFlightCall]struct{}),
+		unheldAt:    make(map[ticket.Owner]time.Time),
 	}
 	n.keys = claim.NewCore(claim.Config{Claims: 50, Pending: 20, Skew: keySkew, LogTimeout: time.Second, MarkerInterval: time.Minute}, owner.Reserve)
-	n.desk = &desk{self: n.self, owner: owner, fwd: fwd, keys: n, tables: n.tables}
+	n.jobService = &jobService{self: n.self, owner: owner, fwd: fwd, keys: n, tables: n.tables}
 	w.nodes = append(w.nodes, n)
 	return n
 }
@@ -128,38 +130,38 @@
 	return w.now
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *world) advance(d time.Duration) {
 	w.mu.Lock()
 	w.now = w.now.Add(d)
 	w.mu.Unlock()
 }
 
-// Submit makes node a placer that records starts.
+// Submit makes node a dispatcher's queue that records starts.
 func (n *node) Submit(s dispatch.Submission) error {
-	if n.broken {
+	if n.panics {
 		panic("broken")
 	}
-	if n.refuse != nil {
-		return n.refuse
+	if n.submitErr != nil {
+		return n.submitErr
 	}
 	n.w.mu.Lock()
 	for _, t := range s.Tasks {
 		n.w.starts[string(t)]++
 	}
 	n.w.mu.Unlock()
-	if n.instant != nil {
-		s.Done(0, *n.instant)
+	if n.immediateResult != nil {
+		s.Done(0, *n.immediateResult)
 		return nil
 	}
 	n.submissions = append(n.submissions, s)
 	return nil
 }
 
-// Cancel does nothing: what the fake has taken runs to its end.
+// Cancel does nothing: all submissions of the fake run to their end.
 func (n *node) Cancel(string) {}
 
-// finish ends the oldest submission; each task is answered with its own body.
-func (n *node) finish() {
+// finishOldest ends the oldest submission; each task is answered with its own body.
+func (n *node) finishOldest() {
 	if len(n.submissions) == 0 {
 		return
 	}
@@ -170,14 +172,14 @@
 	}
 }
 
-// stop is a planned stop.
-func (n *node) stop() {
+// stopPlanned performs a planned stop.
+func (n *node) stopPlanned() {
 	n.stopping = true
 	for len(n.submissions) > 0 {
-		n.finish()
+		n.finishOldest()
 	}
-	_ = n.desk.owner.Stop(context.Background())
-	n.desk.fwd.handOver(context.Background(), append(n.desk.owner.ClosedParts(1<<20), n.desk.fwd.closedStore.ClosedParts()...))
+	_ = n.jobService.owner.Stop(context.Background())
+	n.jobService.fwd.transferClosed(context.Background(), append(n.jobService.owner.ClosedParts(1<<20), n.jobService.fwd.closedStore.ClosedParts()...))
 	n.down = true
 }
 
@@ -192,8 +194,7 @@
 	logDuplicate = "appended twice"
 )
 
-// Resolve drives the real decisions about keys against the fake log, step by
-// step.
+// Resolve runs the real decisions about keys against the fake log, step by step.
 func (n *node) Resolve(_ context.Context, caller, key string) (ticket.JobID, error) {
 	n.readLog()
 	id, p, err := n.keys.Request(n.w.now, caller, key)
@@ -239,28 +240,29 @@
 	}
 }
 
-// forget drops the oldest records of the log.
-func (w *world) forget(n int) {
+// dropRecords drops the n oldest records of the log.
+func (w *world) dropRecords(n int) {
 	n = min(n, len(w.log))
 	w.log = w.log[n:]
 	w.logFirst += ledger.Offset(n)
 }
 
-// holder returns a process other than nodes 0 and 1 that holds something.
+// holder returns a node other than 0 and 1 that holds closed state, or node 0 if none
+// does.
 func (w *world) holder() *node {
 	for _, n := range w.nodes[2:] {
-		if held, _ := n.desk.fwd.closedStore.Stats(); held > 0 {
+		if held, _ := n.jobService.fwd.closedStore.Stats(); held > 0 {
 			return n
 		}
 	}
 	return w.nodes[0]
 }
 
-// Find makes node the roster that it sees.
+// Find makes node its own view of the roster.
 func (n *node) Find(_ time.Time, o ticket.Owner) (roster.Known, bool) {
 	for _, m := range n.w.nodes {
 		if m.self == o {
-			return m.known(), true
+			return m.rosterEntry(), true
 		}
 	}
 	return roster.Known{}, false
@@ -271,13 +273,13 @@
 	var out []roster.Known
 	for _, m := range n.w.nodes {
 		if m != n {
-			out = append(out, m.known())
+			out = append(out, m.rosterEntry())
 		}
 	}
 	return out
 }
 
-func (n *node) known() roster.Known {
+func (n *node) rosterEntry() roster.Known {
 	k := roster.Known{Member: roster.Member{Owner: n.self, Address: n.at}, State: roster.Live}
 	switch {
 	case n.gone:
@@ -288,7 +290,7 @@
 	return k
 }
 
-// Call makes world a network between its nodes.
+// Call makes world the network between its nodes.
 func (w *world) Call(ctx context.Context, to netip.AddrPort, method string, params, result any) error {
 	var n *node
 	for _, m := range w.nodes {
@@ -299,7 +301,7 @@
 	if n == nil {
 		return peer.ErrNotSent
 	}
-	if w.deaf[to] {
+	if w.requestsLost[to] {
 		return peer.ErrLost
 	}
 	raw, err := json.Marshal(params)
@@ -307,7 +309,7 @@
 		return err
 	}
 	out, err := n.serve(ctx, method, raw)
-	if w.mute[to] {
+	if w.answersLost[to] {
 		return peer.ErrLost
 	}
 	if err != nil {
@@ -322,25 +324,25 @@
 }
 
 func (n *node) serve(ctx context.Context, method string, raw []byte) (any, error) {
-	d := n.desk
+	d := n.jobService
 	switch method {
 	case methodSubmit:
-		return on(ctx, raw, d.owner.Submit)
+		return decodeAndCall(ctx, raw, d.owner.Submit)
 	case methodRequest:
-		return on(ctx, raw, d.owner.Request)
+		return decodeAndCall(ctx, raw, d.owner.Request)
 	case methodLookup:
-		return on(ctx, raw, func(_ context.Context, r reference) (job.Answer, error) { return d.owner.Lookup(r.Caller, r.ID) })
+		return decodeAndCall(ctx, raw, func(_ context.Context, r jobReference) (job.Answer, error) { return d.owner.Lookup(r.Caller, r.ID) })
 	case methodFind:
-		return on(ctx, raw, d.fwd.find)
+		return decodeAndCall(ctx, raw, d.fwd.answerSearch)
 	case methodHeld:
-		return on(ctx, raw, d.fwd.answerHeld)
+		return decodeAndCall(ctx, raw, d.fwd.answerHeld)
 	case methodHold:
-		return on(ctx, raw, d.fwd.hold)
+		return decodeAndCall(ctx, raw, d.fwd.holdPart)
 	}
 	return nil, errors.New(method)
 }
 
-func on[P, R any](ctx context.Context, raw []byte, fn func(context.Context, P) (R, error)) (any, error) {
+func decodeAndCall[P, R any](ctx context.Context, raw []byte, fn func(context.Context, P) (R, error)) (any, error) {
 	var p P
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, err
@@ -348,9 +350,9 @@
 	return fn(ctx, p)
 }
 
-// mint takes a ticket of the node.
+// mint takes a ticket from the node.
 func (n *node) mint() ticket.ID {
-	g, err := n.desk.Mint(context.Background(), lake)
+	g, err := n.jobService.Mint(context.Background(), lake)
 	if err != nil {
 		panic(err)
 	}
@@ -361,25 +363,25 @@
 	return id
 }
 
-// put submits an order of one task over the node.
-func (n *node) put(id ticket.JobID, body string) (job.Answer, error) {
+// submitWithID submits an order of one task through the node.
+func (n *node) submitWithID(id ticket.JobID, body string) (job.Answer, error) {
 	s := job.Submission{Caller: lake, ID: id, Spec: job.Spec{Kind: "price", Tasks: []json.RawMessage{json.RawMessage(body)}}}
-	return n.desk.Submit(context.Background(), s)
+	return n.jobService.Submit(context.Background(), s)
 }
 
-// putKey submits the order under a key of the caller's own.
-func (n *node) putKey(key, body string) (job.Answer, error) {
+// submitWithKey submits the order under a key of the caller's own.
+func (n *node) submitWithKey(key, body string) (job.Answer, error) {
 	s := job.Submission{Caller: lake, Key: key, Spec: job.Spec{Kind: "price", Tasks: []json.RawMessage{json.RawMessage(body)}}}
-	return n.desk.Submit(context.Background(), s)
+	return n.jobService.Submit(context.Background(), s)
 }
 
-// keyAt makes the UUIDv7 number n of a time.
-func keyAt(made time.Time, n int) string {
+// uuidAt returns the n-th UUIDv7 of a time.
+func uuidAt(made time.Time, n int) string {
 	ms := made.UnixMilli()
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", ms>>16, ms&0xffff, n)
 }
 
-// code returns the code of a refusal and what it says about "ran".
+// code returns the code of a refusal and its statement whether the work ran.
 func code(err error) (refusal.Code, refusal.Ran) {
 	var r *refusal.Refusal
 	if errors.As(err, &r) {
