--- a/hub/forward_test.go
+++ b/hub/forward_test.go
@@ -45,7 +45,7 @@
 				n.down = true
 			}
 		}, "", ""},
-		{"stopped, gone, all holders deaf", func(w *world, o *node) {
+		{"stopped, gone, all holders unreachable", func(w *world, o *node) {
 			o.stopPlanned()
 			o.gone = true
 			for _, n := range w.nodes {
@@ -123,10 +123,10 @@
 	}
 }
 
-// frozenNet is a network on which no call is answered.
-type frozenNet struct{}
+// hangingNet is a network on which no call is answered.
+type hangingNet struct{}
 
-func (frozenNet) Call(ctx context.Context, _ netip.AddrPort, _ string, _, _ any) error {
+func (hangingNet) Call(ctx context.Context, _ netip.AddrPort, _ string, _, _ any) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -136,15 +136,15 @@
 // be told to retry with the same identity.
 func TestFrozenOwner(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		synctest.Test(t, func(t *testing.T) { frozenOwner(t, gone) })
+		synctest.Test(t, func(t *testing.T) { testFrozenOwner(t, gone) })
 	}
 }
 
-func frozenOwner(t *testing.T, gone bool) {
+func testFrozenOwner(t *testing.T, gone bool) {
 	w := newWorld(2)
 	id := w.nodes[0].mint().Job(0)
 	f := w.nodes[1].jobService.fwd
-	f.net = frozenNet{}
+	f.net = hangingNet{}
 	var err error
 	go func() { _, err = w.nodes[1].submitWithID(id, `1`) }()
 	synctest.Wait()
--- a/hub/handoff.go
+++ b/hub/handoff.go
@@ -94,7 +94,8 @@
 
 // heldOutcome looks for an identity's outcome in the closed state of its owner, in this
 // process and then at the peers that may hold that state. If there is no outcome,
-// conclusive reports whether all of these peers answered that they do not hold it.
+// conclusive reports whether no process holds the state: all peers asked answered so, now
+// or within unheldTTL, or there is no peer to ask because no other member is known.
 func (f *forwarder) heldOutcome(ctx context.Context, q ownerQuery) (out *job.Outcome, conclusive bool) {
 	if o, ok := f.closedStore.Answer(q.caller, q.id, q.digest); ok {
 		return &o, true
--- a/hub/matrix/matrix_test.go
+++ b/hub/matrix/matrix_test.go
@@ -378,7 +378,7 @@
 	for _, s := range w.said[max(0, len(w.said)-retriedIdentities):] {
 		for _, n := range w.hubs {
 			if a := w.ask(n, s.call); !a.isFinal() {
-				w.t.Errorf("%s over %s: no final word: %+v %v", s.identity(), n.ip, a.answer, a.refusal)
+				w.t.Errorf("%s over %s: no final answer: %+v %v", s.identity(), n.ip, a.answer, a.refusal)
 			}
 		}
 	}
--- a/hub/standing.go
+++ b/hub/standing.go
@@ -92,6 +92,8 @@
 	}
 }
 
+// updatePlacement decides whether this process may place work, and logs each change of
+// that.
 func (h *Hub) updatePlacement(resumedAt time.Time) {
 	s := placementState{
 		now:          h.clock.Now(),
