--- a/hub/desk.go
+++ b/hub/desk.go
@@ -27,7 +27,7 @@
 	Resolve(ctx context.Context, caller, key string) (ticket.JobID, error)
 }
 
-// Methods that dispatchers call on each other.
+// Methods that dispatchers call on each other, besides methodTables and methodHandover.
 const (
 	methodHeartbeat = "beat"
 	methodSubmit    = "submit"
--- a/hub/forward.go
+++ b/hub/forward.go
@@ -65,8 +65,7 @@
 
 	mu       sync.Mutex
 	inFlight map[*inFlightCall]struct{}
-	// unheldAt holds, for each owner whose closed state no peer holds, when that was
-	// found.
+	// unheldAt is when an owner's closed state was last found to be held by no process.
 	unheldAt map[ticket.Owner]time.Time
 }
 
--- a/hub/forward_test.go
+++ b/hub/forward_test.go
@@ -208,8 +208,8 @@
 	})
 }
 
-// The only dispatcher of a site was killed and restarted. No other process can know its
-// earlier tickets, so their callers must not be told to retry.
+// The only dispatcher of a deployment was killed and restarted. No other process can know
+// its earlier tickets, so their callers must not be told to retry.
 func TestAlone(t *testing.T) {
 	w := newWorld(1)
 	id := w.nodes[0].mint().Job(0)
--- a/hub/gauges.go
+++ b/hub/gauges.go
@@ -12,12 +12,12 @@
 const gaugeInterval = time.Second
 
 // memoryLimit reports on a limit of memory: it sets a gauge of the current use, and logs
-// an event when the limit was reached since the last update. lastReached is the count at
-// that update.
+// an event when the limit was reached since the last update. timesReached is how often it
+// had been reached by that update.
 type memoryLimit struct {
-	gauge       meter.Name
-	event       event.ID
-	lastReached int64
+	gauge        meter.Name
+	event        event.ID
+	timesReached int64
 }
 
 // updateGauges updates the metrics of what is stored for callers, and logs when a limit
@@ -68,10 +68,10 @@
 	h.meter.Gauge(meter.MembersSuspect, float64(suspect))
 }
 
-func (h *Hub) updateLimit(b *memoryLimit, value, reached int64) {
-	h.meter.Gauge(b.gauge, float64(value))
-	if reached > b.lastReached {
-		b.event.Log(h.log, "times", reached-b.lastReached)
+func (h *Hub) updateLimit(limit *memoryLimit, value, reached int64) {
+	h.meter.Gauge(limit.gauge, float64(value))
+	if reached > limit.timesReached {
+		limit.event.Log(h.log, "times", reached-limit.timesReached)
 	}
-	b.lastReached = reached
+	limit.timesReached = reached
 }
--- a/hub/gauges_test.go
+++ b/hub/gauges_test.go
@@ -18,9 +18,9 @@
 	m := meter.New(100, func() {})
 	defer m.Close()
 	h := &Hub{log: slog.New(slog.NewTextHandler(&out, nil)), meter: m}
-	b := &memoryLimit{gauge: "kept_bytes", event: event.AnswersEvicted}
+	limit := &memoryLimit{gauge: "kept_bytes", event: event.AnswersEvicted}
 	for _, reached := range []int64{0, 3, 3} {
-		h.updateLimit(b, 77, reached)
+		h.updateLimit(limit, 77, reached)
 	}
 	if got := out.String(); strings.Count(got, "event=402") != 1 || !strings.Contains(got, "times=3") {
 		t.Errorf("logged %q", got)
--- a/hub/hub.go
+++ b/hub/hub.go
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// stop ends the callers' requests first, and last the parts that those requests depend
-// on.
+// stop waits for the callers' work first, and last for the hand-overs and peer calls that
+// this work depends on.
 func (h *Hub) stop() {
 	event.ProcessStopping.Log(h.log)
 	h.stopping.Store(true)
--- a/hub/identity_test.go
+++ b/hub/identity_test.go
@@ -200,7 +200,7 @@
 			n.suspect = !n.suspect
 		},
 		"log": func(t *rapid.T) {
-			o.logFault = rapid.SampledFrom([]string{"", "", logDown, logSlow, appendLost, answerLost, logDuplicate}).Draw(t, "fault")
+			o.logFault = rapid.SampledFrom([]string{"", "", logDown, logSlow, appendLost, appendAnswerLost, logDuplicate}).Draw(t, "fault")
 			if rapid.Bool().Draw(t, "forget") {
 				o.dropRecords(rapid.IntRange(1, 5).Draw(t, "records"))
 			}
--- a/hub/log.go
+++ b/hub/log.go
@@ -9,7 +9,8 @@
 	"snipehub.example/meter"
 )
 
-// countedLog counts the calls to the platform's log.
+// countedLog counts the reads of the platform's log and the appends to the stream of
+// claims.
 type countedLog struct {
 	*ledger.Client
 	m *meter.Meter
--- a/hub/matrix/edits_test.go
+++ b/hub/matrix/edits_test.go
@@ -25,7 +25,8 @@
 	leaving bool
 }
 
-// setDesired records the change that the scenario's operator makes.
+// setDesired records the change that the scenario's operator makes, so that raceOperators
+// keeps it.
 func (w *system) setDesired(c change) change {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +87,8 @@
 	return got.Offset, true
 }
 
-func (w *system) apply(r tables.Rows) {
+// appendInitialTables appends the tables with which the system starts.
+func (w *system) appendInitialTables(r tables.Rows) {
 	if _, ok := w.append(ledger.None, r); !ok {
 		w.t.Fatal("the first edit failed")
 	}
--- a/hub/matrix/matrix_test.go
+++ b/hub/matrix/matrix_test.go
@@ -140,8 +140,8 @@
 	return func() { w.serve(k.ip, workerPort, k.w) }
 }
 
-// raceOperators lets two operators change the route from the same version. Other changes
-// stay as they are.
+// raceOperators lets two operators change the route from the same version. Both keep what
+// the scenario's operator has changed in the backend servers.
 func (w *system) raceOperators() func() {
 	var wg sync.WaitGroup
 	for _, p := range []string{"pool-a", "pool-b"} {
@@ -161,12 +161,12 @@
 	return err
 }
 
-// scenario is a sequence of numbered steps, the columns of the matrix. It calls beginStep
-// before each step, where a fault may start.
+// scenario is a sequence of numbered steps, the columns of the matrix. Its run function
+// calls beginStep before each step, where a fault may start.
 type scenario struct {
 	name  string
 	steps []string
-	run   func(w *system, at func(step int), f fault)
+	run   func(w *system, beginStep func(step int), f fault)
 }
 
 var scenarios = []scenario{
@@ -369,13 +369,13 @@
 	}
 }
 
-// retriedIdentities is the number of identities that are requested again at the end.
-const retriedIdentities = 12
+// maxRepeatedCalls bounds the number of recorded calls that are repeated at the end.
+const maxRepeatedCalls = 12
 
 // checkServes checks that a caller that retries gets a final answer for its identity, and
 // that new jobs are done.
 func (w *system) checkServes() {
-	for _, s := range w.said[max(0, len(w.said)-retriedIdentities):] {
+	for _, s := range w.said[max(0, len(w.said)-maxRepeatedCalls):] {
 		for _, n := range w.hubs {
 			if a := w.ask(n, s.call); !a.isFinal() {
 				w.t.Errorf("%s over %s: no final answer: %+v %v", s.identity(), n.ip, a.answer, a.refusal)
--- a/hub/matrix/system_test.go
+++ b/hub/matrix/system_test.go
@@ -43,8 +43,10 @@
 	hc      *http.Client
 	logs    *lockedBuffer
 
+	// starting guards hubs and is held while a process is restarted.
 	starting sync.Mutex
-	// desired is the latest change that the scenario's operator made.
+	// desired is the change that the scenario's operator makes to the backend servers,
+	// or zero if there is none. It is guarded by mu.
 	desired change
 
 	mu      sync.Mutex
@@ -117,7 +119,7 @@
 		w.workers = append(w.workers, k)
 	}
 	w.putVMs()
-	w.apply(w.rows(change{pool: "pool-a"}))
+	w.appendInitialTables(w.rows(change{pool: "pool-a"}))
 	for i := range hubCount {
 		w.hubs = append(w.hubs, w.startHub(i))
 	}
@@ -259,6 +261,7 @@
 	}
 	w.hc.CloseIdleConnections()
 	w.net.Close()
-	// The fake clock stops once the test function has returned.
+	// The fake clock stops once the test function has returned: goroutines that still wait
+	// for a timer would never end, so let a minute pass first.
 	time.Sleep(time.Minute)
 }
--- a/hub/members.go
+++ b/hub/members.go
@@ -55,7 +55,8 @@
 	id.Log(h.log, "owner", c.Owner, "address", c.Address, "state", c.State)
 }
 
-// registerMemberMethods registers the methods that serve the rosters and tables of peers.
+// registerMemberMethods registers the methods by which peers send heartbeats and fetch the
+// tables.
 func (h *Hub) registerMemberMethods() {
 	peer.Handle(h.peers, methodHeartbeat, func(_ context.Context, b roster.Beat) (roster.Beat, error) {
 		return h.roster.Answer(h.clock.Now(), b), nil
@@ -65,12 +66,12 @@
 	})
 }
 
-// searchInterval is the interval between heartbeats while no other member is known: until
-// one is, no other process can find the tickets that this process mints.
-const searchInterval = 100 * time.Millisecond
+// aloneHeartbeatInterval is the longest interval between heartbeats while no other member
+// is known: until one is, no other process can find the tickets that this process mints.
+const aloneHeartbeatInterval = 100 * time.Millisecond
 
 func (h *Hub) runHeartbeats(ctx context.Context) error {
-	sub := h.clock.Subscribe(min(searchInterval, h.cfg.Peers.Heartbeat.D()))
+	sub := h.clock.Subscribe(min(aloneHeartbeatInterval, h.cfg.Peers.Heartbeat.D()))
 	defer sub.Stop()
 	var next time.Time
 	for {
--- a/hub/world_test.go
+++ b/hub/world_test.go
@@ -136,7 +136,7 @@
 	w.mu.Unlock()
 }
 
-// Submit makes node a dispatcher's queue that records starts.
+// Submit stands in for the dispatcher's queue, and records starts.
 func (n *node) Submit(s dispatch.Submission) error {
 	if n.panics {
 		panic("broken")
@@ -187,11 +187,11 @@
 
 // The faults of the log.
 const (
-	logDown      = "down"
-	logSlow      = "slow"
-	appendLost   = "append lost"
-	answerLost   = "answer lost"
-	logDuplicate = "appended twice"
+	logDown          = "down"
+	logSlow          = "slow"
+	appendLost       = "append lost"
+	appendAnswerLost = "answer lost"
+	logDuplicate     = "appended twice"
 )
 
 // Resolve runs the real decisions about keys against the fake log, step by step.
@@ -235,7 +235,7 @@
 			w.log = append(w.log, ledger.Record{Offset: w.logFirst + ledger.Offset(len(w.log)), At: w.now, Data: record})
 		}
 	}
-	if n != 1 || w.logFault == answerLost {
+	if n != 1 || w.logFault == appendAnswerLost {
 		keys.AppendFailed(batch)
 	}
 }
@@ -258,7 +258,7 @@
 	return w.nodes[0]
 }
 
-// Find makes node its own view of the roster.
+// Find implements members. All nodes see the same state of a member.
 func (n *node) Find(_ time.Time, o ticket.Owner) (roster.Known, bool) {
 	for _, m := range n.w.nodes {
 		if m.self == o {
@@ -290,7 +290,7 @@
 	return k
 }
 
-// Call makes world the network between its nodes.
+// Call implements peerClient: world is the network between its nodes.
 func (w *world) Call(ctx context.Context, to netip.AddrPort, method string, params, result any) error {
 	var n *node
 	for _, m := range w.nodes {
