--- a/model/bound.go
+++ b/model/bound.go
@@ -130,8 +130,8 @@
 	for _, j := range jobs {
 		cl := b.w.cfg.Classes[j.class]
 		weight := cl.weight(j)
-		if !j.leaves.IsZero() {
-			if _, ok := b.span(j, j.leaves, outages); ok {
+		if !j.abandonsAt.IsZero() {
+			if _, ok := b.span(j, j.abandonsAt, outages); ok {
 				earned += cl.Worth * weight
 				owed += cl.Worth * weight
 			}
@@ -162,7 +162,7 @@
 // demand is what a job takes of a view's machine if it has so much time. A run that fails
 // takes nothing, as if it always met a worker on which it fails at once.
 func (v view) demand(j *job, d time.Duration) float64 {
-	if j.hopeless {
+	if j.alwaysFails {
 		return 0
 	}
 	total := time.Duration(0)
@@ -186,7 +186,7 @@
 	begin += w.cfg.Caller + w.cfg.Near
 	end -= w.cfg.Caller + w.cfg.Near
 	longest := time.Duration(0)
-	if !j.hopeless {
+	if !j.alwaysFails {
 		longest = slices.Max(j.work)
 	}
 	ok := begin+time.Duration(float64(longest)/w.fastest()) <= end
@@ -200,7 +200,7 @@
 	for at := begin; at < last; {
 		i := int(at / slot)
 		if !t.upAt(i) {
-			at += resendAfter
+			at += resendDelay
 			continue
 		}
 		first = min(first, at)
@@ -210,7 +210,7 @@
 		lost := time.Duration(i) * slot
 		end = min(last, lost)
 		// The loss was up to a slot earlier.
-		at = max(at, lost-slot) + resendAfter
+		at = max(at, lost-slot) + resendDelay
 	}
 	return first, end
 }
--- a/model/caller.go
+++ b/model/caller.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// resendAfter is when a caller sends a job again that got no answer.
-	resendAfter = 1300 * time.Millisecond
-	// patience is how long a caller waits beyond three times the objective.
-	patience = 1500 * time.Millisecond
-	// lateFactor is how many objectives late may be.
+	// resendDelay is the time after which a caller resubmits a job that got no answer.
+	resendDelay = 1300 * time.Millisecond
+	// extraTimeout is how long a caller waits beyond lateFactor (three) times the objective.
+	extraTimeout = 1500 * time.Millisecond
+	// lateFactor is the multiple of the objective up to which a late answer still has a value.
 	lateFactor = 3
 )
 
-// job is a request of a caller.
+// job is a request of a caller, with the caller's state.
 type job struct {
 	id        string
 	class     int
@@ -31,58 +31,59 @@
 	cpu       int
 	work      []time.Duration
 	fails     []int
-	est       time.Duration
+	estimate  time.Duration
 	objective time.Duration
-	until     time.Time
-	// leaves is when the caller gives up, zero if it stays.
-	leaves time.Time
-	// hopeless tells that no run of it can succeed: its failure is the right answer.
-	hopeless bool
-	tries    int
-	started  bool
-	// refusals counts the answers that said "not run".
-	refusals int
-	answer   entry.Status
-	took     time.Duration
-	over     bool
+	deadline  time.Time
+	// abandonsAt is when the caller gives up early; zero if it does not.
+	abandonsAt time.Time
+	// alwaysFails is set if no run of the job can succeed, so that a failure is the right answer.
+	alwaysFails bool
+	tries       int
+	started     bool
+	// refusals counts the answers that refused the job.
+	refusals     int
+	answer       entry.Status
+	responseTime time.Duration
+	finished     bool
 }
 
-// lognormal draws a value with a mean and a spread, at most most.
-func (w *World) lognormal(mean, spread, most float64) float64 {
+// lognormal draws a log-normal value with a mean and a standard deviation of its logarithm,
+// capped at limit.
+func (w *World) lognormal(mean, spread, limit float64) float64 {
 	v := mean * math.Exp(spread*w.rnd.NormFloat64()-spread*spread/2)
-	return min(v, most)
+	return min(v, limit)
 }
 
-// makeJobs plans all requests of the day, whatever becomes of them.
+// makeJobs draws all requests of the day in advance, independently of how they are served.
 func (w *World) makeJobs() {
 	for c, cl := range w.cfg.Classes {
-		most := cl.PerSecond * w.cfg.Load
+		peakRate := cl.PerSecond * w.cfg.Load
 		for _, b := range w.cfg.Bursts {
-			most *= max(b.Times, 1)
+			peakRate *= max(b.Times, 1)
 		}
 		for _, dc := range w.cfg.DataCenters {
-			most *= 1 + dc.Wave.Swing
+			peakRate *= 1 + dc.Wave.Swing
 		}
 		for t := time.Duration(0); ; {
-			t += time.Duration(w.rnd.ExpFloat64() / most * float64(time.Second))
+			t += time.Duration(w.rnd.ExpFloat64() / peakRate * float64(time.Second))
 			if t > w.cfg.Length {
 				break
 			}
-			if w.rnd.Float64()*most < w.rate(cl, t) {
+			if w.rnd.Float64()*peakRate < w.rate(cl, t) {
 				w.addJob(c, t)
 			}
 		}
 	}
 	slices.SortFunc(w.jobs, func(a, b *job) int { return a.sent.Compare(b.sent) })
 	for i, j := range w.jobs {
-		w.change(j)
+		w.applyChanges(j)
 		j.id = fmt.Sprintf("%016x", i+1)
-		w.byJob[j.id] = j
+		w.jobsByID[j.id] = j
 		w.at(j.sent, func() { w.submit(j) })
 	}
 }
 
-// rate is the rate of a class at a time.
+// rate returns the request rate of a class at a time.
 func (w *World) rate(cl Class, t time.Duration) float64 {
 	r := cl.PerSecond * w.cfg.Load
 	for _, b := range w.cfg.Bursts {
@@ -93,7 +94,8 @@
 	return r * w.swing(t)
 }
 
-// swing is how the callers of all data centres together swing, 1 if none do.
+// swing returns the total weight of all data centres' callers at a time relative to its mean,
+// or 1 if no data centre has a wave.
 func (w *World) swing(t time.Duration) float64 {
 	usual, now, swings := 0.0, 0.0, false
 	for _, dc := range w.cfg.DataCenters {
@@ -109,7 +111,7 @@
 
 func (w *World) addJob(c int, at time.Duration) {
 	cl := w.cfg.Classes[c]
-	j := &job{class: c, dc: w.callerPlace(at), sent: w.start.Add(at)}
+	j := &job{class: c, dc: w.drawDataCenter(at), sent: w.start.Add(at)}
 	j.width = max(1, int(math.Round(w.lognormal(float64(cl.Width), cl.Spread, float64(cl.WidthMost)))))
 	j.cpu = int(w.lognormal(float64(cl.CPU), cl.Spread/2, float64(cl.CPUMost)))
 	mean := w.lognormal(float64(cl.Work), cl.Spread, float64(cl.WorkMost))
@@ -124,13 +126,13 @@
 		}
 		j.fails = append(j.fails, fails)
 	}
-	j.est = time.Duration(w.lognormal(mean, cmp.Or(cl.Misjudged, cl.Spread), 10*mean))
+	j.estimate = time.Duration(w.lognormal(mean, cmp.Or(cl.Misjudged, cl.Spread), 10*mean))
 	j.objective = time.Duration(cl.Stretch*float64(longest)) + cl.Objective
-	j.until = j.sent.Add(patience + lateFactor*j.objective)
+	j.deadline = j.sent.Add(extraTimeout + lateFactor*j.objective)
 	w.jobs = append(w.jobs, j)
 }
 
-func (w *World) callerPlace(at time.Duration) string {
+func (w *World) drawDataCenter(at time.Duration) string {
 	sum := 0.0
 	for _, dc := range w.cfg.DataCenters {
 		sum += dc.callers(at)
@@ -144,14 +146,15 @@
 	return w.cfg.DataCenters[0].Name
 }
 
-// textOf is a job's text: no two jobs have the same.
-func (w *World) textOf(j *job) string {
-	return (j.id + w.text)[:max(len(j.id), w.cfg.Classes[j.class].Text)]
+// specOf returns the spec of a job. It begins with the job's ID, so no two jobs have the same one.
+func (w *World) specOf(j *job) string {
+	return (j.id + w.specFiller)[:max(len(j.id), w.cfg.Classes[j.class].Text)]
 }
 
-// task finds the job of a task and the task's place in it, false if no caller sent one.
-func (w *World) task(t lease.Task) (j *job, place int, ok bool) {
-	j = w.byJob[t.Job()]
+// task returns the job of a task and the index of the task in it. ok is false if no caller has
+// submitted such a task.
+func (w *World) task(t lease.Task) (j *job, index int, ok bool) {
+	j = w.jobsByID[t.Job()]
 	if j == nil || j.tries == 0 {
 		return nil, 0, false
 	}
@@ -163,18 +166,18 @@
 	return nil, 0, false
 }
 
-// told checks that a caller has sent what a worker is told to start.
-func (w *World) told(x *worker, c lease.StartCall) {
+// checkStart checks that a caller has submitted the task that a worker is told to start.
+func (w *World) checkStart(x *worker, c lease.StartCall) {
 	j, _, ok := w.task(c.Task)
 	switch {
 	case !ok:
 		w.broken("UNASKED: %s run %d on %s, which no caller has sent", c.Task, c.Number, x.ID)
-	case c.Spec != w.textOf(j):
+	case c.Spec != w.specOf(j):
 		w.broken("UNASKED: %s run %d on %s, attempt %d, with %d bytes of another text", c.Task, c.Number, x.ID, c.Attempt, len(c.Spec))
 	}
 }
 
-// work returns the time of a run at speed 1, and whether it fails.
+// work returns the duration of a run at speed 1 and whether the run fails.
 func (w *World) work(r lease.Run) (time.Duration, bool) {
 	j, i, ok := w.task(r.Task)
 	if !ok {
@@ -187,10 +190,11 @@
 	return j.work[i], false
 }
 
-// pick returns a process for a caller: one of its data centre that is up, else any.
-func (w *World) pick(j *job) *vm {
+// pickVM draws a VM whose process takes callers for a job: one in the caller's data centre if
+// there is any, else one elsewhere. It returns nil if there is none.
+func (w *World) pickVM(j *job) *vm {
 	var near, all []*vm
-	for _, n := range w.nodes {
+	for _, n := range w.vms {
 		if !n.up || n.leaving {
 			continue
 		}
@@ -209,19 +213,19 @@
 }
 
 func (w *World) submit(j *job) {
-	if j.over || !w.now.Before(j.until) || j.gone(w.now) {
+	if j.finished || !w.now.Before(j.deadline) || j.abandoned(w.now) {
 		return
 	}
 	j.tries++
 	try := j.tries
-	n := w.pick(j)
+	n := w.pickVM(j)
 	if n == nil {
 		w.resend(j, try)
 		return
 	}
 	w.after(w.cfg.Caller, func() {
 		size := callerBytes + w.cfg.Classes[j.class].Text
-		w.after(w.pass(&n.in, size), func() { w.arrive(j, n, try) })
+		w.after(w.transmit(&n.in, size), func() { w.arrive(j, n, try) })
 	})
 }
 
@@ -230,17 +234,17 @@
 		w.resend(j, try)
 		return
 	}
-	n.last++
-	id := n.last
+	n.lastWaiter++
+	id := n.lastWaiter
 	boots := n.boots
 	cl := w.cfg.Classes[j.class]
 	q, _ := w.catalog.Queue(cl.Name)
 	r := entry.Request{
 		ID:      j.id,
 		Queue:   q,
-		Spec:    w.textOf(j),
-		Timeout: j.until.Sub(w.now),
-		Steps:   []entry.Step{{Count: j.width, Resources: lease.Resources{CPU: j.cpu, Memory: cl.Memory}, Estimate: j.est}},
+		Spec:    w.specOf(j),
+		Timeout: j.deadline.Sub(w.now),
+		Steps:   []entry.Step{{Count: j.width, Resources: lease.Resources{CPU: j.cpu, Memory: cl.Memory}, Estimate: j.estimate}},
 	}
 	n.waiters[id] = func(a entry.Answer) { w.after(w.cfg.Caller, func() { w.answered(j, a, try) }) }
 	if catalogVersion(n) == 0 {
@@ -249,38 +253,38 @@
 		return
 	}
 	n.do(func(now time.Time) { n.core.Submit(now, id, r) })
-	leave := j.until
-	if !j.leaves.IsZero() {
-		leave = j.leaves
+	abandonsBy := j.deadline
+	if !j.abandonsAt.IsZero() {
+		abandonsBy = j.abandonsAt
 	}
-	w.at(leave, func() {
-		if n.boots == boots && !j.over {
+	w.at(abandonsBy, func() {
+		if n.boots == boots && !j.finished {
 			delete(n.waiters, id)
 			n.do(func(now time.Time) { n.core.CallerLeft(now, id) })
 		}
 	})
-	w.watch(j, n, boots, try)
+	w.watchConnection(j, n, boots, try)
 }
 
 func catalogVersion(n *vm) catalog.Version { return n.core.Self().Catalog }
 
-// watch has the caller notice a process that ends: its connection breaks.
-func (w *World) watch(j *job, n *vm, boots uint64, try int) {
-	if j.over || j.tries != try || !w.now.Before(j.until) {
+// watchConnection resubmits the job when its process ends, which breaks the caller's connection.
+func (w *World) watchConnection(j *job, n *vm, boots uint64, try int) {
+	if j.finished || j.tries != try || !w.now.Before(j.deadline) {
 		return
 	}
 	if n.boots != boots || !n.up {
 		w.resend(j, try)
 		return
 	}
-	w.after(5*time.Millisecond, func() { w.watch(j, n, boots, try) })
+	w.after(5*time.Millisecond, func() { w.watchConnection(j, n, boots, try) })
 }
 
 func (w *World) resend(j *job, try int) {
 	if j.tries != try {
 		return
 	}
-	w.after(resendAfter, func() {
+	w.after(resendDelay, func() {
 		if j.tries == try {
 			w.submit(j)
 		}
@@ -288,7 +292,7 @@
 }
 
 func (w *World) answered(j *job, a entry.Answer, try int) {
-	if j.over || j.tries != try {
+	if j.finished || j.tries != try {
 		return
 	}
 	switch a.Status {
@@ -296,8 +300,8 @@
 		w.resend(j, try)
 	case entry.Refused:
 		j.refusals++
-		j.over, j.answer = true, a.Status
+		j.finished, j.answer = true, a.Status
 	default:
-		j.over, j.answer, j.took = true, a.Status, w.now.Sub(j.sent)
+		j.finished, j.answer, j.responseTime = true, a.Status, w.now.Sub(j.sent)
 	}
 }
--- a/model/day.go
+++ b/model/day.go
@@ -28,9 +28,9 @@
 			n := int(cfg.Seed) * 7
 			cfg.Faults = []Fault{
 				{5 * time.Second, Crash(n, 7, 4*time.Second)},
-				{7 * time.Second, Fail(n+12, 4, 5*time.Second)},
-				{10 * time.Second, Hang(n+20, 4, 3*time.Second)},
-				{12 * time.Second, Slow(n+30, 6, 5, 3*time.Second)},
+				{7 * time.Second, FailNewTasks(n+12, 4, 5*time.Second)},
+				{10 * time.Second, HangTasks(n+20, 4, 3*time.Second)},
+				{12 * time.Second, SlowNewTasks(n+30, 6, 5, 3*time.Second)},
 			}
 		},
 	},
--- a/model/fault.go
+++ b/model/fault.go
@@ -4,39 +4,39 @@
 	"time"
 )
 
-// Fault is something that happens to a day, at a time from the first request.
+// Fault is an event that changes the simulation. At counts from the first request.
 type Fault struct {
 	At time.Duration
 	Do func(w *World)
 }
 
-// Kill ends a process; it starts again after a while. Its peers see its
-// connections close.
+// Kill returns a fault that ends the process of a VM and restarts it after down. Its peers see
+// their connections close. VM and worker indexes of faults wrap around.
 func Kill(vm int, down time.Duration) func(*World) {
-	return func(w *World) { w.kill(w.nodes[vm%len(w.nodes)], down, reset) }
+	return func(w *World) { w.kill(w.vms[vm%len(w.vms)], down, reset) }
 }
 
-// PowerOff is Kill without a word: the peers see silence.
+// PowerOff is like Kill, but the peers see only silence.
 func PowerOff(vm int, down time.Duration) func(*World) {
-	return func(w *World) { w.kill(w.nodes[vm%len(w.nodes)], down, silent) }
+	return func(w *World) { w.kill(w.vms[vm%len(w.vms)], down, silent) }
 }
 
-// PowerOffAll takes the power of all VMs.
+// PowerOffAll powers off all VMs. Each restarts up to 300 ms after down.
 func PowerOffAll(down time.Duration) func(*World) {
 	return func(w *World) {
-		for _, n := range w.nodes {
+		for _, n := range w.vms {
 			w.kill(n, down+time.Duration(w.rnd.IntN(300))*time.Millisecond, silent)
 		}
 	}
 }
 
-func (w *World) kill(n *vm, down time.Duration, how ending) {
+func (w *World) kill(n *vm, down time.Duration, how endMode) {
 	if !n.up {
 		return
 	}
-	for _, o := range w.nodes {
+	for _, o := range w.vms {
 		if o != n {
-			w.part(n, o, how)
+			w.disconnect(n, o, how)
 		}
 	}
 	n.up = false
@@ -48,34 +48,34 @@
 	})
 }
 
-// Freeze stops a process for a while.
+// Freeze suspends a process for d.
 func Freeze(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
-		n := w.nodes[vm%len(w.nodes)]
-		if !n.up || n.frozen {
+		n := w.vms[vm%len(w.vms)]
+		if !n.up || n.suspended {
 			return
 		}
-		n.frozen = true
-		for _, o := range w.nodes {
+		n.suspended = true
+		for _, o := range w.vms {
 			if o != n {
-				w.part(n, o, silent)
+				w.disconnect(n, o, silent)
 			}
 		}
 		boots := n.boots
 		w.after(d, func() {
 			if n.boots == boots {
-				n.thaw(d)
+				n.resume(d)
 			}
 		})
 	}
 }
 
-// frozenAfter is the pause that a process notices.
-const frozenAfter = 500 * time.Millisecond
+// noticedPause is the length of a pause beyond which a process notices it.
+const noticedPause = 500 * time.Millisecond
 
-func (n *vm) thaw(d time.Duration) {
-	n.frozen = false
-	if d > frozenAfter {
+func (n *vm) resume(d time.Duration) {
+	n.suspended = false
+	if d > noticedPause {
 		n.do(func(now time.Time) { n.core.Resumed(now) })
 	}
 	backlog := n.backlog
@@ -85,33 +85,33 @@
 	}
 }
 
-// Cut separates a VM from all others; callers and workers still reach it.
+// Cut isolates a VM from all other VMs; callers and workers still reach it.
 func Cut(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
-		n := w.nodes[vm%len(w.nodes)]
-		n.cut = true
-		for _, o := range w.nodes {
+		n := w.vms[vm%len(w.vms)]
+		n.isolated = true
+		for _, o := range w.vms {
 			if o != n {
-				w.part(n, o, silent)
+				w.disconnect(n, o, silent)
 			}
 		}
-		w.after(d, func() { n.cut = false })
+		w.after(d, func() { n.isolated = false })
 	}
 }
 
-// Reset breaks all sessions of a VM once.
+// Reset resets all sessions of a VM once.
 func Reset(vm int) func(*World) {
 	return func(w *World) {
-		n := w.nodes[vm%len(w.nodes)]
-		for _, o := range w.nodes {
+		n := w.vms[vm%len(w.vms)]
+		for _, o := range w.vms {
 			if o != n {
-				w.part(n, o, reset)
+				w.disconnect(n, o, reset)
 			}
 		}
 	}
 }
 
-// StoreDown takes the store away.
+// StoreDown makes the store unreachable for all processes.
 func StoreDown(d time.Duration) func(*World) {
 	return func(w *World) {
 		w.storeDown = true
@@ -119,7 +119,7 @@
 	}
 }
 
-// Crash ends workers; they start again after a while, empty.
+// Crash ends workers; they restart empty after down.
 func Crash(first, count int, down time.Duration) func(*World) {
 	return func(w *World) {
 		for i := range count {
@@ -133,39 +133,39 @@
 	}
 }
 
-// CutWorkers has workers run on out of reach.
+// CutWorkers makes workers unreachable while they keep running.
 func CutWorkers(first, count int, d time.Duration) func(*World) {
-	return each(first, count, d, func(x *worker) { x.reachable = false }, func(x *worker) { x.reachable = true })
+	return onWorkers(first, count, d, func(x *worker) { x.reachable = false }, func(x *worker) { x.reachable = true })
 }
 
-// Fail has workers fail every task.
-func Fail(first, count int, d time.Duration) func(*World) {
-	return each(first, count, d, func(x *worker) { x.health = failing }, func(x *worker) { x.health = well })
+// FailNewTasks makes workers fail every task that begins.
+func FailNewTasks(first, count int, d time.Duration) func(*World) {
+	return onWorkers(first, count, d, func(x *worker) { x.health = failing }, func(x *worker) { x.health = healthy })
 }
 
-// Hang has tasks on workers stand still.
-func Hang(first, count int, d time.Duration) func(*World) {
-	return each(first, count, d, func(x *worker) { x.health = hanging }, func(x *worker) { x.health = well })
+// HangTasks prevents tasks on workers from ending until d has passed.
+func HangTasks(first, count int, d time.Duration) func(*World) {
+	return onWorkers(first, count, d, func(x *worker) { x.health = hanging }, func(x *worker) { x.health = healthy })
 }
 
-// Shed has workers refuse every start.
+// Shed makes workers refuse every start.
 func Shed(first, count int, d time.Duration) func(*World) {
-	return each(first, count, d, func(x *worker) { x.health = shedding }, func(x *worker) { x.health = well })
+	return onWorkers(first, count, d, func(x *worker) { x.health = refusing }, func(x *worker) { x.health = healthy })
 }
 
-// Slow has tasks on workers take times as long.
-func Slow(first, count int, times float64, d time.Duration) func(*World) {
-	return each(first, count, d, func(x *worker) { x.slow = times }, func(x *worker) { x.slow = 1 })
+// SlowNewTasks multiplies the duration of tasks that begin on workers by factor.
+func SlowNewTasks(first, count int, factor float64, d time.Duration) func(*World) {
+	return onWorkers(first, count, d, func(x *worker) { x.slowdown = factor }, func(x *worker) { x.slowdown = 1 })
 }
 
-// Lose has a share of the calls to workers carried out seconds late.
+// Lose makes a share of the calls to workers execute seconds late and without an answer.
 func Lose(share float64, d time.Duration) func(*World) {
 	return func(w *World) {
-		each(0, len(w.workers), d, func(x *worker) { x.lose = share }, func(x *worker) { x.lose = 0 })(w)
+		onWorkers(0, len(w.workers), d, func(x *worker) { x.lateCallShare = share }, func(x *worker) { x.lateCallShare = 0 })(w)
 	}
 }
 
-func each(first, count int, d time.Duration, begin, end func(x *worker)) func(*World) {
+func onWorkers(first, count int, d time.Duration, begin, end func(x *worker)) func(*World) {
 	return func(w *World) {
 		for i := range count {
 			x := w.workers[(first+i)%len(w.workers)]
--- a/model/faults_test.go
+++ b/model/faults_test.go
@@ -63,10 +63,10 @@
 		func() func(*World) { return StoreDown(span()) },
 		func() func(*World) { return Crash(wk(), 1+rnd.IntN(8), span()) },
 		func() func(*World) { return CutWorkers(wk(), 1+rnd.IntN(8), span()) },
-		func() func(*World) { return Fail(wk(), 1+rnd.IntN(5), span()) },
-		func() func(*World) { return Hang(wk(), 1+rnd.IntN(5), span()) },
+		func() func(*World) { return FailNewTasks(wk(), 1+rnd.IntN(5), span()) },
+		func() func(*World) { return HangTasks(wk(), 1+rnd.IntN(5), span()) },
 		func() func(*World) { return Shed(wk(), 1+rnd.IntN(5), span()) },
-		func() func(*World) { return Slow(wk(), 1+rnd.IntN(8), 2+4*rnd.Float64(), span()) },
+		func() func(*World) { return SlowNewTasks(wk(), 1+rnd.IntN(8), 2+4*rnd.Float64(), span()) },
 		func() func(*World) { return Lose(0.1*rnd.Float64(), span()) },
 		func() func(*World) { return PowerOffAll(span()) },
 	}
@@ -95,7 +95,7 @@
 	t.Parallel()
 	for i := range *days / 2 {
 		cfg := drawnDay(*first + uint64(i))
-		cfg.Crossing = 0.2
+		cfg.DelayedCallShare = 0.2
 		r := play(t, cfg)
 		t.Logf("seed %d: worth %.3f worst %.3f waste %.1f s", cfg.Seed, r.Worth, r.Worst, r.Waste.Seconds())
 	}
@@ -107,7 +107,7 @@
 // and its tasks run twice at once.
 func TestOwnerThenHolderWithoutPower(t *testing.T) {
 	cfg := drawnDay(100054)
-	cfg.Crossing = 0.2
+	cfg.DelayedCallShare = 0.2
 	play(t, cfg)
 }
 
--- a/model/grown_test.go
+++ b/model/grown_test.go
@@ -29,7 +29,7 @@
 		cfg := grown()
 		cfg.Seed, cfg.Length, cfg.Tail, cfg.Load = 1, 6*time.Second, time.Second, 1.5
 		cfg.Bursts = []Burst{{At: 500 * time.Millisecond, For: 4 * time.Second, Times: 1.3}}
-		cfg.Faults = []Fault{{2 * time.Second, Slow(3, 80, 8, 3*time.Second)}}
+		cfg.Faults = []Fault{{2 * time.Second, SlowNewTasks(3, 80, 8, 3*time.Second)}}
 		r := New(cfg).Run()
 		b.ReportMetric(r.Worth, "worth")
 		b.ReportMetric(r.Worst, "worst")
--- a/model/link.go
+++ b/model/link.go
@@ -7,143 +7,151 @@
 	"snipehub.example/node"
 )
 
-// link is a session between two processes.
-type link struct {
-	session uint64
-	a, b    *vm
-	aBoots  uint64
-	bBoots  uint64
-	// quiet is since when nothing gets through, zero while messages do; stalled are those
-	// that arrive if it goes on after all.
-	quiet   time.Time
-	stalled []func()
-	// aLate and bLate tell that this side has been told so.
-	aLate, bLate bool
-	// aOver and bOver tell that the session is over for that side.
-	aOver, bOver bool
-}
-
-// over tells whether the session is over for one side at least: what the other one still
+// session is a session between the processes a and b.
+type session struct {
+	number uint64
+	a, b   *vm
+	aBoots uint64
+	bBoots uint64
+	// silentSince is when messages stopped getting through, zero while they do. undelivered
+	// holds the messages that are delivered if the session recovers.
+	silentSince time.Time
+	undelivered []func()
+	// aOverdue and bOverdue are set once this side was notified of an overdue heartbeat.
+	aOverdue, bOverdue bool
+	// aEnded and bEnded are set once the session has ended for that side.
+	aEnded, bEnded bool
+}
+
+// ended reports whether the session has ended for at least one side. What the other side still
 // sends is lost.
-func (l *link) over() bool { return l.aOver || l.bOver }
+func (l *session) ended() bool { return l.aEnded || l.bEnded }
 
-// deliver passes a message on when it arrives.
-func (l *link) deliver(f func()) {
+// deliver handles the arrival of a message: it runs f, keeps f while the session is silent, or
+// drops it if the session has ended.
+func (l *session) deliver(f func()) {
 	switch {
-	case l.over():
-	case !l.quiet.IsZero():
-		l.stalled = append(l.stalled, f)
+	case l.ended():
+	case !l.silentSince.IsZero():
+		l.undelivered = append(l.undelivered, f)
 	default:
 		f()
 	}
 }
 
-// ending is how processes come to notice that a session has ended.
-type ending int
+// endMode is how processes notice the end of a session.
+type endMode int
 
 const (
 	// reset: the connection is closed, and both sides notice at once.
-	reset ending = iota + 1
-	// silent: a side that watches the other one notices after a while, one that does not
-	// much later, or when the other one connects anew. If neither has when messages get
-	// through again, the session goes on.
+	reset endMode = iota + 1
+	// silent: a side that watches the other one notices after watchedSessionTimeout, one that
+	// does not after the much longer mesh.IdleSessionTimeout or when the other one reconnects.
+	// If neither has noticed when messages get through again, the session goes on.
 	silent
 )
 
-func pair(a, b *vm) [2]int { return [2]int{min(a.index, b.index), max(a.index, b.index)} }
+func sessionKey(a, b *vm) [2]int { return [2]int{min(a.index, b.index), max(a.index, b.index)} }
 
-// reach tells whether packets get from one VM to another.
-func (w *World) reach(a, b *vm) bool {
-	return a.up && b.up && !a.frozen && !b.frozen && !a.cut && !b.cut && !w.severed(a.dc, b.dc)
+// canReach reports whether packets get from one VM to another.
+func (w *World) canReach(a, b *vm) bool {
+	return a.up && b.up && !a.suspended && !b.suspended && !a.isolated && !b.isolated && !w.partitioned(a.dc, b.dc)
 }
 
-// severed tells whether one of two data centres is cut off from the other.
-func (w *World) severed(a, b string) bool { return a != b && (w.apart[a] || w.apart[b]) }
+// partitioned reports whether two data centres are cut off from each other.
+func (w *World) partitioned(a, b string) bool {
+	return a != b && (w.isolatedDCs[a] || w.isolatedDCs[b])
+}
 
-// meet begins a session between two processes that reach each other.
-func (w *World) meet(a, b *vm) {
-	k := pair(a, b)
-	old := w.links[k]
-	if old != nil && !old.over() || !w.reach(a, b) {
+// connect begins a session between two processes that can reach each other and have none.
+func (w *World) connect(a, b *vm) {
+	k := sessionKey(a, b)
+	old := w.sessions[k]
+	if old != nil && !old.ended() || !w.canReach(a, b) {
 		return
 	}
 	if old != nil {
-		w.tellDown(old)
+		w.endSession(old)
 	}
-	w.last++
-	l := &link{session: w.last, a: a, b: b, aBoots: a.boots, bBoots: b.boots}
-	w.links[k] = l
+	w.lastSession++
+	l := &session{number: w.lastSession, a: a, b: b, aBoots: a.boots, bBoots: b.boots}
+	w.sessions[k] = l
 	for _, e := range [][2]*vm{{a, b}, {b, a}} {
 		self, other := e[0], e[1]
 		m := other.core.Self()
 		w.after(w.delay(a.dc, b.dc), func() {
-			self.on(l, func(now time.Time) { self.core.MemberUp(now, m, l.session) })
+			self.on(l, func(now time.Time) { self.core.MemberUp(now, m, l.number) })
 		})
 	}
 }
 
-// on has a process do something that belongs to a session, if neither the process
-// nor the session has ended.
-func (n *vm) on(l *link, f func(now time.Time)) {
+// on runs f in a process on behalf of a session, unless the process was restarted since the
+// session began.
+func (n *vm) on(l *session, f func(now time.Time)) {
 	if l.a == n && l.aBoots != n.boots || l.b == n && l.bBoots != n.boots {
 		return
 	}
 	n.do(f)
 }
 
-// part ends the session between two VMs, or has it fall silent.
-func (w *World) part(a, b *vm, how ending) {
-	l := w.links[pair(a, b)]
-	if l == nil || l.over() {
+// disconnect ends the session between two VMs, or makes it fall silent.
+func (w *World) disconnect(a, b *vm, how endMode) {
+	l := w.sessions[sessionKey(a, b)]
+	if l == nil || l.ended() {
 		return
 	}
-	if l.quiet.IsZero() {
-		l.quiet = w.now
+	if l.silentSince.IsZero() {
+		l.silentSince = w.now
 	}
 	if how == reset {
-		w.after(resetAfter, func() { w.tellDown(l) })
-		w.retry(a, b, resetAfter)
+		w.after(resetDelay, func() { w.endSession(l) })
+		w.reconnect(a, b, resetDelay)
 		return
 	}
-	w.listen(l)
-	w.retry(a, b, downAfter)
+	w.pollSilence(l)
+	w.reconnect(a, b, watchedSessionTimeout)
 }
 
-// listen looks again and again whether a silent session is over for a side, or goes on.
-func (w *World) listen(l *link) {
-	w.after(listenEvery, func() {
-		l.aOver = l.aOver || !l.a.up || l.a.boots != l.aBoots
-		l.bOver = l.bOver || !l.b.up || l.b.boots != l.bBoots
-		if !l.aOver && l.a.givesUp(lifeOf(l.b.index, l.bBoots), l.quiet) {
-			l.tellA(w)
+// pollSilence checks repeatedly whether a silent session has ended for a side, has an overdue
+// heartbeat, or recovers.
+func (w *World) pollSilence(l *session) {
+	w.after(silencePollInterval, func() {
+		l.aEnded = l.aEnded || !l.a.up || l.a.boots != l.aBoots
+		l.bEnded = l.bEnded || !l.b.up || l.b.boots != l.bBoots
+		if !l.aEnded && l.a.timesOut(memberID(l.b.index, l.bBoots), l.silentSince) {
+			l.endA(w)
 		}
-		if !l.bOver && l.b.givesUp(lifeOf(l.a.index, l.aBoots), l.quiet) {
-			l.tellB(w)
+		if !l.bEnded && l.b.timesOut(memberID(l.a.index, l.aBoots), l.silentSince) {
+			l.endB(w)
 		}
-		if !l.aLate && !l.aOver && l.a.waits(lifeOf(l.b.index, l.bBoots), l.quiet, mesh.HeartbeatOverdueAfter) {
-			l.aLate = true
-			l.a.on(l, func(now time.Time) { l.a.core.MemberOverdue(now, lifeOf(l.b.index, l.bBoots), l.session, l.quiet) })
+		if !l.aOverdue && !l.aEnded && l.a.watchesSilent(memberID(l.b.index, l.bBoots), l.silentSince, mesh.HeartbeatOverdueAfter) {
+			l.aOverdue = true
+			l.a.on(l, func(now time.Time) {
+				l.a.core.MemberOverdue(now, memberID(l.b.index, l.bBoots), l.number, l.silentSince)
+			})
 		}
-		if !l.bLate && !l.bOver && l.b.waits(lifeOf(l.a.index, l.aBoots), l.quiet, mesh.HeartbeatOverdueAfter) {
-			l.bLate = true
-			l.b.on(l, func(now time.Time) { l.b.core.MemberOverdue(now, lifeOf(l.a.index, l.aBoots), l.session, l.quiet) })
+		if !l.bOverdue && !l.bEnded && l.b.watchesSilent(memberID(l.a.index, l.aBoots), l.silentSince, mesh.HeartbeatOverdueAfter) {
+			l.bOverdue = true
+			l.b.on(l, func(now time.Time) {
+				l.b.core.MemberOverdue(now, memberID(l.a.index, l.aBoots), l.number, l.silentSince)
+			})
 		}
 		switch {
-		case l.aOver && l.bOver:
-		case !w.reach(l.a, l.b):
-			w.listen(l)
-		case l.over():
-			w.tellDown(l)
+		case l.aEnded && l.bEnded:
+		case !w.canReach(l.a, l.b):
+			w.pollSilence(l)
+		case l.ended():
+			w.endSession(l)
 		default:
-			if l.aLate {
-				l.a.on(l, func(time.Time) { l.a.core.MemberRecovered(l.b.id, l.session) })
+			if l.aOverdue {
+				l.a.on(l, func(time.Time) { l.a.core.MemberRecovered(l.b.id, l.number) })
 			}
-			if l.bLate {
-				l.b.on(l, func(time.Time) { l.b.core.MemberRecovered(l.a.id, l.session) })
+			if l.bOverdue {
+				l.b.on(l, func(time.Time) { l.b.core.MemberRecovered(l.a.id, l.number) })
 			}
-			l.quiet, l.aLate, l.bLate = time.Time{}, false, false
-			stalled := l.stalled
-			l.stalled = nil
+			l.silentSince, l.aOverdue, l.bOverdue = time.Time{}, false, false
+			stalled := l.undelivered
+			l.undelivered = nil
 			for _, f := range stalled {
 				f()
 			}
@@ -151,57 +159,58 @@
 	})
 }
 
-// givesUp tells whether a process that last heard a member then takes it for lost now.
-func (n *vm) givesUp(member mesh.ID, heard time.Time) bool {
-	return !n.frozen && n.world.now.Sub(heard) > mesh.IdleSessionTimeout || n.waits(member, heard, downAfter)
+// timesOut reports whether a process now considers a member lost that it last heard at lastHeard.
+func (n *vm) timesOut(member mesh.ID, lastHeard time.Time) bool {
+	return !n.suspended && n.world.now.Sub(lastHeard) > mesh.IdleSessionTimeout || n.watchesSilent(member, lastHeard, watchedSessionTimeout)
 }
 
-// waits tells whether a process watches a member that has been silent for longer.
-func (n *vm) waits(member mesh.ID, heard time.Time, longer time.Duration) bool {
+// watchesSilent reports whether a process has watched a member for longer than limit and the
+// member has been silent for as long.
+func (n *vm) watchesSilent(member mesh.ID, lastHeard time.Time, limit time.Duration) bool {
 	now := n.world.now
-	since, ok := n.watched[member]
-	return ok && !n.frozen && now.Sub(heard) > longer && now.Sub(since) > longer
+	since, ok := n.watchedSince[member]
+	return ok && !n.suspended && now.Sub(lastHeard) > limit && now.Sub(since) > limit
 }
 
-// tellDown tells both sides that a session is over, if they don't know.
-func (w *World) tellDown(l *link) {
-	if !l.aOver {
-		l.tellA(w)
+// endSession ends a session for both sides, unless it has ended for them.
+func (w *World) endSession(l *session) {
+	if !l.aEnded {
+		l.endA(w)
 	}
-	if !l.bOver {
-		l.tellB(w)
+	if !l.bEnded {
+		l.endB(w)
 	}
 }
 
-func (l *link) tellA(w *World) {
-	l.aOver = true
-	w.sayDown(l, l.a, l.b.index, l.bBoots)
+func (l *session) endA(w *World) {
+	l.aEnded = true
+	w.notifyDown(l, l.a, l.b.index, l.bBoots)
 }
 
-func (l *link) tellB(w *World) {
-	l.bOver = true
-	w.sayDown(l, l.b, l.a.index, l.aBoots)
+func (l *session) endB(w *World) {
+	l.bEnded = true
+	w.notifyDown(l, l.b, l.a.index, l.aBoots)
 }
 
-// sayDown tells one side that the session with a life of the other one is over.
-func (w *World) sayDown(l *link, self *vm, other int, boots uint64) {
-	heard := l.quiet
-	self.on(l, func(now time.Time) { self.core.MemberDown(now, lifeOf(other, boots), l.session, heard) })
+// notifyDown notifies one side that its session with an incarnation of the other one has ended.
+func (w *World) notifyDown(l *session, self *vm, other int, boots uint64) {
+	lastHeard := l.silentSince
+	self.on(l, func(now time.Time) { self.core.MemberDown(now, memberID(other, boots), l.number, lastHeard) })
 }
 
-// retry tries to begin a session again, as long as it takes.
-func (w *World) retry(a, b *vm, after time.Duration) {
-	w.after(after+meetFor, func() {
-		if l := w.links[pair(a, b)]; l != nil && !l.over() && l.quiet.IsZero() {
+// reconnect tries to begin a session again until one is up.
+func (w *World) reconnect(a, b *vm, after time.Duration) {
+	w.after(after+minConnectTime, func() {
+		if l := w.sessions[sessionKey(a, b)]; l != nil && !l.ended() && l.silentSince.IsZero() {
 			return
 		}
-		w.meet(a, b)
-		w.retry(a, b, 250*time.Millisecond)
+		w.connect(a, b)
+		w.reconnect(a, b, 250*time.Millisecond)
 	})
 }
 
-func (w *World) node(id mesh.ID) *vm {
-	for _, n := range w.nodes {
+func (w *World) vmByID(id mesh.ID) *vm {
+	for _, n := range w.vms {
 		if n.id == id {
 			return n
 		}
@@ -209,36 +218,36 @@
 	return nil
 }
 
-// send carries a message.
+// send transmits a message to a member.
 func (w *World) send(from *vm, to mesh.ID, m node.Message) {
-	n := w.node(to)
+	n := w.vmByID(to)
 	if n == nil {
 		return
 	}
-	l := w.links[pair(from, n)]
-	if l == nil || l.over() {
+	l := w.sessions[sessionKey(from, n)]
+	if l == nil || l.ended() {
 		return
 	}
 	id := from.id
 	w.result.Messages++
 	size := w.messageSize(m)
-	w.after(w.pass(&from.out, size)+w.delay(from.dc, n.dc), func() {
-		w.after(w.pass(&n.in, size), func() {
+	w.after(w.transmit(&from.out, size)+w.delay(from.dc, n.dc), func() {
+		w.after(w.transmit(&n.in, size), func() {
 			l.deliver(func() {
-				n.on(l, func(now time.Time) { n.core.Receive(now, id, l.session, []node.Message{m}) })
+				n.on(l, func(now time.Time) { n.core.Receive(now, id, l.number, []node.Message{m}) })
 			})
 		})
 	})
 }
 
-// advertise tells all members what a process says of itself.
+// advertise sends the advertised state of a process to all members.
 func (w *World) advertise(from *vm, m mesh.Member) {
-	for _, n := range w.nodes {
+	for _, n := range w.vms {
 		if n == from {
 			continue
 		}
-		l := w.links[pair(from, n)]
-		if l == nil || l.over() {
+		l := w.sessions[sessionKey(from, n)]
+		if l == nil || l.ended() {
 			continue
 		}
 		w.after(w.delay(from.dc, n.dc), func() {
--- a/model/model.go
+++ b/model/model.go
@@ -1,17 +1,18 @@
-// Package model plays days of a deployment in virtual time, without a network: the
-// real decisions of many processes (node.Core) against modelled workers, callers,
-// links and faults.
+// Package model is a discrete-event simulation of a deployment. It runs the real decision
+// logic of many processes (node.Core) in virtual time, without a network, against simulated
+// workers, callers, links and faults.
 //
-// What it is for: tests of failures that would take minutes with real processes,
-// and experiments with policies, side by side over many seeds in seconds. What it
-// checks while it plays is what callers and workers see: whether two runs of a task
-// overlap, whether a worker is told to start what no caller sent, whether a refusal is
-// true, whether every caller gets an answer.
+// It serves tests of failures that would take minutes with real processes, and comparisons
+// of policies over many seeds in seconds. During a run it checks what callers and workers
+// observe: whether two runs of a task overlap, whether a worker is told to start a task that
+// no caller submitted, whether a refused job stays unstarted, and whether every caller gets
+// an answer.
 //
-// Limits: processor time is free; messages have a fixed delay and keep their order, calls
-// to workers too unless some are held up, and both take time on links if these are bounded;
-// the platform's store is reduced to the lists that it serves. So it says nothing
-// about costs, and the ranking of policies must be checked against real processes.
+// Limits: processor time costs nothing. Messages have a fixed delay and keep their order, and
+// so do calls to workers unless Config.DelayedCallShare is set; both also take transmission
+// time if link bandwidth is bounded. The platform's store is reduced to the lists that it
+// serves. The simulation therefore says nothing about costs, and the ranking of policies must
+// be checked against real processes.
 package model
 
 import (
@@ -27,92 +28,97 @@
 	"snipehub.example/lease"
 )
 
-// Config is a deployment and a day.
+// Config describes a deployment and one simulated day.
 type Config struct {
 	Seed        uint64
 	DataCenters []DataCenter
-	// Near and Far are the one-way delays inside a data centre and between two,
-	// Caller that from a caller to its process.
+	// Near and Far are the one-way delays within a data centre and between two data centres.
+	// Caller is the one-way delay between a caller and its process.
 	Near, Far, Caller time.Duration
 	Kinds             []Kind
 	Classes           []Class
-	// Lead is the time from the start of the processes to the first request,
-	// Length how long requests come, Tail how long the day goes on after that.
+	// Lead is the time from the start of the processes to the first request, Length the
+	// period in which requests arrive, and Tail the time simulated after that.
 	Lead, Length, Tail time.Duration
-	// Load scales the rates of all classes, Bursts for a while.
+	// Load scales the request rates of all classes. Bursts raise rates for limited periods.
 	Load   float64
 	Bursts []Burst
-	// Moves, Departures and Hopeless change the callers for a while.
+	// Moves, Departures and Hopeless change the behavior of callers or jobs for limited
+	// periods.
 	Moves      []Move
 	Departures []Departure
 	Hopeless   []Hopeless
 	Faults     []Fault
-	// Link is what a VM's link carries each way, in bytes a second; 0 is no bound.
+	// Link is the bandwidth of a VM's link in each direction, in bytes per second;
+	// 0 means unbounded.
 	Link int
-	// Crossing is the share of the calls to workers that are held up on their way there,
-	// by up to crossingMost, so that later calls on other connections overtake them.
-	Crossing float64
-	// Policy is how the planner decides; the zero value is the default one.
+	// DelayedCallShare is the share of calls to workers that are delayed on their way by up to
+	// maxCallDelay, so that later calls on other connections overtake them.
+	DelayedCallShare float64
+	// Policy is the planner's policy; the zero value is the default policy.
 	Policy cell.Policy
-	// Objective, if set, is what all processes are told to be the objective of every job,
-	// in place of those of the classes, by which callers go on to judge. With one that is
-	// far away nothing is refused, and by objective is then first come, first served.
+	// Objective, if set, replaces the objectives of the classes in the catalog that processes
+	// use; callers still judge by those of the classes. With a distant objective nothing is
+	// refused, and ordering by objective becomes first come, first served.
 	Objective time.Duration
-	// Log takes what the processes log; nil drops it.
+	// Log receives the log output of the processes; nil discards it.
 	Log io.Writer
 }
 
-// DataCenter is one data centre and its part of the callers.
+// DataCenter describes a data centre and its share of the callers.
 type DataCenter struct {
 	Name    string
 	VMs     int
 	Workers int
-	// Callers is the data centre's part of all requests.
+	// Callers is the data centre's weight in the distribution of requests.
 	Callers float64
-	// Wave is how that part swings.
+	// Wave is the periodic variation of that weight.
 	Wave Wave
-	// Shares are the VMs' parts of a core, in turn; empty means shareDefault.
+	// Shares are the fractions of a core that the VMs get, assigned in rotation; if it is
+	// empty, each VM gets defaultCores.
 	Shares []float64
 }
 
-// Kind is a kind of worker. Kinds are dealt in turn.
+// Kind describes a kind of worker. The kind of each initial worker is drawn at random.
 type Kind struct {
 	Name      string
 	Speed     float64
 	Resources lease.Resources
 }
 
-// Class is a kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name string
-	// PerSecond is the rate over the whole deployment at load 1.
+	// PerSecond is the request rate of the whole deployment at load 1.
 	PerSecond float64
-	// Work is the mean time of a task at speed 1, WorkMost the longest; Width
-	// is the mean number of tasks, WidthMost the most.
+	// Work is the mean duration of a task at speed 1, with the maximum WorkMost. Width is
+	// the mean number of tasks of a job, with the maximum WidthMost.
 	Work, WorkMost   time.Duration
 	Width, WidthMost int
-	// CPU is what a task takes, in thousandths of a core.
+	// CPU is the mean CPU requirement of a task in thousandths of a core, with the maximum
+	// CPUMost.
 	CPU, CPUMost int
 	Memory       int
-	// Text is the length of a job's text, if links are bounded.
+	// Text is the length of a job's spec in bytes; it matters if link bandwidth is bounded.
 	Text int
-	// Spread is the standard deviation of the logarithm of work, width and
-	// estimate; Misjudged is that of the estimate, if it is set.
+	// Spread is the standard deviation of the logarithm of work, width and estimate, and
+	// half of it that of CPU. Misjudged, if set, replaces it for the estimate.
 	Spread, Misjudged float64
-	// Uneven is by how much the tasks of a job differ.
+	// Uneven is the largest relative deviation of a task's duration from the mean of its job.
 	Uneven    float64
 	Objective time.Duration
 	Stretch   float64
 	Attempts  int
 	Rank      int
-	// Worth is what a job in time is worth on average, Late one that is late.
+	// Worth is the mean value of a job that meets its objective, Late that of a job that
+	// misses it.
 	Worth, Late float64
-	// Fails is the share of tasks that fail by their own fault.
+	// Fails is the share of tasks whose first run fails for a reason of their own.
 	Fails float64
 }
 
-// Burst is a time with more requests than usual: of one class, or of all if Class is
-// empty.
+// Burst is a period in which the request rate of one class, or of all if Class is empty,
+// is multiplied by Times.
 type Burst struct {
 	At, For time.Duration
 	Times   float64
@@ -122,71 +128,72 @@
 // Pool is the name of the only pool.
 const Pool = "pool"
 
-// World is a day that is being played.
+// World is the state of a running simulation.
 type World struct {
 	cfg Config
 	rnd *rand.Rand
-	// meetings draws how long processes take to find each other, without changing
-	// what is drawn for the day itself.
-	meetings *rand.Rand
-	// crossings draws which calls are held up, for the same reason.
-	crossings *rand.Rand
-	// changes draws which callers move, leave or ask in vain, for the same reason.
-	changes *rand.Rand
-	log     *slog.Logger
-	now     time.Time
+	// connectRand draws the time that pairs of processes take to connect. It is a stream of
+	// its own so that these draws do not change the workload.
+	connectRand *rand.Rand
+	// callDelayRand draws which calls to workers are delayed, a separate stream for the same reason.
+	callDelayRand *rand.Rand
+	// callerRand draws which callers move or abandon their jobs and which jobs always fail, a
+	// separate stream for the same reason.
+	callerRand *rand.Rand
+	log        *slog.Logger
+	now        time.Time
 	// start is the time of the first request.
-	start   time.Time
-	queue   events
-	order   int
-	nodes   []*vm
-	links   map[[2]int]*link
-	last    uint64
-	workers []*worker
-	byID    map[string]*worker
-	number  uint64
-	catalog *catalog.Catalog
-	// text is what the texts of jobs end with.
-	text string
-	// storeDown tells that no process reaches the store.
+	start            time.Time
+	queue            events
+	scheduled        int
+	vms              []*vm
+	sessions         map[[2]int]*session
+	lastSession      uint64
+	workers          []*worker
+	workersByID      map[string]*worker
+	lastMemberNumber uint64
+	catalog          *catalog.Catalog
+	// specFiller pads the specs of jobs to their length.
+	specFiller string
+	// storeDown is set while the store is unreachable for all processes.
 	storeDown bool
-	// apart are the data centres that are cut off from all others.
-	apart map[string]bool
-	jobs  []*job
-	byJob map[string]*job
-	runs  map[lease.Task][]*span
-	// begun are all starts, in order.
+	// isolatedDCs are the data centres that are cut off from all others and the store.
+	isolatedDCs map[string]bool
+	jobs        []*job
+	jobsByID    map[string]*job
+	spansByTask map[lease.Task][]*span
+	// begun lists all starts of runs in order.
 	begun  []begun
 	result Result
 }
 
-// event is something that happens at a time.
+// event is an action scheduled at a virtual time.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at  time.Time
+	seq int
+	do  func()
 }
 
 type events []event
 
-// Len, Less, Swap, Push and Pop make it a heap.
+// Len implements heap.Interface, as do Less, Swap, Push and Pop.
 func (q events) Len() int { return len(q) }
 
-// Less orders by time, then by the order of scheduling.
+// Less orders events by time and then in the order of scheduling.
 func (q events) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
-		return q[i].order < q[j].order
+		return q[i].seq < q[j].seq
 	}
 	return q[i].at.Before(q[j].at)
 }
 
-// Swap swaps two events.
+// Swap exchanges two events.
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds an event.
+// Push appends an event.
 func (q *events) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last event.
+// Pop removes and returns the last event.
 func (q *events) Pop() any {
 	old := *q
 	e := old[len(old)-1]
@@ -194,15 +201,15 @@
 	return e
 }
 
-// at schedules something.
+// at schedules an action.
 func (w *World) at(t time.Time, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{t, w.order, do})
+	w.scheduled++
+	heap.Push(&w.queue, event{t, w.scheduled, do})
 }
 
 func (w *World) after(d time.Duration, do func()) { w.at(w.now.Add(d), do) }
 
-// New makes a day.
+// New creates a simulation of the configured day.
 func New(cfg Config) *World {
 	if cfg.Log == nil {
 		cfg.Log = io.Discard
@@ -211,28 +218,28 @@
 		cfg.Load = 1
 	}
 	w := &World{
-		cfg:       cfg,
-		rnd:       rand.New(rand.NewPCG(cfg.Seed, 1)),
-		meetings:  rand.New(rand.NewPCG(cfg.Seed, 3)),
-		crossings: rand.New(rand.NewPCG(cfg.Seed, 4)),
-		changes:   rand.New(rand.NewPCG(cfg.Seed, 5)),
-		apart:     make(map[string]bool),
-		now:       time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		links:     make(map[[2]int]*link),
-		byID:      make(map[string]*worker),
-		byJob:     make(map[string]*job),
-		runs:      make(map[lease.Task][]*span),
+		cfg:           cfg,
+		rnd:           rand.New(rand.NewPCG(cfg.Seed, 1)),
+		connectRand:   rand.New(rand.NewPCG(cfg.Seed, 3)),
+		callDelayRand: rand.New(rand.NewPCG(cfg.Seed, 4)),
+		callerRand:    rand.New(rand.NewPCG(cfg.Seed, 5)),
+		isolatedDCs:   make(map[string]bool),
+		now:           time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		sessions:      make(map[[2]int]*session),
+		workersByID:   make(map[string]*worker),
+		jobsByID:      make(map[string]*job),
+		spansByTask:   make(map[lease.Task][]*span),
 	}
-	w.log = slog.New(slog.NewTextHandler(cfg.Log, &slog.HandlerOptions{ReplaceAttr: w.stamp}))
+	w.log = slog.New(slog.NewTextHandler(cfg.Log, &slog.HandlerOptions{ReplaceAttr: w.replaceTime}))
 	w.start = w.now.Add(cfg.Lead)
 	w.catalog = w.makeCatalog()
 	for _, cl := range cfg.Classes {
-		if cl.Text > len(w.text) {
-			w.text = w.makeText(cl.Text)
+		if cl.Text > len(w.specFiller) {
+			w.specFiller = w.makeSpecFiller(cl.Text)
 		}
 	}
 	w.makeWorkers()
-	w.makeNodes()
+	w.makeVMs()
 	w.makeJobs()
 	for _, f := range cfg.Faults {
 		w.at(w.start.Add(f.At), func() { f.Do(w) })
@@ -240,15 +247,16 @@
 	return w
 }
 
-// stamp puts the virtual time, in seconds from the first request, on log lines.
-func (w *World) stamp(_ []string, a slog.Attr) slog.Attr {
+// replaceTime replaces the time of log records by the virtual time, in seconds since the
+// first request.
+func (w *World) replaceTime(_ []string, a slog.Attr) slog.Attr {
 	if a.Key == slog.TimeKey {
 		return slog.Float64("t", w.now.Sub(w.start).Seconds())
 	}
 	return a
 }
 
-// Run plays the day and returns what came of it.
+// Run simulates the day and returns its result.
 func (w *World) Run() Result {
 	end := w.start.Add(w.cfg.Length + w.cfg.Tail)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
@@ -281,7 +289,7 @@
 	return c
 }
 
-// delay is the one-way delay between two data centres.
+// delay returns the one-way delay between two data centres.
 func (w *World) delay(a, b string) time.Duration {
 	if a == b {
 		return w.cfg.Near
--- a/model/outage.go
+++ b/model/outage.go
@@ -11,7 +11,7 @@
 // after down.
 func Restart(vm int, grace, down time.Duration) func(*World) {
 	return func(w *World) {
-		n := w.nodes[vm%len(w.nodes)]
+		n := w.vms[vm%len(w.vms)]
 		if !n.up || n.leaving {
 			return
 		}
@@ -40,9 +40,9 @@
 // Blind keeps a process from the store.
 func Blind(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
-		n := w.nodes[vm%len(w.nodes)]
-		n.blind = true
-		w.after(d, func() { n.blind = false })
+		n := w.vms[vm%len(w.vms)]
+		n.storeBlocked = true
+		w.after(d, func() { n.storeBlocked = false })
 	}
 }
 
@@ -50,7 +50,7 @@
 func OnPlanner(do func(vm int) func(*World)) func(*World) {
 	return func(w *World) {
 		chosen := -1
-		for _, n := range w.nodes {
+		for _, n := range w.vms {
 			if n.up && (chosen < 0 || n.core.IsPlanner()) {
 				chosen = n.index
 			}
@@ -70,31 +70,31 @@
 		how = reset
 	}
 	return func(w *World) {
-		w.apart[name] = true
-		for _, a := range w.nodes {
-			for _, b := range w.nodes {
-				if a.index < b.index && w.severed(a.dc, b.dc) {
-					w.part(a, b, how)
+		w.isolatedDCs[name] = true
+		for _, a := range w.vms {
+			for _, b := range w.vms {
+				if a.index < b.index && w.partitioned(a.dc, b.dc) {
+					w.disconnect(a, b, how)
 				}
 			}
 		}
-		w.after(d, func() { delete(w.apart, name) })
+		w.after(d, func() { delete(w.isolatedDCs, name) })
 	}
 }
 
 // Drag has the tasks on a worker take times as long, those under way too.
 func Drag(index int, times float64, d time.Duration) func(*World) {
-	return each(index, 1, d, func(x *worker) { x.setPace(1 / times) }, func(x *worker) { x.setPace(1) })
+	return onWorkers(index, 1, d, func(x *worker) { x.setPace(1 / times) }, func(x *worker) { x.setPace(1) })
 }
 
 // Halt has the tasks on a worker stand still and get on afterwards.
 func Halt(index int, d time.Duration) func(*World) {
-	return each(index, 1, d, func(x *worker) { x.setPace(0) }, func(x *worker) { x.setPace(1) })
+	return onWorkers(index, 1, d, func(x *worker) { x.setPace(0) }, func(x *worker) { x.setPace(1) })
 }
 
 // Spoil has a worker fail every task, those under way too.
 func Spoil(index int, d time.Duration) func(*World) {
-	return each(index, 1, d, func(x *worker) { x.spoil() }, func(x *worker) { x.health = well })
+	return onWorkers(index, 1, d, func(x *worker) { x.failAll() }, func(x *worker) { x.health = healthy })
 }
 
 // Retire has a worker drain and, after a while, leave for good with what runs on it.
@@ -103,7 +103,7 @@
 		x := w.workers[worker%len(w.workers)]
 		x.draining = true
 		w.after(after, func() {
-			x.gone = true
+			x.removed = true
 			if x.up {
 				x.crash()
 			}
--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -36,13 +36,13 @@
 				Faults: []Fault{tt.fault},
 			})
 			j := &job{id: "0000000000000001", width: 1, tries: 1, work: []time.Duration{work}, fails: []int{0}}
-			w.byJob[j.id] = j
+			w.jobsByID[j.id] = j
 			run := lease.Run{Task: lease.Task(j.id + ".0.0.0"), Number: 1}
 			w.at(w.start, func() {
 				w.workers[0].begin(lease.StartCall{Order: lease.Order{Claim: lease.Claim{Run: run}}, Until: 10_000})
 			})
 			w.Run()
-			s := w.runs[run.Task][0]
+			s := w.spansByTask[run.Task][0]
 			if took := s.end.Sub(s.begin); took != tt.took || s.outcome != tt.outcome {
 				t.Errorf("took %v and ended as %v, want %v and %v", took, s.outcome, tt.took, tt.outcome)
 			}
--- a/model/recovery.go
+++ b/model/recovery.go
@@ -80,8 +80,8 @@
 
 // victim returns the planner, or the first process that does not plan.
 func (w *World) victim(planner bool) *vm {
-	i := slices.IndexFunc(w.nodes, func(n *vm) bool { return n.up && n.core.IsPlanner() == planner })
-	return w.nodes[i]
+	i := slices.IndexFunc(w.vms, func(n *vm) bool { return n.up && n.core.IsPlanner() == planner })
+	return w.vms[i]
 }
 
 // await sets how long it takes until all of the workers are open at a holder that is not
@@ -98,8 +98,8 @@
 
 // open counts the workers that a planner sees open at others than the holder before.
 func (w *World) open(before mesh.ID, ids []string) (n int) {
-	for _, vm := range w.nodes {
-		if !vm.up || vm.frozen || vm.id == before || !vm.core.IsPlanner() {
+	for _, vm := range w.vms {
+		if !vm.up || vm.suspended || vm.id == before || !vm.core.IsPlanner() {
 			continue
 		}
 		for _, h := range vm.core.Status(w.now).Cell.Holders {
--- a/model/row_test.go
+++ b/model/row_test.go
@@ -21,7 +21,7 @@
 	cfg := long(seed)
 	cfg.Length, cfg.Load = 20*time.Second, 0.9
 	if seed%2 == 0 {
-		cfg.Crossing = 0.2
+		cfg.DelayedCallShare = 0.2
 	}
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(rnd.Int64N(int64(most-least)))
--- a/model/sample.go
+++ b/model/sample.go
@@ -29,7 +29,7 @@
 
 func (t *timeline) look(w *World, i int) {
 	alive := false
-	for _, n := range w.nodes {
+	for _, n := range w.vms {
 		alive = alive || n.up && catalogVersion(n) != 0
 	}
 	t.alive = append(t.alive, alive)
@@ -41,7 +41,7 @@
 			t.pace = append(t.pace, make([]float64, i))
 		}
 		p := 0.0
-		if x.up && x.health != spoiling {
+		if x.up && x.health != failingAll {
 			p = x.pace
 		}
 		t.pace[k] = append(t.pace[k], p)
--- a/model/score.go
+++ b/model/score.go
@@ -61,20 +61,20 @@
 
 // began checks that no other run of the task is under way.
 func (w *World) began(x *worker, r lease.Run) *span {
-	j := w.byJob[r.Job()]
+	j := w.jobsByID[r.Job()]
 	if j != nil {
 		j.started = true
-		if j.over && j.answer == entry.Refused {
+		if j.finished && j.answer == entry.Refused {
 			w.broken("REFUSED: %s starts on %s after its refusal", r.Task, x.ID)
 		}
 	}
-	for _, s := range w.runs[r.Task] {
+	for _, s := range w.spansByTask[r.Task] {
 		if s.end.IsZero() {
 			w.broken("TWICE: %s run %d starts on %s while run %d is on %s since %.3f", r.Task, r.Number, x.ID, s.run, s.worker, s.begin.Sub(w.start).Seconds())
 		}
 	}
 	s := &span{worker: x.ID, run: r.Number, begin: w.now}
-	w.runs[r.Task] = append(w.runs[r.Task], s)
+	w.spansByTask[r.Task] = append(w.spansByTask[r.Task], s)
 	w.begun = append(w.begun, begun{w.now, x.ID})
 	return s
 }
@@ -114,7 +114,7 @@
 // countSpoilt takes an order that was held back because its text had changed for a broken
 // promise: it reaches no worker, but nothing may spoil it.
 func (w *World) countSpoilt() {
-	for _, n := range w.nodes {
+	for _, n := range w.vms {
 		if k := n.core.NotStarted(lease.TextDiffers); k > 0 {
 			w.broken("SPOILT: %d orders at %s had another text than their job", k, n.name)
 		}
@@ -139,22 +139,22 @@
 func (w *World) count(t *Tally, j *job) (earned, owed float64) {
 	cl := w.cfg.Classes[j.class]
 	t.Asked++
-	if !j.leaves.IsZero() && !j.over {
+	if !j.abandonsAt.IsZero() && !j.finished {
 		return 0, 0
 	}
 	weight := cl.weight(j)
 	owed = cl.Worth * weight
 	switch {
-	case !j.over:
+	case !j.finished:
 		t.Unserved++
 	case j.answer == entry.Refused:
 		t.Refused++
-	case j.answer == entry.Failed && !j.hopeless:
+	case j.answer == entry.Failed && !j.alwaysFails:
 		t.Failed++
-	case j.took <= j.objective:
+	case j.responseTime <= j.objective:
 		t.InAim++
 		earned = owed
-	case j.took <= lateFactor*j.objective:
+	case j.responseTime <= lateFactor*j.objective:
 		t.Late++
 		earned = cl.Late * weight
 	default:
--- a/model/text_test.go
+++ b/model/text_test.go
@@ -13,7 +13,7 @@
 func crossed(seed uint64) Config {
 	cfg := Lakeshore()
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = seed, 0.9, 6*time.Second, 2*time.Second
-	cfg.Crossing = 0.3
+	cfg.DelayedCallShare = 0.3
 	for i := range 120 {
 		cfg.Faults = append(cfg.Faults, Fault{At: time.Duration(i) * 50 * time.Millisecond, Do: Reset(i)})
 	}
@@ -49,14 +49,14 @@
 		text string
 		want int
 	}{
-		{"as sent", first, w.textOf(j), 0},
+		{"as sent", first, w.specOf(j), 0},
 		{"no text", first, "", 1},
-		{"the text of another job", first, w.textOf(w.jobs[1]), 1},
-		{"a task too many", lease.Run{Task: lease.Task(j.id + ".0.0.99"), Number: 1}, w.textOf(j), 1},
-		{"another job", lease.Run{Task: "ffffffffffffffff.0.0.0", Number: 1}, w.textOf(j), 1},
+		{"the text of another job", first, w.specOf(w.jobs[1]), 1},
+		{"a task too many", lease.Run{Task: lease.Task(j.id + ".0.0.99"), Number: 1}, w.specOf(j), 1},
+		{"another job", lease.Run{Task: "ffffffffffffffff.0.0.0", Number: 1}, w.specOf(j), 1},
 	} {
 		w.result.Broken = nil
-		w.told(w.workers[0], lease.StartCall{Order: lease.Order{Claim: lease.Claim{Run: tt.run}, Text: lease.Text{Spec: tt.text}}})
+		w.checkStart(w.workers[0], lease.StartCall{Order: lease.Order{Claim: lease.Claim{Run: tt.run}, Text: lease.Text{Spec: tt.text}}})
 		if len(w.result.Broken) != tt.want {
 			t.Errorf("%s: %v, want %d", tt.name, w.result.Broken, tt.want)
 		}
--- a/model/vm.go
+++ b/model/vm.go
@@ -14,7 +14,7 @@
 	"snipehub.example/catalog"
 )
 
-// vm is a modelled VM with one process.
+// vm is a simulated VM with one process.
 type vm struct {
 	world *World
 	index int
@@ -23,102 +23,104 @@
 	core  *node.Core
 	id    mesh.ID
 	boots uint64
-	// up tells that the process runs; frozen that it does not get on for now.
-	up, frozen bool
-	// cut tells that it reaches no other process, blind that it does not reach
-	// the store.
-	cut, blind bool
-	// leaving tells that it is stopping in an orderly way and takes no callers.
+	// up is set while the process runs, suspended while it does not execute.
+	up, suspended bool
+	// isolated is set while no other process is reachable, storeBlocked while the store is
+	// not.
+	isolated, storeBlocked bool
+	// leaving is set while the process shuts down gracefully and takes no new callers.
 	leaving bool
-	// share is its part of a core.
-	share   float64
-	backlog []func()
-	waiters map[entry.Waiter]func(entry.Answer)
-	last    entry.Waiter
-	reading mesh.ID
-	// watched are the members that the process watches, and since when.
-	watched map[mesh.ID]time.Time
-	// in and out are the two directions of its link.
+	// cores is the fraction of a core that the VM gets.
+	cores      float64
+	backlog    []func()
+	waiters    map[entry.Waiter]func(entry.Answer)
+	lastWaiter entry.Waiter
+	reading    mesh.ID
+	// watchedSince maps each member that the process watches to when it began to.
+	watchedSince map[mesh.ID]time.Time
+	// in and out are the two directions of the VM's link.
 	in, out wire
 }
 
 const (
-	// tickEvery is the period of the core's ticks.
-	tickEvery = 50 * time.Millisecond
-	// listEvery is how often the list of workers is read.
-	listEvery = 400 * time.Millisecond
-	// downAfter is when silence ends a session that is watched.
-	downAfter = mesh.SessionTimeout
-	// listenEvery is how often it is looked whether a silent session has ended.
-	listenEvery = 5 * time.Millisecond
-	// resetAfter is when a session ends whose connection is reset.
-	resetAfter = 3 * time.Millisecond
-	// meetFor is how long two processes take to find each other, at least; some
+	tickInterval = 50 * time.Millisecond
+	// listInterval is the interval between reads of the list of workers.
+	listInterval = 400 * time.Millisecond
+	// watchedSessionTimeout is the silence after which a process ends a session with a
+	// member that it watches.
+	watchedSessionTimeout = mesh.SessionTimeout
+	// silencePollInterval is the interval between checks whether a silent session has
+	// ended.
+	silencePollInterval = 5 * time.Millisecond
+	// resetDelay is the time from the reset of a connection to the end of its session.
+	resetDelay = 3 * time.Millisecond
+	// minConnectTime is the minimum time that two processes take to connect; at startup, some
 	// pairs take up to 200 ms more.
-	meetFor = 60 * time.Millisecond
-	// stopTimeout bounds the order to stop a run.
+	minConnectTime = 60 * time.Millisecond
+	// stopTimeout is the timeout of a call that stops a run.
 	stopTimeout = 150 * time.Millisecond
-	// shareDefault is a VM's part of a core.
-	shareDefault = 0.4
+	// defaultCores is the fraction of a core that a VM gets by default.
+	defaultCores = 0.4
 )
 
-func (w *World) makeNodes() {
+func (w *World) makeVMs() {
 	for _, dc := range w.cfg.DataCenters {
 		for i := range dc.VMs {
-			n := &vm{world: w, index: len(w.nodes), name: fmt.Sprintf("%s-%d", dc.Name, i+1), dc: dc.Name, share: shareDefault}
+			n := &vm{world: w, index: len(w.vms), name: fmt.Sprintf("%s-%d", dc.Name, i+1), dc: dc.Name, cores: defaultCores}
 			if len(dc.Shares) > 0 {
-				n.share = dc.Shares[i%len(dc.Shares)]
+				n.cores = dc.Shares[i%len(dc.Shares)]
 			}
-			w.nodes = append(w.nodes, n)
+			w.vms = append(w.vms, n)
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.vms {
 		w.after(time.Duration(w.rnd.IntN(300))*time.Millisecond, n.boot)
 	}
 }
 
-// boot starts the process.
+// boot starts a new incarnation of the process.
 func (n *vm) boot() {
 	w := n.world
 	n.boots++
-	n.up, n.frozen, n.leaving = true, false, false
-	n.id = lifeOf(n.index, n.boots)
-	self := mesh.Member{ID: n.id, VM: n.name, DataCenter: n.dc, Cores: n.share}
+	n.up, n.suspended, n.leaving = true, false, false
+	n.id = memberID(n.index, n.boots)
+	self := mesh.Member{ID: n.id, VM: n.name, DataCenter: n.dc, Cores: n.cores}
 	n.core = node.NewCore(w.log.With("vm", n.name), self, &catalog.Shelf{}, w.cfg.Policy)
 	n.waiters = make(map[entry.Waiter]func(entry.Answer))
 	n.backlog = nil
 	n.reading = mesh.ID{}
-	n.watched = make(map[mesh.ID]time.Time)
+	n.watchedSince = make(map[mesh.ID]time.Time)
 	boots := n.boots
 	w.after(10*time.Millisecond, func() { n.register(boots) })
 	n.tick(boots)
-	n.list(boots)
-	for _, o := range w.nodes {
+	n.listWorkers(boots)
+	for _, o := range w.vms {
 		if o != n && o.up {
-			w.after(meetFor+time.Duration(w.meetings.IntN(200))*time.Millisecond, func() { w.meet(n, o) })
+			w.after(minConnectTime+time.Duration(w.connectRand.IntN(200))*time.Millisecond, func() { w.connect(n, o) })
 		}
 	}
 }
 
-// lifeOf names a life of the process on a VM.
-func lifeOf(index int, boots uint64) mesh.ID {
+// memberID returns the ID of one incarnation of the process on a VM.
+func memberID(index int, boots uint64) mesh.ID {
 	return mesh.ID{Address: address(1, index), Boot: uint64(index)<<32 | boots}
 }
 
-// register reads the store for the first time.
+// register gives the process what it reads from the store at startup: its member number, the
+// catalog and the recorded addresses. It retries while the store is unreachable.
 func (n *vm) register(boots uint64) {
 	w := n.world
 	if n.boots != boots || !n.up {
 		return
 	}
-	if n.noStore() {
+	if n.storeUnreachable() {
 		w.after(100*time.Millisecond, func() { n.register(boots) })
 		return
 	}
-	w.number++
-	number := w.number
+	w.lastMemberNumber++
+	number := w.lastMemberNumber
 	var known []netip.AddrPort
-	for _, o := range w.nodes {
+	for _, o := range w.vms {
 		known = append(known, address(1, o.index))
 	}
 	n.do(func(now time.Time) {
@@ -128,49 +130,52 @@
 	})
 }
 
-// noStore tells whether the process does not reach the store.
-func (n *vm) noStore() bool { return n.world.storeDown || n.blind || n.world.apart[n.dc] }
+// storeUnreachable reports whether the process cannot reach the store.
+func (n *vm) storeUnreachable() bool {
+	return n.world.storeDown || n.storeBlocked || n.world.isolatedDCs[n.dc]
+}
 
 func (n *vm) tick(boots uint64) {
 	if n.boots != boots || !n.up {
 		return
 	}
 	n.do(func(now time.Time) { n.core.Tick(now) })
-	n.world.after(tickEvery, func() { n.tick(boots) })
+	n.world.after(tickInterval, func() { n.tick(boots) })
 }
 
-// list reads the list of workers while it is this process's turn.
-func (n *vm) list(boots uint64) {
+// listWorkers periodically reads the list of workers while this process is the one that
+// reads it for the planner.
+func (n *vm) listWorkers(boots uint64) {
 	w := n.world
 	if n.boots != boots || !n.up {
 		return
 	}
-	blind := n.noStore()
+	unreachable := n.storeUnreachable()
 	n.do(func(now time.Time) {
-		n.core.Advertise(now, func(m *mesh.Member) { m.StoreUnreachable = blind })
+		n.core.Advertise(now, func(m *mesh.Member) { m.StoreUnreachable = unreachable })
 		planner, _, ok := n.core.ListReader()
-		if !ok || blind {
+		if !ok || unreachable {
 			n.reading = mesh.ID{}
 			return
 		}
 		l := cell.WorkerList{Full: true}
 		for _, x := range w.workers {
-			if x.up && x.reachable && !w.severed(n.dc, x.DataCenter) {
+			if x.up && x.reachable && !w.partitioned(n.dc, x.DataCenter) {
 				l.Workers = append(l.Workers, x.listed())
 			}
 		}
 		n.reading = planner
 		n.core.WorkersListed(now, l)
 	})
-	w.after(listEvery, func() { n.list(boots) })
+	w.after(listInterval, func() { n.listWorkers(boots) })
 }
 
-// do has the process do something, now or when it thaws.
+// do runs f in the process, now or when it resumes, and performs the resulting outputs.
 func (n *vm) do(f func(now time.Time)) {
 	if !n.up {
 		return
 	}
-	if n.frozen {
+	if n.suspended {
 		boots := n.boots
 		n.backlog = append(n.backlog, func() {
 			if n.boots == boots && n.up {
@@ -191,9 +196,9 @@
 		case o.Advertise != nil:
 			n.world.advertise(n, *o.Advertise)
 		case o.Watch != nil && o.Watch.On:
-			n.watched[o.Watch.Member] = n.world.now
+			n.watchedSince[o.Watch.Member] = n.world.now
 		case o.Watch != nil:
-			delete(n.watched, o.Watch.Member)
+			delete(n.watchedSince, o.Watch.Member)
 		case o.Answer != nil:
 			n.answer(*o.Answer)
 		case o.Hold != nil:
@@ -207,31 +212,31 @@
 }
 
 func (n *vm) answer(a entry.CallerAnswer) {
-	to, ok := n.waiters[a.Waiter]
+	respond, ok := n.waiters[a.Waiter]
 	if !ok {
 		return
 	}
 	delete(n.waiters, a.Waiter)
-	to(a.Answer)
+	respond(a.Answer)
 }
 
-// call carries a call to a worker and its answer back. A call that is lost, or
-// carried out late, gets no answer.
-func (n *vm) call(id string, timeout time.Duration, size int, do func(x *worker, to func(lease.Result)), back func(now time.Time, r lease.Result)) {
+// call simulates a call to a worker. onResult gets its result, or lease.NoAnswer after the
+// timeout. A call that is lost or executed late gets no answer.
+func (n *vm) call(id string, timeout time.Duration, size int, do func(x *worker, to func(lease.Result)), onResult func(now time.Time, r lease.Result)) {
 	w := n.world
-	x := w.byID[id]
-	boots, answered := n.boots, false
+	x := w.workersByID[id]
+	boots, replied := n.boots, false
 	reply := func(r lease.Result) {
-		if answered || n.boots != boots || !n.up {
+		if replied || n.boots != boots || !n.up {
 			return
 		}
-		answered = true
-		n.do(func(now time.Time) { back(now, r) })
+		replied = true
+		n.do(func(now time.Time) { onResult(now, r) })
 	}
 	w.after(timeout, func() { reply(lease.Result{Verdict: lease.NoAnswer}) })
 	d := w.delay(n.dc, x.DataCenter)
-	sent := w.pass(&n.out, size) + w.heldUp()
-	if x.lose > 0 && w.rnd.Float64() < x.lose {
+	sent := w.transmit(&n.out, size) + w.callDelay()
+	if x.lateCallShare > 0 && w.rnd.Float64() < x.lateCallShare {
 		w.after(time.Duration(2+w.rnd.IntN(10))*time.Second, func() {
 			if x.up {
 				do(x, func(lease.Result) {})
@@ -240,13 +245,13 @@
 		return
 	}
 	w.after(sent+d, func() {
-		if !x.up || !x.reachable || w.severed(n.dc, x.DataCenter) {
+		if !x.up || !x.reachable || w.partitioned(n.dc, x.DataCenter) {
 			return
 		}
 		do(x, func(r lease.Result) {
 			w.after(d, func() {
-				if x.reachable && !w.severed(n.dc, x.DataCenter) {
-					w.after(w.pass(&n.in, answerBytes), func() { reply(r) })
+				if x.reachable && !w.partitioned(n.dc, x.DataCenter) {
+					w.after(w.transmit(&n.in, answerBytes), func() { reply(r) })
 				}
 			})
 		})
--- a/model/wire.go
+++ b/model/wire.go
@@ -8,44 +8,44 @@
 	"snipehub.example/node"
 )
 
-// What calls and messages take on a link beside their content, as captured between real
-// processes: headers of HTTP, of TCP and IP, and acknowledgements.
+// The overhead in bytes of calls and messages on a link beside their content, as captured
+// between real processes: HTTP, TCP and IP headers, and acknowledgements.
 const (
-	mailBytes   = 60
-	holdBytes   = 330
-	startBytes  = 380
-	answerBytes = 260
-	callerBytes = 360
+	messageBytes = 60
+	holdBytes    = 330
+	startBytes   = 380
+	answerBytes  = 260
+	callerBytes  = 360
 )
 
-// wire is one direction of a VM's link: what is sent waits for what was sent before.
-type wire struct{ free time.Time }
+// wire is one direction of a VM's link. Data waits until what was sent before has passed.
+type wire struct{ busyUntil time.Time }
 
-// pass returns after how long some bytes have passed the wire.
-func (w *World) pass(l *wire, bytes int) time.Duration {
+// transmit queues bytes on the wire and returns the time until the last one has passed it.
+func (w *World) transmit(l *wire, bytes int) time.Duration {
 	if w.cfg.Link == 0 {
 		return 0
 	}
-	if l.free.Before(w.now) {
-		l.free = w.now
+	if l.busyUntil.Before(w.now) {
+		l.busyUntil = w.now
 	}
-	l.free = l.free.Add(time.Duration(bytes) * time.Second / time.Duration(w.cfg.Link))
-	return l.free.Sub(w.now)
+	l.busyUntil = l.busyUntil.Add(time.Duration(bytes) * time.Second / time.Duration(w.cfg.Link))
+	return l.busyUntil.Sub(w.now)
 }
 
-// crossingMost is how long a call to a worker is held up at the most: a packet that was
-// lost and is sent again.
-const crossingMost = 120 * time.Millisecond
+// maxCallDelay is the maximum extra delay of a call to a worker, as if a packet was lost and
+// retransmitted.
+const maxCallDelay = 120 * time.Millisecond
 
-// heldUp returns how much longer than usual a call to a worker is on its way.
-func (w *World) heldUp() time.Duration {
-	if w.cfg.Crossing == 0 || w.crossings.Float64() >= w.cfg.Crossing {
+// callDelay returns the extra delay of a call to a worker.
+func (w *World) callDelay() time.Duration {
+	if w.cfg.DelayedCallShare == 0 || w.callDelayRand.Float64() >= w.cfg.DelayedCallShare {
 		return 0
 	}
-	return time.Duration(w.crossings.Int64N(int64(crossingMost)))
+	return time.Duration(w.callDelayRand.Int64N(int64(maxCallDelay)))
 }
 
-// messageSize is what a message takes on a link.
+// messageSize returns the bytes that a message takes on a link, or 0 if links are unbounded.
 func (w *World) messageSize(m node.Message) int {
 	if w.cfg.Link == 0 {
 		return 0
@@ -54,13 +54,13 @@
 	if err != nil {
 		panic("model: a message can't be encoded: " + err.Error())
 	}
-	return len(b) + mailBytes
+	return len(b) + messageBytes
 }
 
-// makeText makes a text of which the jobs' texts are parts: letters that occur equally
+// makeSpecFiller makes a text of which the jobs' texts are parts: letters that occur equally
 // often, so that packing halves it.
-func (w *World) makeText(most int) string {
-	b := make([]byte, most)
+func (w *World) makeSpecFiller(length int) string {
+	b := make([]byte, length)
 	for i := range b {
 		b[i] = 'a' + byte(w.rnd.IntN(16))
 	}
--- a/model/worker.go
+++ b/model/worker.go
@@ -11,48 +11,49 @@
 	"snipehub.example/lease"
 )
 
-// health is how a worker treats its tasks.
+// health is the way in which a worker handles its tasks.
 type health int
 
 const (
-	well health = iota
-	// failing: every task fails at once.
+	healthy health = iota
+	// failing: every task that begins fails at once.
 	failing
-	// hanging: tasks stand still.
+	// hanging: tasks make no progress.
 	hanging
-	// shedding: starts are refused.
-	shedding
-	// spoiling: every task fails at once, those too that were under way.
-	spoiling
+	// refusing: every start is refused.
+	refusing
+	// failingAll: every task fails at once, including those already running.
+	failingAll
 )
 
-// worker is a modelled worker under leases.
+// worker is a simulated worker that runs tasks under leases.
 type worker struct {
 	lease.Worker
 	world *World
 	kind  Kind
-	// up tells that it runs, reachable that calls reach it.
+	// up is set while the worker runs, reachable while calls can reach it.
 	up, reachable bool
 	draining      bool
 	health        health
-	// slow multiplies the time of the tasks that begin.
-	slow float64
-	// pace is how fast all tasks get on, those under way too: 1 is ordinary, 0 stands still.
+	// slowdown multiplies the duration of tasks that begin.
+	slowdown float64
+	// pace is the rate of progress of all tasks, including those already running: 1 is normal,
+	// 0 means none.
 	pace float64
-	// gone tells that it has left for good.
-	gone bool
-	// lose is the share of calls that get no answer and are carried out late.
-	lose float64
-	born time.Time
-	// until is the end of the lease of everything that runs.
-	until time.Time
-	fence lease.Fence
-	runs  map[lease.Run]*execution
-	ended []lease.ListedEnd
-	last  int64
-	// stopped are the highest run numbers stopped or ended, by task.
-	stopped map[lease.Task]int
-	waiting []*waiter
+	// removed is set once the worker has left permanently.
+	removed bool
+	// lateCallShare is the share of calls that get no answer and are executed late.
+	lateCallShare float64
+	startedAt     time.Time
+	// leaseEnd is the end of the lease, which covers all runs.
+	leaseEnd      time.Time
+	fence         lease.Fence
+	runs          map[lease.Run]*execution
+	ended         []lease.ListedEnd
+	lastEndNumber int64
+	// lastStopped holds the highest run number that was stopped or has ended, by task.
+	lastStopped map[lease.Task]int
+	waiting     []*waiter
 }
 
 // execution is a run on a worker.
@@ -61,27 +62,27 @@
 	resources lease.Resources
 	began     time.Time
 	total     time.Duration
-	// full is the time of the whole run at pace 1, done the part of it that was done at
-	// since, and outcome its end.
-	full    time.Duration
-	done    float64
-	since   time.Time
-	outcome lease.Outcome
-	// paced counts the changes of the worker's pace: an end that was reckoned before the
-	// last one is not its end.
-	paced int
-	over  bool
-	span  *span
+	// fullTime is the duration of the whole run at pace 1, progress the fraction of it that was
+	// done at progressAt, and outcome the outcome that the run will have.
+	fullTime   time.Duration
+	progress   float64
+	progressAt time.Time
+	outcome    lease.Outcome
+	// paceChanges counts the changes of the worker's pace. An end scheduled before the last change
+	// is obsolete.
+	paceChanges int
+	finished    bool
+	span        *span
 }
 
-// waiter is a hold call that waits for an end.
+// waiter is a hold call that waits for a run to end.
 type waiter struct {
-	call lease.HoldCall
-	done bool
-	to   func(lease.Result)
+	call     lease.HoldCall
+	answered bool
+	respond  func(lease.Result)
 }
 
-// span is the time of a run, for the check that no two overlap.
+// span is the time interval of a run, for the check that no two runs of a task overlap.
 type span struct {
 	worker     string
 	run        int
@@ -97,7 +98,7 @@
 	}
 }
 
-// addWorker starts one more worker.
+// addWorker adds a worker and starts it.
 func (w *World) addWorker(dc string, k Kind) {
 	n := len(w.workers)
 	x := &worker{
@@ -110,25 +111,25 @@
 			Rack:       fmt.Sprintf("r%d", n/8),
 			Resources:  k.Resources,
 		},
-		world: w,
-		kind:  k,
-		slow:  1,
-		pace:  1,
+		world:    w,
+		kind:     k,
+		slowdown: 1,
+		pace:     1,
 	}
 	x.boot()
 	w.workers = append(w.workers, x)
-	w.byID[x.ID] = x
+	w.workersByID[x.ID] = x
 }
 
 func (x *worker) boot() {
-	if x.gone {
+	if x.removed {
 		return
 	}
 	x.up, x.reachable = true, true
-	x.born = x.world.now
-	x.fence, x.last, x.until = 0, 0, time.Time{}
+	x.startedAt = x.world.now
+	x.fence, x.lastEndNumber, x.leaseEnd = 0, 0, time.Time{}
 	x.runs = make(map[lease.Run]*execution)
-	x.stopped = make(map[lease.Task]int)
+	x.lastStopped = make(map[lease.Task]int)
 	x.ended, x.waiting = nil, nil
 }
 
@@ -136,21 +137,22 @@
 	return cell.ListedWorker{Worker: x.Worker, Draining: x.draining}
 }
 
-// clock is the worker's clock in milliseconds.
-func (x *worker) clock() int64 { return x.world.now.Sub(x.born).Milliseconds() + 1 }
+// clock returns the worker's clock in milliseconds. It counts from the worker's start.
+func (x *worker) clock() int64 { return x.world.now.Sub(x.startedAt).Milliseconds() + 1 }
 
 func (x *worker) at(clock int64) time.Time {
-	return x.born.Add(time.Duration(clock-1) * time.Millisecond)
+	return x.startedAt.Add(time.Duration(clock-1) * time.Millisecond)
 }
 
-// leaseMost is the longest lease that is granted.
-const leaseMost = time.Second
+// maxLease is the longest lease that a worker accepts.
+const maxLease = time.Second
 
 func (x *worker) result(v lease.Verdict, why lease.Reason) lease.Result {
-	return lease.Result{Verdict: v, Reason: why, Clock: x.clock(), Incarnation: x.born.UnixMilli()}
+	return lease.Result{Verdict: v, Reason: why, Clock: x.clock(), Incarnation: x.startedAt.UnixMilli()}
 }
 
-// fenced tells whether a call is of a holder that was replaced.
+// fenced reports whether a call comes from a holder that was replaced. Otherwise it records
+// the call's fence as the current one.
 func (x *worker) fenced(f lease.Fence) bool {
 	if f < x.fence {
 		return true
@@ -159,59 +161,59 @@
 	return false
 }
 
-// extend extends the lease, which never shortens.
+// extend extends the lease to a time on the worker's clock; it never shortens it.
 func (x *worker) extend(until int64) {
 	if until == 0 {
 		return
 	}
 	t := x.at(until)
-	if most := x.world.now.Add(leaseMost); t.After(most) {
-		t = most
+	if latest := x.world.now.Add(maxLease); t.After(latest) {
+		t = latest
 	}
-	if !t.After(x.until) {
+	if !t.After(x.leaseEnd) {
 		return
 	}
-	x.until = t
-	born := x.born
+	x.leaseEnd = t
+	born := x.startedAt
 	x.world.at(t, func() {
-		if x.up && x.born.Equal(born) && !x.world.now.Before(x.until) {
-			x.lapse()
+		if x.up && x.startedAt.Equal(born) && !x.world.now.Before(x.leaseEnd) {
+			x.expire()
 		}
 	})
 }
 
-// lapse kills everything.
-func (x *worker) lapse() {
+// expire ends all runs because the lease has expired.
+func (x *worker) expire() {
 	for _, k := range slices.SortedFunc(maps.Keys(x.runs), compareRuns) {
 		x.finish(x.runs[k], lease.LeaseExpired)
 	}
 }
 
-func (x *worker) hold(c lease.HoldCall, to func(lease.Result)) {
+func (x *worker) hold(c lease.HoldCall, respond func(lease.Result)) {
 	if x.fenced(c.Fence) {
-		to(x.result(lease.Refused, lease.Fenced))
+		respond(x.result(lease.Refused, lease.Fenced))
 		return
 	}
 	x.extend(c.Until)
 	x.ended = slices.DeleteFunc(x.ended, func(e lease.ListedEnd) bool { return e.Number <= c.LastEndSeen })
 	if len(x.ended) > 0 || c.Wait == 0 {
-		to(x.list())
+		respond(x.listRuns())
 		return
 	}
-	wt := &waiter{call: c, to: to}
+	wt := &waiter{call: c, respond: respond}
 	x.waiting = append(x.waiting, wt)
 	x.world.after(c.Wait, func() { x.reply(wt) })
 }
 
 func (x *worker) reply(wt *waiter) {
-	if wt.done || !x.up {
+	if wt.answered || !x.up {
 		return
 	}
-	wt.done = true
-	wt.to(x.list())
+	wt.answered = true
+	wt.respond(x.listRuns())
 }
 
-func (x *worker) list() lease.Result {
+func (x *worker) listRuns() lease.Result {
 	r := x.result(lease.OK, "")
 	for _, k := range slices.SortedFunc(maps.Keys(x.runs), compareRuns) {
 		e := x.runs[k]
@@ -239,8 +241,8 @@
 
 func (x *worker) start(c lease.StartCall) lease.Result {
 	now := x.world.now
-	x.world.told(x, c)
-	if x.health == shedding {
+	x.world.checkStart(x, c)
+	if x.health == refusing {
 		return x.result(lease.Refused, lease.Unhealthy)
 	}
 	if x.fenced(c.Fence) {
@@ -253,7 +255,7 @@
 		x.extend(c.Until)
 		return x.result(lease.OK, "")
 	}
-	if c.Number <= x.stopped[c.Task] {
+	if c.Number <= x.lastStopped[c.Task] {
 		x.extend(c.Until)
 		return x.result(lease.Refused, lease.AlreadyStopped)
 	}
@@ -269,33 +271,33 @@
 func (x *worker) begin(c lease.StartCall) {
 	now := x.world.now
 	total, fails := x.world.work(c.Run)
-	total = time.Duration(float64(total) / x.kind.Speed * x.slow)
-	e := &execution{Run: c.Run, resources: c.Resources, began: now, total: total, full: total, since: now, outcome: lease.Done}
+	total = time.Duration(float64(total) / x.kind.Speed * x.slowdown)
+	e := &execution{Run: c.Run, resources: c.Resources, began: now, total: total, fullTime: total, progressAt: now, outcome: lease.Done}
 	x.runs[c.Run] = e
 	e.span = x.world.began(x, c.Run)
 	x.extend(c.Until)
 	switch {
-	case x.health == failing || x.health == spoiling:
-		e.outcome, e.full = lease.Failed, failsAfter
+	case x.health == failing || x.health == failingAll:
+		e.outcome, e.fullTime = lease.Failed, failureDelay
 	case fails:
 		e.outcome = lease.Failed
 	}
 	if x.pace == 1 {
-		x.endAfter(e, e.full)
+		x.endAfter(e, e.fullTime)
 		return
 	}
-	x.reckon(e)
+	x.reschedule(e)
 }
 
-// failsAfter is how long a run takes to fail on a worker that fails all.
-const failsAfter = 5 * time.Millisecond
+// failureDelay is the duration of a run on a worker that fails every task.
+const failureDelay = 5 * time.Millisecond
 
-// endAfter ends a run after a time, and after the worker has stopped hanging.
+// endAfter ends a run after a delay, or once the worker has stopped hanging if that is later.
 func (x *worker) endAfter(e *execution, d time.Duration) {
-	born, paced := x.born, e.paced
+	born, paceChanges := x.startedAt, e.paceChanges
 	x.world.after(d, func() {
 		switch {
-		case !x.up || !x.born.Equal(born) || e.over || e.paced != paced:
+		case !x.up || !x.startedAt.Equal(born) || e.finished || e.paceChanges != paceChanges:
 		case x.health == hanging:
 			x.endAfter(e, 100*time.Millisecond)
 		default:
@@ -304,40 +306,40 @@
 	})
 }
 
-// setPace has all tasks get on at another pace from now on.
+// setPace changes the rate of progress of all tasks from now on.
 func (x *worker) setPace(pace float64) {
 	before := x.pace
 	x.pace = pace
 	for _, k := range slices.SortedFunc(maps.Keys(x.runs), compareRuns) {
 		e := x.runs[k]
-		e.done += before * float64(x.world.now.Sub(e.since)) / float64(max(e.full, 1))
-		x.reckon(e)
+		e.progress += before * float64(x.world.now.Sub(e.progressAt)) / float64(max(e.fullTime, 1))
+		x.reschedule(e)
 	}
 }
 
-// reckon plans the end of a run anew, from what is done of it and the worker's pace.
-func (x *worker) reckon(e *execution) {
+// reschedule schedules the end of a run anew from its progress and the worker's pace.
+func (x *worker) reschedule(e *execution) {
 	now := x.world.now
-	e.since, e.total = now, 0
-	e.paced++
+	e.progressAt, e.total = now, 0
+	e.paceChanges++
 	if x.pace == 0 {
 		return
 	}
-	e.total = time.Duration(float64(e.full) / x.pace)
-	passed := time.Duration(e.done * float64(e.total))
-	e.began = now.Add(-passed)
-	x.endAfter(e, e.total-passed)
+	e.total = time.Duration(float64(e.fullTime) / x.pace)
+	elapsed := time.Duration(e.progress * float64(e.total))
+	e.began = now.Add(-elapsed)
+	x.endAfter(e, e.total-elapsed)
 }
 
 func (x *worker) finish(e *execution, outcome lease.Outcome) {
-	if e.over {
+	if e.finished {
 		return
 	}
-	e.over = true
+	e.finished = true
 	delete(x.runs, e.Run)
-	x.last++
-	x.ended = append(x.ended, lease.ListedEnd{Number: x.last, Run: e.Run, Outcome: outcome})
-	x.stopped[e.Task] = max(x.stopped[e.Task], e.Number)
+	x.lastEndNumber++
+	x.ended = append(x.ended, lease.ListedEnd{Number: x.lastEndNumber, Run: e.Run, Outcome: outcome})
+	x.lastStopped[e.Task] = max(x.lastStopped[e.Task], e.Number)
 	x.world.ended(e.span, outcome)
 	waiting := x.waiting
 	x.waiting = nil
@@ -350,29 +352,29 @@
 	if x.fenced(c.Fence) {
 		return x.result(lease.Refused, lease.Fenced)
 	}
-	x.stopped[c.Task] = max(x.stopped[c.Task], c.Number)
+	x.lastStopped[c.Task] = max(x.lastStopped[c.Task], c.Number)
 	if e, ok := x.runs[c.Run]; ok {
-		x.world.after(stopFor, func() { x.finish(e, lease.Stopped) })
+		x.world.after(stopDuration, func() { x.finish(e, lease.Stopped) })
 	}
 	return x.result(lease.OK, "")
 }
 
-// stopFor is how long a stop takes.
-const stopFor = 40 * time.Millisecond
+// stopDuration is the time from a stop call to the end of the run.
+const stopDuration = 40 * time.Millisecond
 
-// crash ends everything on the worker without a word.
+// crash ends the worker and its runs without notifying anyone.
 func (x *worker) crash() {
 	x.up = false
 	for _, k := range slices.SortedFunc(maps.Keys(x.runs), compareRuns) {
-		x.runs[k].over = true
+		x.runs[k].finished = true
 		x.world.ended(x.runs[k].span, lease.Lost)
 	}
 	x.runs = nil
 }
 
-// spoil fails everything on the worker, and all that begins from now on.
-func (x *worker) spoil() {
-	x.health = spoiling
+// failAll fails all running tasks on the worker and those that begin later.
+func (x *worker) failAll() {
+	x.health = failingAll
 	if !x.up {
 		return
 	}
