--- a/model/bound.go
+++ b/model/bound.go
@@ -6,74 +6,74 @@
 	"time"
 )
 
-// Comparison is a day as it was played, and what could have been earned on it.
+// Comparison is the result of a simulated day together with upper bounds on its worth.
 type Comparison struct {
 	Result Result
-	// Bound is what no planner can surpass that uses the day's workers, if processes are
-	// never lost; Outages is the same if requests are taken in and answered only while a
-	// process lives.
+	// Bound is an upper bound for any planner that uses the day's workers, if processes are
+	// never lost. Outages is the same if requests are accepted and answered only while a
+	// process is alive.
 	Bound, Outages Parts
 }
 
-// Bound returns the part of a day's worth that can't be surpassed by any planner.
+// Bound returns an upper bound on the share of a day's worth that any planner can earn.
 func Bound(cfg Config) float64 { return Compare(cfg).Bound.Whole }
 
-// Compare plays a day and returns what was earned and what can't be surpassed by any
-// planner that uses the day's workers, even if it knows all times and the future.
+// Compare simulates a day and returns what was earned and an upper bound for any planner that
+// uses the day's workers, even one that knows all durations and the future.
 //
-// It relaxes what binds a planner, in several ways, of which the lowest counts, since each
-// alone is a bound. In each, a job may be worked on by all workers at once, in any pieces
-// of time, and in part, from when its request is at a process until its answer must leave;
-// what is not served in time earns as if it was late, and a caller who leaves is owed
-// nothing if it can't be served before, and else counts as served at no cost, which can
-// only raise a share. What remains is one machine and the most valuable set of jobs that it
-// can do in time. With jobs in pieces, taking the one with the most worth for its work
-// first, as much of it as still lets all taken before be in time, is the best there is:
-// the sets that can be done in time are a polymatroid.
+// It relaxes the planner's constraints in several ways, each of which gives a bound by itself,
+// and takes the lowest. In each relaxation, all workers may work on a job at once, in any
+// pieces of time and on any part of it, from when its request reaches a process until its
+// answer must leave. What is not served in time earns as if it was late. A caller who leaves
+// is owed nothing if it can't be served before, and otherwise counts as served at no cost,
+// which can only raise a share. What remains is to choose the most valuable set of jobs that
+// one machine can finish in time. Since jobs are divisible, the greedy choice is optimal: take
+// jobs by decreasing worth per work, each to the largest extent that keeps all chosen ones in
+// time. The sets that can be finished in time are a polymatroid.
 //
-// What a task takes of that machine is a size of it for the time of its work, and what a
-// worker adds to it, times its speed, is the most that whole tasks fit beside one another
-// there. Any way to tell sizes gives a bound, because at no moment do the sizes of the
-// tasks on a worker add up to more than that. Cores as sizes know no whole tasks; with the
-// part of a worker's room, rounded up to a half, a third and so on, a task of more than
-// half of it leaves no room for another one of these.
+// A task uses its size on that machine for the duration of its work. A worker contributes,
+// times its speed, the largest total size of whole tasks that fit on it together. Any measure
+// of size gives a bound, because the sizes of the tasks on a worker never add up to more than
+// that. Size in cores ignores that tasks are indivisible. With size as the fraction of a
+// worker's CPU, rounded up to a half, a third and so on, a task of more than half of it leaves
+// no space for another one of these.
 //
-// A task that can't be in time on slower workers takes of the faster ones alone. So there
-// is also a bound for each speed: of these workers and these tasks, the others being
+// A task that can't be in time on slower workers uses only the faster ones. So there is also a
+// bound for each speed that considers only these workers and these tasks, with the others
 // served at no cost.
 //
-// It isn't reached: work has lumps in time, a job's tasks need their room at the same time,
-// and estimates are wrong. How far a planner is from it is at least how far it is from what
-// can be served.
+// The bound can't be reached: work comes in indivisible tasks, the tasks of a job need their
+// resources at the same time, and estimates are wrong. The distance of a planner to the bound
+// is at least its distance to what can be served.
 func Compare(cfg Config) Comparison {
 	w := New(cfg)
-	b := bounds{w: w, line: w.sample()}
+	b := boundEstimator{w: w, observed: w.scheduleSampling()}
 	c := Comparison{Result: w.Run()}
-	b.look()
-	c.Bound = w.parts(func(jobs []*job) float64 { return b.share(jobs, false) })
-	c.Outages = w.parts(func(jobs []*job) float64 { return b.share(jobs, true) })
+	b.makeViews()
+	c.Bound = w.computeParts(func(jobs []*job) float64 { return b.share(jobs, false) })
+	c.Outages = w.computeParts(func(jobs []*job) float64 { return b.share(jobs, true) })
 	return c
 }
 
-// bounds reckons what can be earned at most on a day that was played.
-type bounds struct {
-	w     *World
-	line  *timeline
-	views []view
+// boundEstimator computes the upper bounds of a day that was simulated.
+type boundEstimator struct {
+	w        *World
+	observed *timeline
+	views    []view
 }
 
-// view is one way to see the workers as one machine.
+// view is one way to regard the workers as a single machine.
 type view struct {
 	size size
-	// speed is that of the slowest workers that are part of it, slower that of the
-	// fastest that are not, 0 if all are.
-	speed, slower float64
-	// capacity is what the machine does in each slot, in sizes times milliseconds.
+	// minSpeed is the speed of the slowest workers in the view, excludedSpeed that of the
+	// fastest workers that are not, or 0 if all are.
+	minSpeed, excludedSpeed float64
+	// capacity is the machine's capacity in each slot, in size units times milliseconds.
 	capacity []float64
 }
 
-// look makes all views.
-func (b *bounds) look() {
+// makeViews makes the views for all size measures and speeds.
+func (b *boundEstimator) makeViews() {
 	speeds := []float64{0}
 	for _, k := range b.w.cfg.Kinds {
 		speeds = append(speeds, k.Speed)
@@ -82,66 +82,66 @@
 	speeds = slices.Compact(speeds)
 	for _, s := range b.w.sizes() {
 		for i, slower := range speeds[:len(speeds)-1] {
-			v := view{size: s, speed: speeds[i+1], slower: slower}
+			v := view{size: s, minSpeed: speeds[i+1], excludedSpeed: slower}
 			v.capacity = b.capacity(v)
 			b.views = append(b.views, v)
 		}
 	}
 }
 
-// capacity is what the workers of a view can do in each slot.
-func (b *bounds) capacity(v view) []float64 {
-	out := make([]float64, len(b.line.alive))
+// capacity returns the capacity of a view's workers in each slot.
+func (b *boundEstimator) capacity(v view) []float64 {
+	out := make([]float64, len(b.observed.alive))
 	for k, x := range b.w.workers {
-		if x.kind.Speed < v.speed {
+		if x.kind.Speed < v.minSpeed {
 			continue
 		}
 		most := v.size.most(x.Resources.CPU) * x.kind.Speed * float64(slot) / float64(time.Millisecond)
-		for i, p := range b.line.pace[k] {
+		for i, p := range b.observed.pace[k] {
 			out[i] += most * p
 		}
 	}
 	return out
 }
 
-// share is the part of the worth of some jobs that can't be surpassed.
-func (b *bounds) share(jobs []*job, outages bool) float64 {
+// share returns an upper bound on the share of the worth of some jobs that can be earned.
+func (b *boundEstimator) share(jobs []*job, outages bool) float64 {
 	least := 1.0
 	for _, v := range b.views {
-		least = min(least, b.shareIn(v, jobs, outages))
+		least = min(least, b.shareInView(v, jobs, outages))
 	}
 	return least
 }
 
-// load is a job as a view sees it: so much work between two slots.
-type load struct {
-	from, to int
-	// demand is the work of all tasks, in sizes times milliseconds at ordinary speed.
+// workload is the work of a job in a view, to be done between two slots.
+type workload struct {
+	fromSlot, toSlot int
+	// demand is the work of all tasks, in size units times milliseconds at normal speed.
 	demand float64
-	// gain is what it earns in time beyond what it earns late.
+	// gain is the value of meeting the objective beyond that of being late.
 	gain float64
-	// share is the part of it that is taken on.
+	// share is the part of the work that is accepted.
 	share float64
 }
 
-func (b *bounds) shareIn(v view, jobs []*job, outages bool) float64 {
+func (b *boundEstimator) shareInView(v view, jobs []*job, outages bool) float64 {
 	earned, owed := 0.0, 0.0
-	var loads []*load
+	var loads []*workload
 	for _, j := range jobs {
 		cl := b.w.cfg.Classes[j.class]
 		weight := cl.weight(j)
 		if !j.abandonsAt.IsZero() {
-			if _, ok := b.span(j, j.abandonsAt, outages); ok {
+			if _, ok := b.workPeriod(j, j.abandonsAt, outages); ok {
 				earned += cl.Worth * weight
 				owed += cl.Worth * weight
 			}
 			continue
 		}
 		owed += cl.Worth * weight
-		if _, ok := b.span(j, j.sent.Add(lateFactor*j.objective), outages); ok {
+		if _, ok := b.workPeriod(j, j.sent.Add(lateFactor*j.objective), outages); ok {
 			earned += cl.Late * weight
 		}
-		s, ok := b.span(j, j.sent.Add(j.objective), outages)
+		s, ok := b.workPeriod(j, j.sent.Add(j.objective), outages)
 		if !ok {
 			continue
 		}
@@ -151,37 +151,37 @@
 			earned += gain
 			continue
 		}
-		loads = append(loads, &load{
-			from: int(s.At / slot), to: int((s.At+s.For)/slot) + 1,
+		loads = append(loads, &workload{
+			fromSlot: int(s.At / slot), toSlot: int((s.At+s.For)/slot) + 1,
 			demand: demand, gain: gain,
 		})
 	}
-	return part(earned+most(loads, v.capacity), owed)
+	return earnedRatio(earned+maxGain(loads, v.capacity), owed)
 }
 
-// demand is what a job takes of a view's machine if it has so much time. A run that fails
-// takes nothing, as if it always met a worker on which it fails at once.
+// demand returns the work of a job on a view's machine if it has to be done within d. A job
+// whose runs all fail takes nothing, as if each run met a worker on which it fails at once.
 func (v view) demand(j *job, d time.Duration) float64 {
 	if j.alwaysFails {
 		return 0
 	}
 	total := time.Duration(0)
 	for _, t := range j.work {
-		if v.slower == 0 || float64(t)/v.slower > float64(d) {
+		if v.excludedSpeed == 0 || float64(t)/v.excludedSpeed > float64(d) {
 			total += t
 		}
 	}
 	return v.size.of(j.cpu) * float64(total) / float64(time.Millisecond)
 }
 
-// span is when workers can work on a job that has to be answered by a time, false if its
-// longest task is too long for that. With outages, its caller comes back as long as it
-// finds nobody, and again when all processes have been lost.
-func (b *bounds) span(j *job, last time.Time, outages bool) (Span, bool) {
+// workPeriod returns the period in which workers can work on a job that must be answered by
+// last, and false if its longest task does not fit into it. With outages, the caller
+// retries while it finds no process, and again after all processes have been lost.
+func (b *boundEstimator) workPeriod(j *job, last time.Time, outages bool) (Span, bool) {
 	w := b.w
 	begin, end := j.sent.Sub(w.start), last.Sub(w.start)
 	if outages {
-		begin, end = b.line.open(begin, end)
+		begin, end = b.observed.answerPeriod(begin, end)
 	}
 	begin += w.cfg.Caller + w.cfg.Near
 	end -= w.cfg.Caller + w.cfg.Near
@@ -189,34 +189,34 @@
 	if !j.alwaysFails {
 		longest = slices.Max(j.work)
 	}
-	ok := begin+time.Duration(float64(longest)/w.fastest()) <= end
+	ok := begin+time.Duration(float64(longest)/w.maxSpeed()) <= end
 	return Span{At: begin, For: end - begin}, ok
 }
 
-// open returns when a caller that begins to ask at a time first finds a process, and the
-// last time until another one at which an answer can reach it.
-func (t *timeline) open(begin, last time.Duration) (first, end time.Duration) {
+// answerPeriod returns when a caller that submits at begin first finds a process, and the latest
+// time up to last at which an answer can reach it.
+func (t *timeline) answerPeriod(begin, last time.Duration) (first, end time.Duration) {
 	first, end = last, last
 	for at := begin; at < last; {
 		i := int(at / slot)
-		if !t.upAt(i) {
+		if !t.aliveAt(i) {
 			at += resendDelay
 			continue
 		}
 		first = min(first, at)
-		for t.upAt(i) {
+		for t.aliveAt(i) {
 			i++
 		}
 		lost := time.Duration(i) * slot
 		end = min(last, lost)
-		// The loss was up to a slot earlier.
+		// The processes were lost up to one slot earlier.
 		at = max(at, lost-slot) + resendDelay
 	}
 	return first, end
 }
 
-// fastest is the highest speed of any kind of worker.
-func (w *World) fastest() float64 {
+// maxSpeed returns the highest speed of any kind of worker.
+func (w *World) maxSpeed() float64 {
 	best := 0.0
 	for _, k := range w.cfg.Kinds {
 		best = max(best, k.Speed)
@@ -224,25 +224,25 @@
 	return best
 }
 
-// most is the most that loads can gain.
-func most(loads []*load, capacity []float64) float64 {
+// maxGain returns an upper bound on the total gain of workloads on a machine.
+func maxGain(loads []*workload, capacity []float64) float64 {
 	all := 0.0
 	for _, l := range loads {
 		l.share = 1
 		all += l.gain
 	}
-	slices.SortStableFunc(loads, func(x, y *load) int { return cmp.Compare(x.from, y.from) })
-	if inTime(loads, capacity) {
+	slices.SortStableFunc(loads, func(x, y *workload) int { return cmp.Compare(x.fromSlot, y.fromSlot) })
+	if allInTime(loads, capacity) {
 		return all
 	}
 	byValue := slices.Clone(loads)
-	slices.SortStableFunc(byValue, func(x, y *load) int { return cmp.Compare(y.gain/y.demand, x.gain/x.demand) })
+	slices.SortStableFunc(byValue, func(x, y *workload) int { return cmp.Compare(y.gain/y.demand, x.gain/x.demand) })
 	gained := 0.0
-	var taken []*load
+	var taken []*workload
 	for _, l := range byValue {
-		at, _ := slices.BinarySearchFunc(taken, l, func(x, y *load) int { return cmp.Compare(x.from, y.from) })
+		at, _ := slices.BinarySearchFunc(taken, l, func(x, y *workload) int { return cmp.Compare(x.fromSlot, y.fromSlot) })
 		taken = slices.Insert(taken, at, l)
-		l.fit(taken, capacity)
+		l.fitShare(taken, capacity)
 		gained += l.gain * min(1, l.share+shareStep)
 		if l.share == 0 {
 			taken = slices.Delete(taken, at, at+1)
@@ -252,45 +252,46 @@
 }
 
 const (
-	// shareSteps is how finely the part of a job is sought that can be taken on, and
-	// shareStep by how much it is found too low at most.
+	// shareSteps is the number of bisection steps in the search for the share of a job that can
+	// be accepted, and shareStep the largest amount by which the result is too low.
 	shareSteps = 8
 	shareStep  = 1.0 / (1 << shareSteps)
 )
 
-// fit takes on as much of the load as lets all that is taken be in time.
-func (l *load) fit(taken []*load, capacity []float64) {
+// fitShare sets the share of the workload to the largest one with which all accepted workloads
+// are in time.
+func (l *workload) fitShare(taken []*workload, capacity []float64) {
 	l.share = 1
-	if inTime(taken, capacity) {
+	if allInTime(taken, capacity) {
 		return
 	}
 	l.share = shareStep
-	if !inTime(taken, capacity) {
+	if !allInTime(taken, capacity) {
 		l.share = 0
 		return
 	}
 	l.share = 0
 	for step := 0.5; step >= shareStep; step /= 2 {
 		l.share += step
-		if !inTime(taken, capacity) {
+		if !allInTime(taken, capacity) {
 			l.share -= step
 		}
 	}
 }
 
-// inTime tells whether all loads, which are in the order of their beginnings, are done in
-// time if what ends first is always worked on first. If that fails, every order does.
-func inTime(taken []*load, capacity []float64) bool {
-	type rest struct {
-		to   int
-		left float64
+// allInTime reports whether all workloads, which are sorted by their first slots, are done in
+// time under earliest-deadline-first order. If that fails, every order does.
+func allInTime(taken []*workload, capacity []float64) bool {
+	type remainder struct {
+		toSlot int
+		left   float64
 	}
-	var open []rest
+	var open []remainder
 	next := 0
 	for i, left := range capacity {
-		for next < len(taken) && taken[next].from <= i {
-			r := rest{taken[next].to, taken[next].share * taken[next].demand}
-			at, _ := slices.BinarySearchFunc(open, r, func(x, y rest) int { return cmp.Compare(x.to, y.to) })
+		for next < len(taken) && taken[next].fromSlot <= i {
+			r := remainder{taken[next].toSlot, taken[next].share * taken[next].demand}
+			at, _ := slices.BinarySearchFunc(open, r, func(x, y remainder) int { return cmp.Compare(x.toSlot, y.toSlot) })
 			open = slices.Insert(open, at, r)
 			next++
 		}
@@ -303,7 +304,7 @@
 		}
 		if len(open) > 0 {
 			open[0].left -= left
-			if open[0].to <= i+1 {
+			if open[0].toSlot <= i+1 {
 				return false
 			}
 		}
--- a/model/bound_test.go
+++ b/model/bound_test.go
@@ -8,23 +8,23 @@
 	"snipehub.example/lease"
 )
 
-// minus returns how much larger each part is than that of another.
+// minus returns the difference of each part to that of o.
 func (p Parts) minus(o Parts) Parts {
 	return Parts{p.Whole - o.Whole, p.Windows - o.Windows, p.Class - o.Class, p.DataCenter - o.DataCenter}
 }
 
-// below checks that no part of what was earned surpasses the bounds.
-func below(t *testing.T, name string, c Comparison) {
+// checkBounds checks that no part of what was earned exceeds the bounds.
+func checkBounds(t *testing.T, name string, c Comparison) {
 	t.Helper()
 	for _, b := range []struct {
-		name string
-		room Parts
+		name   string
+		margin Parts
 	}{
 		{"bound", c.Bound.minus(c.Result.Parts)},
 		{"outages", c.Outages.minus(c.Result.Parts)},
 		{"outages under the bound", c.Bound.minus(c.Outages)},
 	} {
-		if p := b.room; min(p.Whole, p.Windows, p.Class, p.DataCenter) < -1e-9 {
+		if p := b.margin; min(p.Whole, p.Windows, p.Class, p.DataCenter) < -1e-9 {
 			t.Errorf("%s: %s: earned %v, bound %v, with outages %v", name, b.name, c.Result.Parts, c.Bound, c.Outages)
 		}
 	}
@@ -33,8 +33,8 @@
 	}
 }
 
-// The bound must not be surpassed by what the real decisions earn, on any day, and must be
-// all of the worth where nothing is scarce.
+// On no day may the real decisions earn more than the bound. On a calm day, where nothing is
+// scarce, the bound must be all of the worth.
 func TestNobodySurpassesTheBound(t *testing.T) {
 	t.Parallel()
 	for _, d := range Days {
@@ -43,7 +43,7 @@
 		d.Apply(&cfg)
 		cfg.Length, cfg.Tail = min(cfg.Length, 8*time.Second), 4*time.Second
 		c := Compare(cfg)
-		below(t, d.Name, c)
+		checkBounds(t, d.Name, c)
 		if bound, got := Bound(cfg), New(cfg).Run().Worth; got != c.Result.Worth || bound != c.Bound.Whole {
 			t.Errorf("%s: earned %.4f and bound %.4f by themselves, %.4f and %.4f together", d.Name, got, bound, c.Result.Worth, c.Bound.Whole)
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// Days with drawn faults, and more load than the workers bear: here the bound is below
-// all.
+// The same for days with drawn faults and more load than the workers can serve, where the bound
+// is below the whole worth.
 func TestNobodySurpassesTheBoundOfDrawnDays(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -62,12 +62,12 @@
 		cfg.Load *= 1 + float64(seed)
 		c := Compare(cfg)
 		t.Logf("seed %d: earned %.3f, bound %.3f, with outages %.3f", seed+1, c.Result.Parts, c.Bound, c.Outages)
-		below(t, "drawn", c)
+		checkBounds(t, "drawn", c)
 	}
 }
 
-// One worker, and jobs whose only task takes a little more than half of it. In cores it
-// could do almost two at a time, with whole tasks one.
+// One worker serves jobs whose only task takes a little more than half of it. By cores almost
+// two fit at a time, but tasks are indivisible, so only one does.
 func TestBoundKnowsWholeTasks(t *testing.T) {
 	cfg := Config{
 		Seed:        1,
@@ -80,27 +80,27 @@
 		Lead: 2 * time.Second, Length: 10 * time.Second, Tail: 2 * time.Second,
 	}
 	c := Compare(cfg)
-	below(t, "half", c)
-	// Ten of twenty a second, a few more at the ends, and the rest late.
+	checkBounds(t, "half", c)
+	// Ten of twenty jobs a second are in time, plus a few at the ends; the rest are late.
 	if b := c.Bound.Whole; b < 0.55 || b > 0.68 {
 		t.Errorf("bound %.3f, earned %.3f", b, c.Result.Worth)
 	}
 }
 
-// While no process lives nobody can ask or be answered. Callers who find nobody ask again
-// 1.3 seconds later, which is too late for most.
+// While no process is up, no caller can submit a job or be answered. Callers who find no process
+// retry 1.3 seconds later, which is too late for most.
 func TestBoundOfAnOutage(t *testing.T) {
-	cfg := quiet(1)
+	cfg := lightDay(1)
 	cfg.Faults = []Fault{{4 * time.Second, PowerOffAll(time.Second)}}
 	c := Compare(cfg)
-	below(t, "outage", c)
+	checkBounds(t, "outage", c)
 	if c.Bound.Whole < 0.999 || c.Outages.Whole > 0.93 || c.Outages.Windows > 0.8 {
 		t.Errorf("bound %.3f, with outages %.3f, in the worst windows %.3f", c.Bound.Whole, c.Outages.Whole, c.Outages.Windows)
 	}
 }
 
-// When a caller can ask and be answered, around a time without any process.
-func TestOpen(t *testing.T) {
+// The period in which a caller can submit and be answered, around a time without any process.
+func TestAnswerPeriodAroundOutage(t *testing.T) {
 	const ms = time.Millisecond
 	line := timeline{alive: slices.Concat(slices.Repeat([]bool{true}, 50), slices.Repeat([]bool{false}, 50), slices.Repeat([]bool{true}, 200))}
 	tests := []struct {
@@ -116,25 +116,25 @@
 		{"after", 2100 * ms, 2600 * ms, 2100 * ms, 2600 * ms},
 	}
 	for _, tt := range tests {
-		first, end := line.open(tt.begin, tt.last)
+		first, end := line.answerPeriod(tt.begin, tt.last)
 		if first != tt.wantFirst || end != tt.wantTo {
 			t.Errorf("%s: %v to %v, want %v to %v", tt.name, first, end, tt.wantFirst, tt.wantTo)
 		}
 	}
 }
 
-// Two jobs want the whole machine in the same two slots; only the one with more worth for
-// its work can be done, and half of the other.
+// Two jobs need the whole machine in the same two slots. The one with more worth for its work is
+// done whole, and half of the other.
 func TestBoundTakesTheMostValuable(t *testing.T) {
 	capacity := []float64{10, 10, 10}
-	first := &load{from: 0, to: 2, demand: 15, gain: 2}
-	second := &load{from: 0, to: 2, demand: 10, gain: 1}
-	first.fit([]*load{first}, capacity)
-	second.fit([]*load{first, second}, capacity)
+	first := &workload{fromSlot: 0, toSlot: 2, demand: 15, gain: 2}
+	second := &workload{fromSlot: 0, toSlot: 2, demand: 10, gain: 1}
+	first.fitShare([]*workload{first}, capacity)
+	second.fitShare([]*workload{first, second}, capacity)
 	if first.share != 1 || second.share < 0.48 || second.share > 0.5 {
 		t.Errorf("shares %v and %v, want 1 and a half", first.share, second.share)
 	}
-	if got := most([]*load{first, second}, capacity); got < 2.5 || got > 2.51 {
+	if got := maxGain([]*workload{first, second}, capacity); got < 2.5 || got > 2.51 {
 		t.Errorf("gained %v, want 2 and a half of 1", got)
 	}
 }
--- a/model/caller.go
+++ b/model/caller.go
@@ -171,9 +171,9 @@
 	j, _, ok := w.task(c.Task)
 	switch {
 	case !ok:
-		w.broken("UNASKED: %s run %d on %s, which no caller has sent", c.Task, c.Number, x.ID)
+		w.violation("UNASKED: %s run %d on %s, which no caller has sent", c.Task, c.Number, x.ID)
 	case c.Spec != w.specOf(j):
-		w.broken("UNASKED: %s run %d on %s, attempt %d, with %d bytes of another text", c.Task, c.Number, x.ID, c.Attempt, len(c.Spec))
+		w.violation("UNASKED: %s run %d on %s, attempt %d, with %d bytes of another text", c.Task, c.Number, x.ID, c.Attempt, len(c.Spec))
 	}
 }
 
--- a/model/day.go
+++ b/model/day.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Day is a kind of day to compare policies by.
+// Day is a kind of day used to compare policies.
 type Day struct {
 	Name string
-	// Pattern is what its load answers to, and the grounds of its figures.
+	// Pattern describes the load and faults of the day.
 	Pattern string
 	Apply   func(cfg *Config)
 }
 
-// Days is the table of days. Load 1 is what the users' sheets name; the crashes, the
-// sick workers and the bursts have the sizes that their stories and deployments name.
+// Days is the table of days. Load 1 is what the users' sheets name. The crashes, faulty workers
+// and bursts have the sizes that the users' reports and deployments name.
 var Days = []Day{
 	{
 		"calm", "the sheets' load at six tenths, with a burst of 1.3 for four seconds",
@@ -51,5 +51,5 @@
 	},
 }
 
-// Sites are the deployments by name.
+// Sites holds the functions that return the deployments, by name.
 var Sites = map[string]func() Config{"lakeshore": Lakeshore, "teranga": Teranga, "kioskopskrba": Kioskopskrba}
--- a/model/drawn_test.go
+++ b/model/drawn_test.go
@@ -20,27 +20,27 @@
 	daysEach        = flag.Int("days-each", 3, "how many days are played of each deployment, 2 at least")
 )
 
-// startsMost is how many tasks a second are asked for at the most; deployments that could
-// do more have longer tasks. The largest one known asks for 840.
-const startsMost = 900
+// maxStartsPerSecond bounds the task starts per second that a deployment requests; deployments
+// with a higher capacity get longer tasks. The largest known deployment requests 840.
+const maxStartsPerSecond = 900
 
-// draws draws the parts of a deployment.
+// draws generates random parts of a deployment.
 type draws struct{ *rand.Rand }
 
-// between draws evenly on a logarithmic scale.
-func (d draws) between(least, most float64) float64 {
+// logUniform draws a value that is uniform on a logarithmic scale.
+func (d draws) logUniform(least, most float64) float64 {
 	return least * math.Pow(most/least, d.Float64())
 }
 
-func (d draws) count(least, most float64) int { return int(math.Round(d.between(least, most))) }
+func (d draws) count(least, most float64) int { return int(math.Round(d.logUniform(least, most))) }
 
 func (d draws) duration(least, most time.Duration) time.Duration {
-	return time.Duration(d.between(float64(least), float64(most)))
+	return time.Duration(d.logUniform(float64(least), float64(most)))
 }
 
-// deployment is the deployment of a seed, unlike any that the policy was made for. It must
-// stay as it is, so that a seed that failed once stays what it was. All queues have one
-// rank: an operator's order is obeyed whatever it costs, so it says nothing of the policy.
+// deployment returns the deployment of a seed, unlike any that the policy was designed for. It
+// must not change, so that a seed that once failed keeps its meaning. All queues have the same
+// rank: an operator's rank is obeyed at any cost, so it says nothing about the policy.
 func deployment(seed uint64) Config {
 	d := draws{rand.New(rand.NewPCG(seed, 5))}
 	cfg := Config{
@@ -54,13 +54,13 @@
 	workers, vms := d.count(12, 400), d.count(3, 45)
 	d.spread(cfg.DataCenters, workers, vms)
 	for i := range 1 + d.IntN(4) {
-		speed, cpu := d.between(0.4, 2.5), d.count(32000, 128000)
+		speed, cpu := d.logUniform(0.4, 2.5), d.count(32000, 128000)
 		cfg.Kinds = append(cfg.Kinds, Kind{Name: fmt.Sprintf("k%d", i), Speed: speed, Resources: lease.Resources{CPU: cpu, Memory: 262144}})
 	}
 	demand, misjudged := 0.5+d.Float64(), math.Log1p(d.Float64())
 	classes := 1 + d.IntN(4)
 	for i := range classes {
-		cl := d.class(cfg.Kinds, demand/float64(classes)*float64(workers), startsMost/float64(classes))
+		cl := d.class(cfg.Kinds, demand/float64(classes)*float64(workers), maxStartsPerSecond/float64(classes))
 		cl.Name, cl.Misjudged = fmt.Sprintf("c%d", i), misjudged
 		cfg.Classes = append(cfg.Classes, cl)
 	}
@@ -68,11 +68,11 @@
 	return cfg
 }
 
-// spread gives each data centre one VM at least, and any part of the others, of the workers
-// and of the callers.
+// spread gives each data centre at least one VM, and a random part of the other VMs, of the
+// workers and of the callers.
 func (d draws) spread(dcs []DataCenter, workers, vms int) {
 	for i := range dcs {
-		dcs[i] = DataCenter{Name: fmt.Sprintf("dc%d", i), VMs: 1, Callers: d.between(0.3, 1)}
+		dcs[i] = DataCenter{Name: fmt.Sprintf("dc%d", i), VMs: 1, Callers: d.logUniform(0.3, 1)}
 	}
 	for range vms - len(dcs) {
 		dcs[d.IntN(len(dcs))].VMs++
@@ -82,33 +82,34 @@
 	}
 }
 
-// class draws a kind of request that keeps so many workers busy with at most so many starts
-// a second.
+// class draws a class of requests that keeps a number of workers busy with at most the given
+// starts per second.
 func (d draws) class(kinds []Kind, workers, starts float64) Class {
 	smallest := slices.MinFunc(kinds, func(x, y Kind) int { return cmp.Compare(x.Resources.CPU, y.Resources.CPU) }).Resources.CPU
 	cl := Class{
 		Width:     d.count(1, 16),
-		CPU:       int(float64(smallest) * d.between(0.25, 0.7)),
+		CPU:       int(float64(smallest) * d.logUniform(0.25, 0.7)),
 		Memory:    64,
 		Spread:    0.4,
 		Uneven:    0.15,
 		Objective: d.duration(40*time.Millisecond, 200*time.Millisecond),
-		Stretch:   d.between(1.4, 3),
+		Stretch:   d.logUniform(1.4, 3),
 		Attempts:  2 + d.IntN(3),
 		Fails:     0.002,
 	}
-	capacity := workers * places(kinds, cl.CPU)
-	work := max(d.between(0.05, 0.8), capacity/starts)
+	capacity := workers * meanParallelTasks(kinds, cl.CPU)
+	work := max(d.logUniform(0.05, 0.8), capacity/starts)
 	cl.Work = time.Duration(work * float64(time.Second))
 	cl.WorkMost, cl.WidthMost, cl.CPUMost = 4*cl.Work, 4*cl.Width, min(cl.CPU*3/2, smallest)
 	cl.PerSecond = capacity / work / float64(cl.Width)
-	cl.Worth = work * float64(cl.Width) * d.between(0.02, 0.08)
+	cl.Worth = work * float64(cl.Width) * d.logUniform(0.02, 0.08)
 	cl.Late = cl.Worth / 5
 	return cl
 }
 
-// places is how many tasks a worker bears on average, each counted by the worker's speed.
-func places(kinds []Kind, cpu int) float64 {
+// meanParallelTasks returns the mean number of tasks that fit on a worker, weighted by the
+// worker's speed.
+func meanParallelTasks(kinds []Kind, cpu int) float64 {
 	sum := 0.0
 	for _, k := range kinds {
 		sum += k.Speed * float64(k.Resources.CPU/cpu)
@@ -116,8 +117,8 @@
 	return sum / float64(len(kinds))
 }
 
-// dayLength is a length in which a queue that grows makes jobs late long before the day
-// ends, and in which small deployments too have some thousand tasks.
+// dayLength returns a length at which a growing queue makes jobs late long before the day ends,
+// and at which small deployments also have some thousand tasks.
 func dayLength(classes []Class) time.Duration {
 	const (
 		objectives = 3
@@ -132,7 +133,7 @@
 	return max(objectives*longest, min(time.Duration(tasks/perSecond*float64(time.Second)), most))
 }
 
-// baselines are plain ways to plan. They eject failing workers as the default does.
+// baselines are simple planning policies. They eject failing workers as the default does.
 var baselines = []struct {
 	name  string
 	apply func(cfg *Config)
@@ -146,17 +147,17 @@
 	}},
 }
 
-// surely are the quantiles of Student's t at 99%, by degrees of freedom: a mean is below
-// zero by so many of its standard errors in one case of a hundred by chance.
-var surely = []float64{31.82, 6.965, 4.541, 3.747, 3.365, 3.143, 2.998, 2.896, 2.821, 2.764}
+// tQuantiles99 holds the 99% quantiles of Student's t by degrees of freedom: a mean is below zero
+// by more than this many standard errors by chance in one case of a hundred.
+var tQuantiles99 = []float64{31.82, 6.965, 4.541, 3.747, 3.365, 3.143, 2.998, 2.896, 2.821, 2.764}
 
-// gain is what the default earned more than a baseline: the mean, its standard error, and
-// the degrees of freedom of that.
-type gain struct{ mean, err, freedom float64 }
+// gain is what the default earned more than a baseline: the mean, its standard error, and the
+// degrees of freedom of that error.
+type gain struct{ mean, err, degrees float64 }
 
 func gainOf(more []float64) gain {
 	n := float64(len(more))
-	g := gain{freedom: n - 1}
+	g := gain{degrees: n - 1}
 	for _, x := range more {
 		g.mean += x / n
 	}
@@ -167,9 +168,10 @@
 	return g
 }
 
-// together is the mean over deployments. Its error is by what days differ, not deployments,
-// its degrees of freedom are Welch's: one deployment may have most of the error.
-func together(all []gain) gain {
+// meanGain returns the mean over deployments. Its error comes from the differences between days,
+// not between deployments. Its degrees of freedom are Welch's, since one deployment may
+// contribute most of the error.
+func meanGain(all []gain) gain {
 	var sum gain
 	n := float64(len(all))
 	square, rest := 0.0, 0.0
@@ -177,40 +179,39 @@
 		e := g.err * g.err / n / n
 		sum.mean += g.mean / n
 		square += e
-		rest += e * e / g.freedom
+		rest += e * e / g.degrees
 	}
-	sum.err, sum.freedom = math.Sqrt(square), 1
+	sum.err, sum.degrees = math.Sqrt(square), 1
 	if rest > 0 {
-		sum.freedom = square * square / rest
+		sum.degrees = square * square / rest
 	}
 	return sum
 }
 
-// tolerated is how much less the default may earn before that is surely not by chance.
-func (g gain) tolerated() float64 {
-	f := min(max(int(g.freedom), 1), len(surely))
-	return surely[f-1] * g.err
+// tolerance returns the largest loss against a baseline that may still be due to chance.
+func (g gain) tolerance() float64 {
+	f := min(max(int(g.degrees), 1), len(tQuantiles99))
+	return tQuantiles99[f-1] * g.err
 }
 
 func (g gain) check(t *testing.T, baseline string) {
 	t.Helper()
 	t.Logf("%+.4f ± %.4f to %s", g.mean, g.err, baseline)
-	if g.mean < -g.tolerated() {
+	if g.mean < -g.tolerance() {
 		t.Errorf("loses %.4f ± %.4f to %s", -g.mean, g.err, baseline)
 	}
 }
 
-// A deployment that nobody tuned the planner for has other sizes, speeds, estimates and
-// widths of jobs, and its callers notice when a threshold that suits the known ones does
-// harm: more of them are refused or late than if the planner had no policy at all. Causes
-// would be jobs refused that could have been served, workers left idle for faster ones,
-// and an order that serves the wrong jobs.
+// A threshold of the planner that suits the known deployments may do harm in one with other
+// sizes, speeds, estimates and job widths: more jobs are refused or late than with a simple
+// policy. Causes would be refused jobs that could have been served, workers left idle for
+// faster ones, and an order that serves the wrong jobs.
 //
-// What is tolerated is what days of the same deployment differ by, not a figure. No
-// promise may be broken on any day, under any policy.
+// The tolerance comes from the differences between days of a deployment, not from a fixed
+// figure. No guarantee may be violated on any day under any policy.
 func TestDrawnDeployments(t *testing.T) {
 	t.Parallel()
-	// more is by deployment, baseline and day.
+	// more holds what the default earned more, by deployment, baseline and day.
 	more := make([][][]float64, *deployments)
 	t.Run("days", func(t *testing.T) {
 		for i := range more {
@@ -241,7 +242,7 @@
 	}
 	t.Run("all", func(t *testing.T) {
 		for b, base := range baselines {
-			together(all[b]).check(t, base.name)
+			meanGain(all[b]).check(t, base.name)
 		}
 	})
 }
@@ -261,7 +262,8 @@
 	return more
 }
 
-// A baseline that refuses jobs after all would make the comparison with it worth little.
+// The first-come baseline must refuse nothing, even under overload; otherwise the comparison with
+// it would say little.
 func TestFirstComeRefusesNothing(t *testing.T) {
 	cfg := Lakeshore()
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = 1, 1.8, 4*time.Second, 2*time.Second
--- a/model/faults_test.go
+++ b/model/faults_test.go
@@ -8,29 +8,29 @@
 )
 
 var (
-	days  = flag.Int("days", 12, "how many days with drawn faults are played")
-	first = flag.Uint64("first", 1, "the seed of the first day")
+	dayCount = flag.Int("days", 12, "how many days with drawn faults are played")
+	firstDay = flag.Uint64("first", 1, "the seed of the first day")
 )
 
-// drawnDay is the day of a seed. It must stay as it is, so that seeds that failed once
-// stay the days that they were.
+// drawnDay returns the day of a seed. It must not change, so that seeds that once failed keep
+// their meaning.
 func drawnDay(seed uint64) Config {
 	cfg := Lakeshore()
 	switch seed % 3 {
 	case 0:
 		cfg = Teranga()
 	case 1:
-		cfg = long(seed)
+		cfg = longJobDay(seed)
 	}
 	cfg.Seed, cfg.Length, cfg.Tail = seed, 12*time.Second, 6*time.Second
 	if cfg.Load == 0 {
 		cfg.Load = 0.3 + 0.2*float64(seed%5)
 	}
-	cfg.Faults = draw(seed, cfg.Length)
+	cfg.Faults = drawFaults(seed, cfg.Length)
 	return cfg
 }
 
-// Seeds of drawn days on which a promise was broken once.
+// failedSeeds are seeds of drawn days on which a guarantee was once violated.
 var failedSeeds = []struct {
 	seed  uint64
 	cause string
@@ -39,7 +39,7 @@
 	{30221, "a start that reached the new life of a worker was told to be lost with what ran before"},
 }
 
-// Days on which two runs of a task overlapped before the cause was mended.
+// Days on which two runs of a task overlapped before the cause was fixed.
 func TestSeedsThatFailed(t *testing.T) {
 	t.Parallel()
 	for _, f := range failedSeeds {
@@ -47,9 +47,9 @@
 	}
 }
 
-// draw returns the faults of a day: a few of every kind, at any time, together or
-// twice.
-func draw(seed uint64, length time.Duration) []Fault {
+// drawFaults returns the faults of a day: a few of any kind at any time, which may coincide or
+// repeat.
+func drawFaults(seed uint64, length time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	at := func() time.Duration { return time.Duration(rnd.Int64N(int64(length))) }
 	span := func() time.Duration { return 300*time.Millisecond + time.Duration(rnd.Int64N(int64(5*time.Second))) }
@@ -77,43 +77,43 @@
 	return out
 }
 
-// Processes and workers die, freeze, are cut off, answer late or not at all, several
-// at a time. A caller may get no answer in time, but no task runs twice at once, and
-// what was refused never starts.
+// Processes and workers crash, freeze, are cut off, or answer late or not at all, several at a
+// time. A caller may get no answer in time, but no two runs of a task overlap, and a refused job
+// never starts.
 func TestDrawnFaults(t *testing.T) {
 	t.Parallel()
-	for i := range *days {
-		seed := *first + uint64(i)
+	for i := range *dayCount {
+		seed := *firstDay + uint64(i)
 		r := play(t, drawnDay(seed))
 		t.Logf("seed %d: worth %.3f worst %.3f waste %.1f s", seed, r.Worth, r.Worst, r.Waste.Seconds())
 	}
 }
 
-// The same, and a fifth of the calls to workers are overtaken by later ones, as where each
-// goes over a connection of its own and packets get lost.
+// The same while a fifth of the calls to workers are overtaken by later ones, as if each used a
+// connection of its own and packets were lost.
 func TestDrawnFaultsWithCrossing(t *testing.T) {
 	t.Parallel()
-	for i := range *days / 2 {
-		cfg := drawnDay(*first + uint64(i))
+	for i := range *dayCount / 2 {
+		cfg := drawnDay(*firstDay + uint64(i))
 		cfg.DelayedCallShare = 0.2
 		r := play(t, cfg)
 		t.Logf("seed %d: worth %.3f worst %.3f waste %.1f s", cfg.Seed, r.Worth, r.Worst, r.Waste.Seconds())
 	}
 }
 
-// The VM of the process that took in a job loses power, and 0.5 seconds later, before its
-// silence is noticed, that of the holder of its tasks. What the holder had renewed just before
-// runs on for a second; a caller that notices the first loss at once comes back before that,
-// and its tasks run twice at once.
+// The VM of the process that took a job loses power, and 0.5 seconds later, before its silence
+// is noticed, so does the VM of the holder of its tasks. What the holder renewed just before
+// runs on for a second. A caller that notices the first loss at once retries before that, and
+// its tasks run twice at once.
 func TestOwnerThenHolderWithoutPower(t *testing.T) {
 	cfg := drawnDay(100054)
 	cfg.DelayedCallShare = 0.2
 	play(t, cfg)
 }
 
-// An order gets no answer, and its worker crashes and starts again under the same id. The
-// order is carried out then by the next life, which has seen no fencing token, and whose clock
-// has begun anew: a task starts whose caller was told that it never will.
+// An order gets no answer, and its worker crashes and restarts with the same ID. The order then
+// reaches the next incarnation, which has seen no fencing token and whose clock has restarted:
+// a task starts although its caller was told that it never will.
 func TestLateOrderReachesTheNextLife(t *testing.T) {
 	t.Parallel()
 	play(t, drawnDay(910248))
--- a/model/grown_test.go
+++ b/model/grown_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// grown is a deployment of 41 VMs and 350 workers at the load that its users expect.
-func grown() Config {
+// grownDeployment returns a deployment of 41 VMs and 350 workers at the load that its users
+// expect.
+func grownDeployment() Config {
 	c := Lakeshore()
 	c.DataCenters = []DataCenter{
 		{Name: "chicago", VMs: 13, Workers: 117, Callers: 47},
@@ -22,11 +23,11 @@
 	return c
 }
 
-// The cost of a day of a grown deployment whose callers ask for more than can be
-// served: half of its workers turn eight times as slow for a while.
+// Measures a day of a grown deployment whose callers request more than can be served: 80 of its
+// workers become eight times as slow for three seconds.
 func BenchmarkGrown(b *testing.B) {
 	for b.Loop() {
-		cfg := grown()
+		cfg := grownDeployment()
 		cfg.Seed, cfg.Length, cfg.Tail, cfg.Load = 1, 6*time.Second, time.Second, 1.5
 		cfg.Bursts = []Burst{{At: 500 * time.Millisecond, For: 4 * time.Second, Times: 1.3}}
 		cfg.Faults = []Fault{{2 * time.Second, SlowNewTasks(3, 80, 8, 3*time.Second)}}
--- a/model/large_test.go
+++ b/model/large_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// large is a deployment of 147 VMs and 1,100 workers in five data centres. A tenth of the
-// VMs has five times the processor of the smallest.
-func large() Config {
+// largeDeployment returns a deployment of 147 VMs and 1,100 workers in five data centres. A tenth
+// of the VMs has five times the processor share of the smallest.
+func largeDeployment() Config {
 	c := Lakeshore()
 	c.DataCenters = nil
 	for _, dc := range []struct {
@@ -27,10 +27,10 @@
 	return c
 }
 
-// A deployment of 147 processes must serve nearly all on a calm day, and 0.87 of the worth
-// in trouble: when one of five data centres is cut off without a word, when a quarter more
-// workers come while others leave, when a tenth of the VMs and of the workers are lost at
-// once, when callers come half as many again.
+// A deployment of 147 processes must earn nearly all of the worth on a calm day, and 0.87 of it
+// under faults: when one of five data centres is cut off silently, when a quarter more workers
+// join while others leave, when a tenth of the VMs and of the workers are lost at once, and when
+// the request rate rises by half.
 func TestLargeDeployment(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -41,14 +41,14 @@
 	}{
 		{"calm", 0.6, 0.94, nil, nil},
 		{"data centre cut off", 0.6, 0.87, nil, []Fault{{time.Second, CutDataCenter("detroit", false, 1500*time.Millisecond)}}},
-		{"workers come and go", 0.8, 0.87, nil, comeAndGo(1100, 275, 150)},
-		{"VMs and workers lost", 0.7, 0.87, nil, append(powerOff(147, 15), Fault{1200 * time.Millisecond, Crash(100, 110, time.Second)})},
+		{"workers come and go", 0.8, 0.87, nil, workerChurn(1100, 275, 150)},
+		{"VMs and workers lost", 0.7, 0.87, nil, append(powerOffSome(147, 15), Fault{1200 * time.Millisecond, Crash(100, 110, time.Second)})},
 		{"burst", 0.8, 0.87, []Burst{{At: 500 * time.Millisecond, For: 2 * time.Second, Times: 1.5}}, nil},
 	}
 	for i, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			cfg := large()
+			cfg := largeDeployment()
 			cfg.Seed, cfg.Length, cfg.Tail, cfg.Load = uint64(i+1), 3*time.Second, 2*time.Second, tt.load
 			cfg.Bursts, cfg.Faults = tt.bursts, tt.faults
 			r := play(t, cfg)
@@ -60,8 +60,8 @@
 	}
 }
 
-// comeAndGo adds workers in all data centres within a second and takes others away.
-func comeAndGo(have, more, fewer int) (out []Fault) {
+// workerChurn adds workers in all data centres within a second and retires others.
+func workerChurn(have, more, fewer int) (out []Fault) {
 	dcs := []string{"chicago", "detroit", "cleveland", "milwaukee", "buffalo"}
 	for i := range more {
 		out = append(out, Fault{500*time.Millisecond + time.Duration(i)*3*time.Millisecond, Join(dcs[i%len(dcs)], i)})
@@ -72,18 +72,18 @@
 	return out
 }
 
-// powerOff takes the power of some of the VMs at once, spread over all data centres.
-func powerOff(have, lost int) (out []Fault) {
+// powerOffSome powers off some of the VMs at once, spread over all data centres.
+func powerOffSome(have, lost int) (out []Fault) {
 	for i := range lost {
 		out = append(out, Fault{time.Second, PowerOff(i*have/lost, 1500*time.Millisecond)})
 	}
 	return out
 }
 
-// The cost of a calm day of 147 processes, without that of sessions and calls.
+// Measures a calm day of 147 processes, without the cost of sessions and calls.
 func BenchmarkLarge(b *testing.B) {
 	for b.Loop() {
-		cfg := large()
+		cfg := largeDeployment()
 		cfg.Seed, cfg.Length, cfg.Tail, cfg.Load = 1, 3*time.Second, time.Second, 0.6
 		r := New(cfg).Run()
 		b.ReportMetric(r.Worth, "worth")
--- a/model/loss_test.go
+++ b/model/loss_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A share of the calls to workers gets no answer and is carried out seconds late.
-// Callers should notice little: the workers are well, and what a lost call was about
-// can be found out with the next one. The least worth is a little below what these
-// days came to; with a worker put out of use for each lost call it was 0.81 and 0.48.
+// A share of the calls to workers gets no answer and is executed seconds late. Callers should
+// notice little: the workers are healthy, and the next call can find out the outcome of a lost
+// one. The minimum worth is a little below what these days earned; with a worker put out of use
+// for each lost call it was 0.81 and 0.48.
 func TestLostCalls(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct{ share, least float64 }{{0.05, 0.92}, {0.15, 0.82}} {
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -14,7 +14,7 @@
 	return r
 }
 
-// A calm day: everything that callers ask for can be served in time.
+// On a calm day, everything that callers request can be served in time.
 func TestCalmDay(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
@@ -33,12 +33,12 @@
 	}
 }
 
-// The same seed gives the same day, faults included: a failure can be played again.
+// The same seed gives the same day, including faults, so that a failure can be reproduced.
 func TestSameSeedSameDay(t *testing.T) {
 	t.Parallel()
 	var days []string
 	for range 2 {
-		cfg := busy(Lakeshore(), 3)
+		cfg := busyDay(Lakeshore(), 3)
 		cfg.Length = 8 * time.Second
 		cfg.Faults = append(cfg.Faults, Fault{4 * time.Second, Kill(2, time.Second)}, Fault{6 * time.Second, Lose(0.1, time.Second)})
 		days = append(days, play(t, cfg).String())
--- a/model/outage.go
+++ b/model/outage.go
@@ -6,9 +6,9 @@
 	"snipehub.example/mesh"
 )
 
-// Restart stops a process in an orderly way: it takes no more callers and passes its
-// workers on, ends when nobody waits for it any more or after grace, and starts again
-// after down.
+// Restart returns a fault that shuts a process down gracefully and starts it again after down.
+// The process takes no more callers and transfers its workers. It ends once it is idle, or
+// after grace.
 func Restart(vm int, grace, down time.Duration) func(*World) {
 	return func(w *World) {
 		n := w.vms[vm%len(w.vms)]
@@ -21,23 +21,23 @@
 	}
 }
 
-// idlePoll is how often a process that stops looks whether somebody still waits for it.
-const idlePoll = 25 * time.Millisecond
+// idlePollInterval is the interval between checks whether a stopping process is idle.
+const idlePollInterval = 25 * time.Millisecond
 
-func (n *vm) endWhenIdle(boots uint64, last time.Time, down time.Duration) {
+func (n *vm) endWhenIdle(boots uint64, deadline time.Time, down time.Duration) {
 	w := n.world
-	w.after(idlePoll, func() {
+	w.after(idlePollInterval, func() {
 		switch {
 		case n.boots != boots || !n.up:
-		case n.core.Idle() || !w.now.Before(last):
+		case n.core.Idle() || !w.now.Before(deadline):
 			w.kill(n, down, reset)
 		default:
-			n.endWhenIdle(boots, last, down)
+			n.endWhenIdle(boots, deadline, down)
 		}
 	})
 }
 
-// Blind keeps a process from the store.
+// Blind makes the store unreachable for one process.
 func Blind(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
 		n := w.vms[vm%len(w.vms)]
@@ -46,7 +46,8 @@
 	}
 }
 
-// OnPlanner does something to the VM that plans, or to the first that is up if none does.
+// OnPlanner applies a fault to the VM of the planner, or to the first VM that is up if no
+// process is the planner.
 func OnPlanner(do func(vm int) func(*World)) func(*World) {
 	return func(w *World) {
 		chosen := -1
@@ -61,12 +62,12 @@
 	}
 }
 
-// CutDataCenter separates the processes and workers of a data centre from all others and
-// from the store; its callers still reach its processes. If it is loud, connections are
-// reset and processes notice at once, else they hear silence.
-func CutDataCenter(name string, loud bool, d time.Duration) func(*World) {
+// CutDataCenter isolates the processes and workers of a data centre from all others and from
+// the store; its callers still reach its processes. If resetConns is set, connections are reset
+// and processes notice at once; otherwise they see silence.
+func CutDataCenter(name string, resetConns bool, d time.Duration) func(*World) {
 	how := silent
-	if loud {
+	if resetConns {
 		how = reset
 	}
 	return func(w *World) {
@@ -82,22 +83,24 @@
 	}
 }
 
-// Drag has the tasks on a worker take times as long, those under way too.
-func Drag(index int, times float64, d time.Duration) func(*World) {
-	return onWorkers(index, 1, d, func(x *worker) { x.setPace(1 / times) }, func(x *worker) { x.setPace(1) })
+// Drag multiplies the duration of the tasks on a worker by factor, including those already
+// running.
+func Drag(index int, factor float64, d time.Duration) func(*World) {
+	return onWorkers(index, 1, d, func(x *worker) { x.setPace(1 / factor) }, func(x *worker) { x.setPace(1) })
 }
 
-// Halt has the tasks on a worker stand still and get on afterwards.
+// Halt pauses the tasks on a worker; they continue afterwards.
 func Halt(index int, d time.Duration) func(*World) {
 	return onWorkers(index, 1, d, func(x *worker) { x.setPace(0) }, func(x *worker) { x.setPace(1) })
 }
 
-// Spoil has a worker fail every task, those under way too.
+// Spoil makes a worker fail every task, including those already running.
 func Spoil(index int, d time.Duration) func(*World) {
 	return onWorkers(index, 1, d, func(x *worker) { x.failAll() }, func(x *worker) { x.health = healthy })
 }
 
-// Retire has a worker drain and, after a while, leave for good with what runs on it.
+// Retire makes a worker drain and, after a delay, leave permanently; what still runs on it is
+// lost.
 func Retire(worker int, after time.Duration) func(*World) {
 	return func(w *World) {
 		x := w.workers[worker%len(w.workers)]
@@ -111,7 +114,7 @@
 	}
 }
 
-// Join adds an empty worker of a kind.
+// Join adds an empty worker of a kind to a data centre.
 func Join(dc string, kind int) func(*World) {
 	return func(w *World) { w.addWorker(dc, w.cfg.Kinds[kind%len(w.cfg.Kinds)]) }
 }
--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -8,8 +8,7 @@
 	"snipehub.example/lease"
 )
 
-// What strikes a worker strikes the tasks that are under way there, and no longer than it
-// lasts.
+// A fault of a worker affects the tasks that already run there, and only while it lasts.
 func TestRunsUnderWay(t *testing.T) {
 	const work = 200 * time.Millisecond
 	tests := []struct {
@@ -50,17 +49,17 @@
 	}
 }
 
-// quiet is a day on which everything can be served.
-func quiet(seed uint64) Config {
+// lightDay returns a day on which everything can be served.
+func lightDay(seed uint64) Config {
 	cfg := Lakeshore()
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = seed, 0.5, 8*time.Second, 6*time.Second
 	return cfg
 }
 
-// All VMs are restarted one after the other, as for an update. A process that stops
-// answers its callers before it ends, so nobody is kept waiting until it gives up.
+// All VMs are restarted one after the other, as for an update. A stopping process answers its
+// callers before it ends, so no caller waits until its timeout.
 func TestRestartsInTurn(t *testing.T) {
-	cfg := quiet(1)
+	cfg := lightDay(1)
 	for i := range 8 {
 		cfg.Faults = append(cfg.Faults, Fault{time.Duration(i) * time.Second, Restart(i, 6*time.Second, 300*time.Millisecond)})
 	}
@@ -72,11 +71,11 @@
 	}
 }
 
-// A data centre is cut off from the others and from the store for two seconds. Callers on
-// both sides go on being served by the workers of their side, but for what was under way
-// across the cut.
+// A data centre is cut off from the others and from the store for two seconds. Callers on both
+// sides are still served by the workers of their side, except for what was in progress across
+// the cut.
 func TestDataCenterCutOff(t *testing.T) {
-	cfg := quiet(2)
+	cfg := lightDay(2)
 	cfg.Faults = []Fault{{3 * time.Second, CutDataCenter("detroit", false, 2*time.Second)}}
 	r := play(t, cfg)
 	if r.Parts.DataCenter < 0.85 || r.Worth > 0.999 {
@@ -84,9 +83,9 @@
 	}
 }
 
-// The planner is lost, whichever process that is, and a worker joins later.
+// OnPlanner hits the planner, whichever process that is, and a worker that joins later is used.
 func TestPlannerLostWorkerJoins(t *testing.T) {
-	cfg := quiet(3)
+	cfg := lightDay(3)
 	lost := -1
 	cfg.Faults = []Fault{
 		{2 * time.Second, OnPlanner(func(vm int) func(*World) {
@@ -110,8 +109,8 @@
 	}
 }
 
-// Callers who leave at once are owed nothing, and jobs that can't be done earn when that is
-// told; both change nothing for the others.
+// Callers who leave at once are owed nothing, and jobs that cannot succeed earn their value when
+// the failure is reported; neither affects the other jobs.
 func TestChangesOfCallers(t *testing.T) {
 	all := Span{For: time.Hour}
 	tests := []struct {
@@ -131,7 +130,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := quiet(4)
+			cfg := lightDay(4)
 			tt.change(&cfg)
 			for _, c := range play(t, cfg).Classes {
 				if !tt.check(c) {
@@ -142,9 +141,10 @@
 	}
 }
 
-// A data centre's callers come in waves and move to another one for a while.
+// The callers of one data centre follow a wave, and those of another move to a third one for a
+// while.
 func TestWavesAndMoves(t *testing.T) {
-	cfg := quiet(5)
+	cfg := lightDay(5)
 	cfg.DataCenters[0].Wave = Wave{Swing: 0.8, Period: 8 * time.Second}
 	cfg.Moves = []Move{{Span{At: 6 * time.Second, For: 2 * time.Second}, "detroit", "cleveland", 1}}
 	count := make(map[string]int)
--- a/model/parts.go
+++ b/model/parts.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Parts is the part of the worth that is earned, seen from several sides: over the whole
-// day, in the two worst windows, by the worst class, and by the worst data centre's callers.
-// The largest and second largest jobs of a class count as classes by themselves.
+// Parts holds the earned share of the worth over several groups of jobs: the whole day, the two
+// worst windows (their mean), the worst class, and the callers of the worst data centre. The
+// largest tenth of a class's jobs and the fifth below it each count as a class too.
 type Parts struct {
 	Whole, Windows, Class, DataCenter float64
 }
 
-// By weighs the parts and returns their sum.
+// By returns the weighted sum of the parts.
 func (p Parts) By(weights Parts) float64 {
 	return weights.Whole*p.Whole + weights.Windows*p.Windows + weights.Class*p.Class + weights.DataCenter*p.DataCenter
 }
 
-// The largest tenth of a class and the fifth below it are its large and its middling jobs.
+// The shares of a class's jobs that count as large and, below them, as middling.
 const (
 	largest  = 0.1
 	midsized = 0.2
 )
 
-// parts asks for the share of each group of jobs that counts.
-func (w *World) parts(share func(jobs []*job) float64) Parts {
+// computeParts applies share to each group of jobs and combines the results.
+func (w *World) computeParts(share func(jobs []*job) float64) Parts {
 	p := Parts{Whole: share(w.jobs), Windows: 1, Class: 1, DataCenter: 1}
 	low := []float64{1, 1}
-	for _, g := range groupsOf(w.jobs, func(j *job) int { return int(j.sent.Sub(w.start) / window) }) {
+	for _, g := range groupsOf(w.jobs, func(j *job) int { return int(j.sent.Sub(w.start) / windowLength) }) {
 		low = append(low, share(g))
 	}
 	slices.Sort(low)
@@ -47,16 +47,16 @@
 	return p
 }
 
-// largest returns the largest tenth of a class's jobs by their work, and the fifth below.
+// largest returns the largest tenth of a class's jobs by total work, and the fifth below it.
 func (w *World) largest(jobs []*job) (large, middling []*job) {
 	sorted := slices.Clone(jobs)
-	slices.SortStableFunc(sorted, func(x, y *job) int { return cmp.Compare(y.amount(), x.amount()) })
+	slices.SortStableFunc(sorted, func(x, y *job) int { return cmp.Compare(y.totalWork(), x.totalWork()) })
 	n := float64(len(sorted))
 	a, b := int(largest*n), int((largest+midsized)*n)
 	return sorted[:a], sorted[a:b]
 }
 
-// groupsOf splits jobs by a key, in the order of the keys.
+// groupsOf groups jobs by a key, in the order of the keys.
 func groupsOf[K cmp.Ordered](jobs []*job, key func(*job) K) [][]*job {
 	sorted := slices.Clone(jobs)
 	slices.SortStableFunc(sorted, func(x, y *job) int { return cmp.Compare(key(x), key(y)) })
@@ -70,20 +70,20 @@
 	return out
 }
 
-// earned is the share of the worth of jobs that was earned.
+// earned returns the share of the worth of jobs that was earned.
 func (w *World) earned(jobs []*job) float64 {
 	var scratch Tally
 	earned, owed := 0.0, 0.0
 	for _, j := range jobs {
-		e, o := w.count(&scratch, j)
+		e, o := w.tally(&scratch, j)
 		earned += e
 		owed += o
 	}
-	return part(earned, owed)
+	return earnedRatio(earned, owed)
 }
 
-// part is what was earned over what was owed, all of it if nothing was.
-func part(earned, owed float64) float64 {
+// earnedRatio returns earned over owed, or 1 if nothing was owed.
+func earnedRatio(earned, owed float64) float64 {
 	if owed == 0 {
 		return 1
 	}
--- a/model/recovery.go
+++ b/model/recovery.go
@@ -7,53 +7,53 @@
 	"snipehub.example/mesh"
 )
 
-// Loss is a loss of processes in the middle of a calm day.
+// Loss describes a loss of processes in the middle of a calm day.
 type Loss struct {
 	Name string
-	// Planner tells that the planner is lost, else a process that does not plan.
+	// Planner is set if the planner is lost, otherwise a process that is not the planner is.
 	Planner bool
-	// Fault makes the fault for the VM lost.
+	// Fault returns the fault for the VM that is lost.
 	Fault func(vm int) func(*World)
 }
 
-// lostFor is how long what was lost stays away. Takeovers are over by then.
-const lostFor = 3 * time.Second
+// lossDuration is how long a lost process stays away. Takeovers are finished by then.
+const lossDuration = 3 * time.Second
 
-// Losses is the table of losses. Every process is an entry and a holder besides.
+// Losses is the table of losses. Every process is also an entry and a holder.
 var Losses = []Loss{
-	{"planner killed", true, func(vm int) func(*World) { return Kill(vm, lostFor) }},
-	{"planner without power", true, func(vm int) func(*World) { return PowerOff(vm, lostFor) }},
-	{"planner frozen", true, func(vm int) func(*World) { return Freeze(vm, lostFor) }},
-	{"planner cut off", true, func(vm int) func(*World) { return Cut(vm, lostFor) }},
-	{"holder killed", false, func(vm int) func(*World) { return Kill(vm, lostFor) }},
-	{"holder without power", false, func(vm int) func(*World) { return PowerOff(vm, lostFor) }},
-	{"holder frozen", false, func(vm int) func(*World) { return Freeze(vm, lostFor) }},
-	{"holder cut off", false, func(vm int) func(*World) { return Cut(vm, lostFor) }},
+	{"planner killed", true, func(vm int) func(*World) { return Kill(vm, lossDuration) }},
+	{"planner without power", true, func(vm int) func(*World) { return PowerOff(vm, lossDuration) }},
+	{"planner frozen", true, func(vm int) func(*World) { return Freeze(vm, lossDuration) }},
+	{"planner cut off", true, func(vm int) func(*World) { return Cut(vm, lossDuration) }},
+	{"holder killed", false, func(vm int) func(*World) { return Kill(vm, lossDuration) }},
+	{"holder without power", false, func(vm int) func(*World) { return PowerOff(vm, lossDuration) }},
+	{"holder frozen", false, func(vm int) func(*World) { return Freeze(vm, lossDuration) }},
+	{"holder cut off", false, func(vm int) func(*World) { return Cut(vm, lossDuration) }},
 	{"all without power for a second", true, func(int) func(*World) { return PowerOffAll(time.Second) }},
 }
 
-// Recovery is what came of a loss.
+// Recovery is the result of a day with a loss.
 type Recovery struct {
-	// Gap is the longest time without any start after the loss: until placing went on.
+	// Gap is the longest time without a start on any worker from the loss on.
 	Gap time.Duration
 	// Others is the same for the workers whose holder was not lost.
 	Others time.Duration
-	// Again is the time from the loss until all of the workers of the lost process
-	// could be used again, by a planner that knows it.
+	// Again is the time from the loss until a planner knew that all of the lost process's
+	// workers could be used again.
 	Again time.Duration
-	// Lost counts the jobs without an answer, Refused those refused, Late those late,
-	// of the Asked of the whole day.
+	// Lost counts the jobs that got no answer or failed, Refused the refused and Late the late
+	// ones, out of the Asked jobs of the whole day.
 	Lost, Refused, Late, Asked int
 	Broken                     []string
 }
 
-// begun is a start on a worker.
+// begun is the start of a run on a worker.
 type begun struct {
 	at     time.Time
 	worker string
 }
 
-// Recover plays a day with a loss at a time from the first request.
+// Recover simulates a day with a loss at a time from the first request.
 func Recover(cfg Config, at time.Duration, l Loss) Recovery {
 	w := New(cfg)
 	r := Recovery{}
@@ -64,7 +64,7 @@
 			lost = append(lost, s.ID)
 		}
 		l.Fault(n.index)(w)
-		w.await(n.id, lost, &r.Again)
+		w.awaitReopened(n.id, lost, &r.Again)
 	})
 	res := w.Run()
 	r.Broken = res.Broken
@@ -74,36 +74,36 @@
 		r.Refused += t.Refused
 		r.Late += t.Late
 	}
-	r.starts(w, w.start.Add(at), lost)
+	r.measureGaps(w, w.start.Add(at), lost)
 	return r
 }
 
-// victim returns the planner, or the first process that does not plan.
+// victim returns the VM of the planner, or the first one whose process is not the planner.
 func (w *World) victim(planner bool) *vm {
 	i := slices.IndexFunc(w.vms, func(n *vm) bool { return n.up && n.core.IsPlanner() == planner })
 	return w.vms[i]
 }
 
-// await sets how long it takes until all of the workers are open at a holder that is not
-// the one before.
-func (w *World) await(before mesh.ID, ids []string, took *time.Duration) {
+// awaitReopened measures the time until all of the workers are open at a holder other than the
+// former one.
+func (w *World) awaitReopened(formerHolder mesh.ID, ids []string, elapsed *time.Duration) {
 	const step = 5 * time.Millisecond
-	*took += step
+	*elapsed += step
 	w.after(step, func() {
-		if w.open(before, ids) < len(ids) {
-			w.await(before, ids, took)
+		if w.countOpen(formerHolder, ids) < len(ids) {
+			w.awaitReopened(formerHolder, ids, elapsed)
 		}
 	})
 }
 
-// open counts the workers that a planner sees open at others than the holder before.
-func (w *World) open(before mesh.ID, ids []string) (n int) {
+// countOpen counts the workers that a planner sees open at a holder other than the former one.
+func (w *World) countOpen(formerHolder mesh.ID, ids []string) (n int) {
 	for _, vm := range w.vms {
-		if !vm.up || vm.suspended || vm.id == before || !vm.core.IsPlanner() {
+		if !vm.up || vm.suspended || vm.id == formerHolder || !vm.core.IsPlanner() {
 			continue
 		}
 		for _, h := range vm.core.Status(w.now).Cell.Holders {
-			if h.Open && h.Holder != before && slices.Contains(ids, h.Worker) {
+			if h.Open && h.Holder != formerHolder && slices.Contains(ids, h.Worker) {
 				n++
 			}
 		}
@@ -111,8 +111,8 @@
 	return n
 }
 
-// starts works out the gaps between the starts around a loss.
-func (r *Recovery) starts(w *World, at time.Time, lost []string) {
+// measureGaps sets the longest gaps between starts from the loss to the last request.
+func (r *Recovery) measureGaps(w *World, at time.Time, lost []string) {
 	last, lastOther := at, at
 	end := w.start.Add(w.cfg.Length)
 	for _, b := range w.begun {
--- a/model/recovery_test.go
+++ b/model/recovery_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The planner is killed. Its workers, a part of all, took no tasks for half a second
-// after all who live had reported, because the next planner waited for processes that
-// might just be starting; it knew better, since it had seen all for long.
+// The planner is killed. Its workers, a part of all, took no tasks for half a second after all
+// remaining processes had reported, because the next planner waited for processes that might
+// be starting, although it had long known all of them.
 func TestPlannerIsKilled(t *testing.T) {
 	for seed := range uint64(3) {
 		cfg := Lakeshore()
@@ -20,9 +20,9 @@
 	}
 }
 
-// The planner is killed while the store is away, in deployments of 3, 8 and 41 processes.
-// The next one can't read the list of workers; those of the one killed, all of them in a
-// small deployment, served nobody until the store was back.
+// The planner is killed while the store is unreachable, in deployments of 3, 8 and 41 processes.
+// The next planner can't read the list of workers. The workers of the killed process, all of
+// them in a small deployment, served no one until the store was back.
 func TestPlannerIsKilledWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -43,7 +43,7 @@
 				cfg.DataCenters[i].VMs = n
 			}
 			cfg.Faults = []Fault{{2 * time.Second, StoreDown(20 * time.Second)}}
-			loss := Loss{Name: "killed", Planner: tt.planner, Fault: func(vm int) func(*World) { return Kill(vm, lostFor) }}
+			loss := Loss{Name: "killed", Planner: tt.planner, Fault: func(vm int) func(*World) { return Kill(vm, lossDuration) }}
 			r := Recover(cfg, 3*time.Second, loss)
 			t.Logf("%v, planner %v: again after %v, %d of %d refused, %d lost", tt.processes, tt.planner, r.Again, r.Refused, r.Asked, r.Lost)
 			if len(r.Broken) > 0 || r.Again > time.Second {
--- a/model/row_test.go
+++ b/model/row_test.go
@@ -8,17 +8,17 @@
 )
 
 var (
-	rows     = flag.Int("rows", 2, "how many days with losses in a row are played, and half as many with cells")
+	rowDays  = flag.Int("rows", 2, "how many days with losses in a row are played, and half as many with cells")
 	firstRow = flag.Uint64("first-row", 1, "the seed of the first of them")
 )
 
-// rowDay is a day of long jobs on which, again and again, a process is lost and, before that
-// is noticed or just after, one or two further ones: without power, frozen, cut off, killed,
-// or only late with their heartbeats and back in between. Each data centre has the VMs given,
-// or as many as ever.
+// rowDay returns a day of long jobs on which processes are lost in series: one is lost and, before
+// that is noticed or just after, one or two more. They lose power, freeze, are cut off, are
+// killed, or are only late with their heartbeats and recover in between. Each data centre has at
+// least the given number of VMs.
 func rowDay(seed uint64, vms int) Config {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	cfg := long(seed)
+	cfg := longJobDay(seed)
 	cfg.Length, cfg.Load = 20*time.Second, 0.9
 	if seed%2 == 0 {
 		cfg.DelayedCallShare = 0.2
@@ -50,22 +50,22 @@
 	return cfg
 }
 
-// The process that took in a job is lost, and the holder of its runs before or just after that
-// is noticed. What the holder had renewed runs on; a caller who notices the first loss at once
-// comes back, and its tasks must not run twice at once.
+// The process that took a job is lost, and the holder of its runs just before or after that is
+// noticed. What the holder had renewed runs on. A caller who notices the first loss at once
+// retries, and its tasks must not run twice at once.
 func TestLossesInARow(t *testing.T) {
 	t.Parallel()
-	for i := range *rows {
+	for i := range *rowDays {
 		r := play(t, rowDay(*firstRow+uint64(i), 0))
 		t.Logf("seed %d: worth %.3f", *firstRow+uint64(i), r.Worth)
 	}
 }
 
-// The same where each data centre is a cell: owners and holders of a run may be in two cells,
-// which elect their planners by themselves.
+// The same where each data centre is a cell: the owner and the holder of a run may be in two
+// cells, which elect their planners independently.
 func TestLossesInARowWithCells(t *testing.T) {
 	t.Parallel()
-	for i := range (*rows + 1) / 2 {
+	for i := range (*rowDays + 1) / 2 {
 		cfg := rowDay(*firstRow+uint64(i), 33)
 		cfg.Length, cfg.Load = 8*time.Second, 0.6
 		r := play(t, cfg)
--- a/model/sample.go
+++ b/model/sample.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// slot is the length of the pieces of time in which the workers' capacity is reckoned.
+// slot is the time resolution at which the capacity of workers is sampled.
 const slot = 20 * time.Millisecond
 
-// timeline is what a day's workers and processes could do, slot by slot.
+// timeline records which capacity was available in each slot of a day.
 //
-// It errs on the side of the planner, so that what is reckoned from it stays a bound: of
-// the states at a slot's two ends the better one counts, a worker counts until it is gone
-// though calls may not reach it, and so does one that is slow, hangs or fails only for
-// what begins there, because what began before goes on.
+// It errs in favour of the planner, so that what is computed from it stays a bound. Of the
+// states at the two ends of a slot the better one counts. A worker counts until it is gone,
+// even if calls can't reach it, and so does one that is slow, hangs or fails only for tasks
+// that begin, because tasks that began before continue.
 type timeline struct {
-	// pace is how fast tasks get on, by worker and slot; 0 is not at all.
+	// pace is the rate of progress of tasks by worker and slot; 0 means none.
 	pace [][]float64
-	// alive tells whether any process takes requests.
+	// alive is set, by slot, if any process takes requests.
 	alive []bool
 }
 
-// sample plans to look at the day at each slot's end.
-func (w *World) sample() *timeline {
+// scheduleSampling schedules a sample at the end of each slot.
+func (w *World) scheduleSampling() *timeline {
 	t := &timeline{}
 	for i := range int((w.cfg.Length+w.cfg.Tail)/slot) + 2 {
-		w.at(w.start.Add(time.Duration(i)*slot), func() { t.look(w, i) })
+		w.at(w.start.Add(time.Duration(i)*slot), func() { t.record(w, i) })
 	}
 	return t
 }
 
-func (t *timeline) look(w *World, i int) {
+func (t *timeline) record(w *World, i int) {
 	alive := false
 	for _, n := range w.vms {
 		alive = alive || n.up && catalogVersion(n) != 0
@@ -51,5 +51,5 @@
 	}
 }
 
-// upAt tells whether a process takes requests in a slot.
-func (t *timeline) upAt(i int) bool { return i >= 0 && i < len(t.alive) && t.alive[i] }
+// aliveAt reports whether a process takes requests in a slot.
+func (t *timeline) aliveAt(i int) bool { return i >= 0 && i < len(t.alive) && t.alive[i] }
--- a/model/score.go
+++ b/model/score.go
@@ -9,68 +9,69 @@
 	"snipehub.example/lease"
 )
 
-// Result is what came of a day.
+// Result is the result of a simulated day.
 type Result struct {
 	Classes []Tally
-	// Worth is the part of all worth that was earned, Worst that of the two
-	// worst windows of two seconds.
+	// Worth is the earned share of the total worth, Worst that of the two worst windows of two
+	// seconds (their mean).
 	Worth, Worst float64
-	// Parts is the worth in all its parts.
+	// Parts is the earned share by groups of jobs.
 	Parts Parts
-	// Rejected counts starts for which a worker had insufficient resources, Waste the time of
-	// runs that did not end as done.
+	// Rejected counts starts for which a worker had insufficient resources. Waste is the total
+	// time of runs that did not end as done.
 	Rejected int
 	Waste    time.Duration
 	Messages int
-	// Broken are the promises that were broken, at most brokenMost of them.
+	// Broken describes the violated guarantees, at most maxBroken of them.
 	Broken []string
 }
 
-// Tally is what came of a class of requests.
+// Tally is the result of a class of requests.
 type Tally struct {
-	Name                                          string
-	Asked, InAim, Late, Refused, Failed, Unserved int
-	Earned, Owed                                  float64
+	Name                                           string
+	Asked, OnTime, Late, Refused, Failed, Unserved int
+	Earned, Owed                                   float64
 }
 
-// Share is the part of the worth that was earned.
+// Share returns the share of the worth that was earned.
 func (t Tally) Share() float64 { return t.Earned / max(t.Owed, 1e-9) }
 
-// String shows a result in a few lines.
+// String formats a result in a few lines.
 func (r Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "worth %.3f worst %.3f rejected %d waste %.1fs messages %d broken %d\n", r.Worth, r.Worst, r.Rejected, r.Waste.Seconds(), r.Messages, len(r.Broken))
 	for _, t := range r.Classes {
-		fmt.Fprintf(&b, "  %-14s asked %5d in aim %5d late %4d refused %4d failed %3d unserved %3d worth %.3f\n", t.Name, t.Asked, t.InAim, t.Late, t.Refused, t.Failed, t.Unserved, t.Share())
+		fmt.Fprintf(&b, "  %-14s asked %5d in aim %5d late %4d refused %4d failed %3d unserved %3d worth %.3f\n", t.Name, t.Asked, t.OnTime, t.Late, t.Refused, t.Failed, t.Unserved, t.Share())
 	}
 	return b.String()
 }
 
 const (
-	brokenMost = 20
-	// window is the length of the windows of which the worst count.
-	window = 2 * time.Second
+	maxBroken = 20
+	// windowLength is the length of the windows by which the worst times of a day are found.
+	windowLength = 2 * time.Second
 )
 
-func (w *World) broken(format string, args ...any) {
-	if len(w.result.Broken) < brokenMost {
+func (w *World) violation(format string, args ...any) {
+	if len(w.result.Broken) < maxBroken {
 		at := fmt.Sprintf("%.3f s: ", w.now.Sub(w.start).Seconds())
 		w.result.Broken = append(w.result.Broken, at+fmt.Sprintf(format, args...))
 	}
 }
 
-// began checks that no other run of the task is under way.
+// began records the start of a run. It checks that no other run of the task is in progress and
+// that the job was not refused.
 func (w *World) began(x *worker, r lease.Run) *span {
 	j := w.jobsByID[r.Job()]
 	if j != nil {
 		j.started = true
 		if j.finished && j.answer == entry.Refused {
-			w.broken("REFUSED: %s starts on %s after its refusal", r.Task, x.ID)
+			w.violation("REFUSED: %s starts on %s after its refusal", r.Task, x.ID)
 		}
 	}
 	for _, s := range w.spansByTask[r.Task] {
 		if s.end.IsZero() {
-			w.broken("TWICE: %s run %d starts on %s while run %d is on %s since %.3f", r.Task, r.Number, x.ID, s.run, s.worker, s.begin.Sub(w.start).Seconds())
+			w.violation("TWICE: %s run %d starts on %s while run %d is on %s since %.3f", r.Task, r.Number, x.ID, s.run, s.worker, s.begin.Sub(w.start).Seconds())
 		}
 	}
 	s := &span{worker: x.ID, run: r.Number, begin: w.now}
@@ -86,49 +87,49 @@
 	}
 }
 
-// finish counts what came of the day.
+// finish computes the result of the day.
 func (w *World) finish() {
 	r := &w.result
-	w.countSpoilt()
+	w.reportAlteredOrders()
 	r.Classes = make([]Tally, len(w.cfg.Classes))
 	earned := make(map[int]float64)
 	owed := make(map[int]float64)
 	for _, j := range w.jobs {
 		t := &r.Classes[j.class]
-		e, o := w.count(t, j)
-		k := int(j.sent.Sub(w.start) / window)
+		e, o := w.tally(t, j)
+		k := int(j.sent.Sub(w.start) / windowLength)
 		earned[k] += e
 		owed[k] += o
 	}
-	sumE, sumO := 0.0, 0.0
+	totalEarned, totalOwed := 0.0, 0.0
 	for i := range r.Classes {
 		r.Classes[i].Name = w.cfg.Classes[i].Name
-		sumE += r.Classes[i].Earned
-		sumO += r.Classes[i].Owed
+		totalEarned += r.Classes[i].Earned
+		totalOwed += r.Classes[i].Owed
 	}
-	r.Worth = sumE / max(sumO, 1e-9)
-	r.Worst = worst(earned, owed)
-	r.Parts = w.parts(w.earned)
+	r.Worth = totalEarned / max(totalOwed, 1e-9)
+	r.Worst = worstWindows(earned, owed)
+	r.Parts = w.computeParts(w.earned)
 }
 
-// countSpoilt takes an order that was held back because its text had changed for a broken
-// promise: it reaches no worker, but nothing may spoil it.
-func (w *World) countSpoilt() {
+// reportAlteredOrders reports orders that were held back because their spec had changed. They
+// reach no worker, but nothing may alter them.
+func (w *World) reportAlteredOrders() {
 	for _, n := range w.vms {
 		if k := n.core.NotStarted(lease.TextDiffers); k > 0 {
-			w.broken("SPOILT: %d orders at %s had another text than their job", k, n.name)
+			w.violation("SPOILT: %d orders at %s had another text than their job", k, n.name)
 		}
 	}
 }
 
-// weight is what a job is worth over the mean of its class, by its work.
+// weight returns the value of a job relative to the mean of its class, by its total work.
 func (c Class) weight(j *job) float64 {
 	mean := float64(c.Work) * float64(c.Width) * float64(c.CPU)
-	return min(0.3+0.7*j.amount()/mean, 4)
+	return min(0.3+0.7*j.totalWork()/mean, 4)
 }
 
-// amount is the work of all tasks.
-func (j *job) amount() float64 {
+// totalWork returns the work of all tasks times their CPU.
+func (j *job) totalWork() float64 {
 	total := time.Duration(0)
 	for _, d := range j.work {
 		total += d
@@ -136,7 +137,7 @@
 	return float64(total) * float64(j.cpu)
 }
 
-func (w *World) count(t *Tally, j *job) (earned, owed float64) {
+func (w *World) tally(t *Tally, j *job) (earned, owed float64) {
 	cl := w.cfg.Classes[j.class]
 	t.Asked++
 	if !j.abandonsAt.IsZero() && !j.finished {
@@ -152,7 +153,7 @@
 	case j.answer == entry.Failed && !j.alwaysFails:
 		t.Failed++
 	case j.responseTime <= j.objective:
-		t.InAim++
+		t.OnTime++
 		earned = owed
 	case j.responseTime <= lateFactor*j.objective:
 		t.Late++
@@ -165,8 +166,8 @@
 	return earned, owed
 }
 
-// worst returns the share earned in the two worst windows.
-func worst(earned, owed map[int]float64) float64 {
+// worstWindows returns the mean share earned in the two worst windows.
+func worstWindows(earned, owed map[int]float64) float64 {
 	a, b := 1.0, 1.0
 	for k, o := range owed {
 		if o == 0 {
--- a/model/site.go
+++ b/model/site.go
@@ -6,9 +6,9 @@
 	"snipehub.example/lease"
 )
 
-// Lakeshore is the deployment of the florists' order service, as its users
-// describe it: three data centres, 8 VMs, 48 workers of about 64 cores, and three
-// kinds of request. A worker bears two or three tasks.
+// Lakeshore is the deployment of the florists' order service, as its users describe it: three
+// data centres, 8 VMs, 48 workers of about 64 cores, and three classes of requests. A worker
+// has capacity for two or three tasks.
 func Lakeshore() Config {
 	return Config{
 		DataCenters: []DataCenter{
@@ -69,11 +69,11 @@
 	return c
 }
 
-// classes are the three kinds of request that all users have: a check of many
-// short tasks, a heavy request of few long ones, and a small frequent one. Load 1
-// is the sum of the rates in their sheets.
-func classes(check, heavy, confirm string, cpu, most int) []Class {
-	base := Class{CPU: cpu, CPUMost: most, Memory: 64, Spread: 0.4, Uneven: 0.15, Objective: 60 * time.Millisecond, Stretch: 1.6, Fails: 0.002}
+// classes returns the three classes of requests that all users have: a check of many short
+// tasks, a heavy request of few long ones, and a small frequent one. Load 1 is the sum of the
+// rates in the users' sheets.
+func classes(check, heavy, confirm string, cpu, maxCPU int) []Class {
+	base := Class{CPU: cpu, CPUMost: maxCPU, Memory: 64, Spread: 0.4, Uneven: 0.15, Objective: 60 * time.Millisecond, Stretch: 1.6, Fails: 0.002}
 	a, b, c := base, base, base
 	a.Name, a.PerSecond, a.Work, a.WorkMost, a.Width, a.WidthMost = check, 34.4, 60*time.Millisecond, 240*time.Millisecond, 8, 32
 	a.Attempts, a.Rank, a.Worth, a.Late = 2, 0, 0.0291, 0.00582
--- a/model/size.go
+++ b/model/size.go
@@ -2,73 +2,73 @@
 
 import "slices"
 
-// size tells how large a task is beside others, and how much of that a worker takes at once.
+// size is a measure of the size of tasks, and of how much of it fits on a worker at once.
 type size struct {
-	// unit is the room that sizes are parts of, 0 for sizes in cores.
+	// unit is the CPU of a worker that sizes are fractions of, or 0 for sizes in CPU.
 	unit int
-	// parts is one less than the number of parts that the unit is split into.
+	// parts is one less than the number of equal parts that the unit is split into.
 	parts int
-	// smallest is the least that a task of each size takes of a worker, by the number of
-	// parts.
-	smallest []int
+	// minCPU is the least CPU that a task of each size takes, by its number of whole parts.
+	minCPU []int
 }
 
-// sizes are the ways to tell sizes: in cores, and for each room that a worker has, by how
-// many whole halves, thirds and so on of it are less than the task. Of tasks of more than a
-// half only one fits, of more than a third two, however much room they leave.
+// sizes returns the size measures: CPU, and for each CPU capacity of a worker and each number of
+// parts into which it is split, the number of whole parts (halves, thirds and so on) that a
+// task exceeds. Of tasks of more than a half only one fits, of more than a third two, however
+// much CPU they leave free.
 func (w *World) sizes() []size {
 	out := []size{{}}
-	var rooms []int
+	var capacities []int
 	for _, k := range w.cfg.Kinds {
-		rooms = append(rooms, k.Resources.CPU)
+		capacities = append(capacities, k.Resources.CPU)
 	}
-	slices.Sort(rooms)
-	for _, r := range slices.Compact(rooms) {
-		for parts := 1; parts <= partsMost; parts++ {
+	slices.Sort(capacities)
+	for _, r := range slices.Compact(capacities) {
+		for parts := 1; parts <= maxParts; parts++ {
 			s := size{unit: r, parts: parts}
-			s.learn(w.jobs)
+			s.recordMinimums(w.jobs)
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// partsMost is how finely a worker's room is split: a task takes a fifth of it or more.
-const partsMost = 4
+// maxParts bounds the number of parts: a worker's CPU is split into up to fifths.
+const maxParts = 4
 
-// learn notes the least of each size.
-func (s *size) learn(jobs []*job) {
+// recordMinimums records the least CPU of a task of each size.
+func (s *size) recordMinimums(jobs []*job) {
 	for _, j := range jobs {
-		n := s.count(j.cpu)
-		for len(s.smallest) <= n {
-			s.smallest = append(s.smallest, 0)
+		n := s.wholeParts(j.cpu)
+		for len(s.minCPU) <= n {
+			s.minCPU = append(s.minCPU, 0)
 		}
-		if s.smallest[n] == 0 || j.cpu < s.smallest[n] {
-			s.smallest[n] = j.cpu
+		if s.minCPU[n] == 0 || j.cpu < s.minCPU[n] {
+			s.minCPU[n] = j.cpu
 		}
 	}
 }
 
-// count is how many whole parts of the unit are less than a task.
-func (s *size) count(cpu int) int { return (max(cpu, 1)*(s.parts+1) - 1) / s.unit }
+// wholeParts returns how many whole parts of the unit a task exceeds.
+func (s *size) wholeParts(cpu int) int { return (max(cpu, 1)*(s.parts+1) - 1) / s.unit }
 
-// of is the size of a task.
+// of returns the size of a task.
 func (s *size) of(cpu int) float64 {
 	if s.unit == 0 {
 		return float64(cpu)
 	}
-	return float64(s.count(cpu))
+	return float64(s.wholeParts(cpu))
 }
 
-// most is the most that the sizes of whole tasks on a worker with so much room add up to.
-func (s *size) most(room int) float64 {
+// most returns the largest total size of whole tasks that fit into a worker's free CPU.
+func (s *size) most(freeCPU int) float64 {
 	if s.unit == 0 {
-		return float64(room)
+		return float64(freeCPU)
 	}
 	best := 0.0
-	for n, cpu := range s.smallest {
-		if n > 0 && cpu > 0 && cpu <= room {
-			best = max(best, float64(n)+s.most(room-cpu))
+	for n, cpu := range s.minCPU {
+		if n > 0 && cpu > 0 && cpu <= freeCPU {
+			best = max(best, float64(n)+s.most(freeCPU-cpu))
 		}
 	}
 	return best
--- a/model/size_test.go
+++ b/model/size_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Whole tasks leave room that no other task fits into: of those of more than half of a
-// worker only one fits, though in cores there is room for almost two.
+// Indivisible tasks leave CPU that no other task fits into: only one task of more than half of a
+// worker fits, though by cores almost two would.
 func TestSizesOfWholeTasks(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -29,7 +29,7 @@
 				for _, c := range tt.cpu {
 					jobs = append(jobs, &job{cpu: c})
 				}
-				s.learn(jobs)
+				s.recordMinimums(jobs)
 			}
 			if of, most := s.of(tt.cpu[0]), s.most(tt.room); of != tt.of || most != tt.most {
 				t.Errorf("size %v, at most %v; want %v and %v", of, most, tt.of, tt.most)
--- a/model/text_test.go
+++ b/model/text_test.go
@@ -7,10 +7,10 @@
 	"snipehub.example/lease"
 )
 
-// crossed is a day on which starts are turned down and sent again while their owners claim
-// them: sessions end and begin again all the time, and some calls to workers are overtaken
-// by later ones.
-func crossed(seed uint64) Config {
+// overtakenCallsDay returns a day on which starts are refused and resent while their owners claim
+// them: sessions end and begin again all the time, and some calls to workers are overtaken by
+// later ones.
+func overtakenCallsDay(seed uint64) Config {
 	cfg := Lakeshore()
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = seed, 0.9, 6*time.Second, 2*time.Second
 	cfg.DelayedCallShare = 0.3
@@ -20,24 +20,24 @@
 	return cfg
 }
 
-// A worker was told to start a task without its text, and callers waited for one more
-// attempt. A start is overtaken by a later look that raised the round of the fencing token,
-// so the worker turns it down and the holder sends it again; in between the owner claims its
-// runs, because its session was replaced or a new holder's announcement comes behind the
-// grant, and the claim, which has no text, had been written over the order. On the first
-// four seeds it was sent again so, each time the same run and no text at all. With the same
-// fault put back, orders are held back on the other three.
+// A worker was told to start a task without its spec, and callers waited for one more attempt. A
+// start is overtaken by a later hold call that raised the round of the fencing token, so the
+// worker refuses it and the holder sends it again. In between, the owner claims its runs, because
+// its session was replaced or a new holder's announcement follows the grant, and the claim,
+// which has no spec, had overwritten the order. On the first four seeds such orders were resent,
+// each time for the same run and with no spec at all. With that fault put back, orders are held
+// back on the other three.
 func TestStartsCarryTheirText(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1, 4, 9, 13, 17, 21, 28} {
-		t.Log(play(t, crossed(seed)))
+		t.Log(play(t, overtakenCallsDay(seed)))
 	}
 }
 
-// The check notices an order for a task that no caller has sent, for one that its job does
-// not have, and with another text.
+// The check detects a start of a task that no caller has submitted, of one that its job does not
+// have, and of one with another spec.
 func TestUnaskedStartsAreNoticed(t *testing.T) {
-	cfg := crossed(1)
+	cfg := overtakenCallsDay(1)
 	cfg.Length, cfg.Tail, cfg.Faults = time.Second, time.Second, nil
 	w := New(cfg)
 	w.Run()
@@ -63,13 +63,13 @@
 	}
 }
 
-// Tasks that ran twice at once on such days, with the causes that were found: the answer to
-// a call of a former holding was taken for that to the first look of the present one (1113);
-// an owner ordered holders by the fencing token that a planner named, which was of a former
-// holding of the same process, and believed an older holder that a run is lost (1084).
+// Seeds on which tasks ran twice at once. In 1113 the answer to a call of a former holding was
+// taken for that to the first hold call of the present one. In 1084 an owner ordered holders by
+// the fencing token that a planner named, which belonged to a former holding of the same
+// process, and believed an older holder that a run was lost.
 func TestCrossedDaysThatFailed(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1084, 1113} {
-		play(t, crossed(seed))
+		play(t, overtakenCallsDay(seed))
 	}
 }
--- a/model/thin_test.go
+++ b/model/thin_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// thin is a deployment of 16 VMs with links of 2 Mbit/s and 135 workers, and callers whose
-// jobs have texts of one to two and a half kilobytes, as their users describe them.
-func thin(seed uint64, load float64) Config {
+// thinLinkDay returns a day of a deployment of 16 VMs with links of 2 Mbit/s and 135 workers. Jobs
+// have specs of one to two and a half kilobytes, as its users describe them.
+func thinLinkDay(seed uint64, load float64) Config {
 	cfg := Lakeshore()
 	cfg.DataCenters = []DataCenter{
 		{Name: "chicago", VMs: 6, Workers: 45, Callers: 47},
@@ -23,13 +23,13 @@
 	return cfg
 }
 
-// All VMs have thin links, and each task passes three of them. Where every message named
-// its fields and each report all that a worker runs, the planner's link was full; calls
-// that waited in it were taken for lost and made again, and of a calm day's jobs one in
-// twelve was served while workers idled. At more than the links bear, what can't be in
-// time must not keep the rest from it.
+// All VMs have thin links, and each task crosses three of them. When every message named its
+// fields and each report listed all runs of a worker, the planner's link was full. Calls that
+// waited in it were taken for lost and repeated, and of a calm day's jobs one in twelve was
+// served while workers idled. Beyond what the links can carry, jobs that can't be in time must
+// not hold up the rest.
 //
-// The least is what each process reaches that places on its own workers alone.
+// The minimum worth is what processes reach that each place tasks on their own workers only.
 func TestThinLinks(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -41,7 +41,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(2) {
-				r := play(t, thin(seed+1, c.load))
+				r := play(t, thinLinkDay(seed+1, c.load))
 				t.Log(r)
 				if r.Worth < c.least {
 					t.Errorf("seed %d: worth %.3f, want %.2f", seed+1, r.Worth, c.least)
--- a/model/trouble_test.go
+++ b/model/trouble_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// busy is the day of that name.
-func busy(cfg Config, seed uint64) Config {
+// busyDay applies the day named busy to a deployment.
+func busyDay(cfg Config, seed uint64) Config {
 	cfg.Seed = seed
 	for _, d := range Days {
 		if d.Name == "busy" {
@@ -13,9 +13,9 @@
 	return cfg
 }
 
-// More is asked than can be served, and a good part of the workers is sick. The least
-// worth is a little below what these days came to; without ejecting failing workers
-// it was 0.84, without waiting for faster ones 0.91.
+// Demand exceeds capacity, and many workers are faulty. The minimum worth is a little below what
+// these days earned; without ejecting failing workers it was 0.84, without waiting for faster
+// ones 0.91.
 func TestBusyDays(t *testing.T) {
 	t.Parallel()
 	for _, site := range []struct {
@@ -25,7 +25,7 @@
 		sum, worst := 0.0, 0.0
 		const seeds = 6
 		for seed := range uint64(seeds) {
-			r := play(t, busy(site.cfg, seed+1))
+			r := play(t, busyDay(site.cfg, seed+1))
 			sum += r.Worth / seeds
 			worst += r.Worst / seeds
 			if seed == 0 {
