--- a/model/bound.go
+++ b/model/bound.go
@@ -96,9 +96,9 @@
 		if x.kind.Speed < v.minSpeed {
 			continue
 		}
-		most := v.size.most(x.Resources.CPU) * x.kind.Speed * float64(slot) / float64(time.Millisecond)
+		perSlot := v.size.most(x.Resources.CPU) * x.kind.Speed * float64(slot) / float64(time.Millisecond)
 		for i, p := range b.observed.pace[k] {
-			out[i] += most * p
+			out[i] += perSlot * p
 		}
 	}
 	return out
@@ -106,11 +106,11 @@
 
 // share returns an upper bound on the share of the worth of some jobs that can be earned.
 func (b *boundEstimator) share(jobs []*job, outages bool) float64 {
-	least := 1.0
+	lowest := 1.0
 	for _, v := range b.views {
-		least = min(least, b.shareInView(v, jobs, outages))
+		lowest = min(lowest, b.shareInView(v, jobs, outages))
 	}
-	return least
+	return lowest
 }
 
 // workload is the work of a job in a view, to be done between two slots.
--- a/model/caller.go
+++ b/model/caller.go
@@ -17,19 +17,20 @@
 	resendDelay = 1300 * time.Millisecond
 	// extraTimeout is how long a caller waits beyond lateFactor (three) times the objective.
 	extraTimeout = 1500 * time.Millisecond
-	// lateFactor is the multiple of the objective up to which a late answer still has a value.
+	// lateFactor is the multiple of the objective up to which a late answer still has value.
 	lateFactor = 3
 )
 
 // job is a request of a caller, with the caller's state.
 type job struct {
-	id        string
-	class     int
-	dc        string
-	sent      time.Time
-	width     int
-	cpu       int
-	work      []time.Duration
+	id    string
+	class int
+	dc    string
+	sent  time.Time
+	width int
+	cpu   int
+	work  []time.Duration
+	// fails is the number of runs that still fail, by task.
 	fails     []int
 	estimate  time.Duration
 	objective time.Duration
@@ -38,8 +39,9 @@
 	abandonsAt time.Time
 	// alwaysFails is set if no run of the job can succeed, so that a failure is the right answer.
 	alwaysFails bool
-	tries       int
-	started     bool
+	// tries counts the submissions. started is set once any of the job's tasks has started.
+	tries   int
+	started bool
 	// refusals counts the answers that refused the job.
 	refusals     int
 	answer       entry.Status
@@ -97,16 +99,16 @@
 // swing returns the total weight of all data centres' callers at a time relative to its mean,
 // or 1 if no data centre has a wave.
 func (w *World) swing(t time.Duration) float64 {
-	usual, now, swings := 0.0, 0.0, false
+	mean, current, varies := 0.0, 0.0, false
 	for _, dc := range w.cfg.DataCenters {
-		usual += dc.Callers
-		now += dc.callers(t)
-		swings = swings || dc.Wave.Swing > 0
+		mean += dc.Callers
+		current += dc.callers(t)
+		varies = varies || dc.Wave.Swing > 0
 	}
-	if !swings {
+	if !varies {
 		return 1
 	}
-	return now / usual
+	return current / mean
 }
 
 func (w *World) addJob(c int, at time.Duration) {
--- a/model/drawn_test.go
+++ b/model/drawn_test.go
@@ -28,14 +28,14 @@
 type draws struct{ *rand.Rand }
 
 // logUniform draws a value that is uniform on a logarithmic scale.
-func (d draws) logUniform(least, most float64) float64 {
-	return least * math.Pow(most/least, d.Float64())
+func (d draws) logUniform(low, high float64) float64 {
+	return low * math.Pow(high/low, d.Float64())
 }
 
-func (d draws) count(least, most float64) int { return int(math.Round(d.logUniform(least, most))) }
+func (d draws) count(low, high float64) int { return int(math.Round(d.logUniform(low, high))) }
 
-func (d draws) duration(least, most time.Duration) time.Duration {
-	return time.Duration(d.logUniform(float64(least), float64(most)))
+func (d draws) duration(low, high time.Duration) time.Duration {
+	return time.Duration(d.logUniform(float64(low), float64(high)))
 }
 
 // deployment returns the deployment of a seed, unlike any that the policy was designed for. It
@@ -123,14 +123,14 @@
 	const (
 		objectives = 3
 		tasks      = 2000
-		most       = 20 * time.Second
+		maxLength  = 20 * time.Second
 	)
 	perSecond, longest := 0.0, time.Duration(0)
 	for _, cl := range classes {
 		perSecond += cl.PerSecond * float64(cl.Width)
 		longest = max(longest, time.Duration(cl.Stretch*float64(cl.Work))+cl.Objective)
 	}
-	return max(objectives*longest, min(time.Duration(tasks/perSecond*float64(time.Second)), most))
+	return max(objectives*longest, min(time.Duration(tasks/perSecond*float64(time.Second)), maxLength))
 }
 
 // baselines are simple planning policies. They eject failing workers as the default does.
@@ -174,16 +174,16 @@
 func meanGain(all []gain) gain {
 	var sum gain
 	n := float64(len(all))
-	square, rest := 0.0, 0.0
+	variance, denominator := 0.0, 0.0
 	for _, g := range all {
 		e := g.err * g.err / n / n
 		sum.mean += g.mean / n
-		square += e
-		rest += e * e / g.degrees
+		variance += e
+		denominator += e * e / g.degrees
 	}
-	sum.err, sum.degrees = math.Sqrt(square), 1
-	if rest > 0 {
-		sum.degrees = square * square / rest
+	sum.err, sum.degrees = math.Sqrt(variance), 1
+	if denominator > 0 {
+		sum.degrees = variance * variance / denominator
 	}
 	return sum
 }
--- a/model/faults_test.go
+++ b/model/faults_test.go
@@ -35,8 +35,8 @@
 	seed  uint64
 	cause string
 }{
-	{30040, "answers to calls from before a pause were taken for new after it"},
-	{30221, "a start that reached the new life of a worker was told to be lost with what ran before"},
+	{30040, "answers to calls made before a pause were taken for new ones after it"},
+	{30221, "a start that reached the new incarnation of a worker was reported lost with the earlier runs"},
 }
 
 // Days on which two runs of a task overlapped before the cause was fixed.
--- a/model/link.go
+++ b/model/link.go
@@ -11,6 +11,7 @@
 type session struct {
 	number uint64
 	a, b   *vm
+	// aBoots and bBoots identify the incarnations of the processes.
 	aBoots uint64
 	bBoots uint64
 	// silentSince is when messages stopped getting through, zero while they do. undelivered
--- a/model/loss_test.go
+++ b/model/loss_test.go
@@ -11,7 +11,7 @@
 // for each lost call it was 0.81 and 0.48.
 func TestLostCalls(t *testing.T) {
 	t.Parallel()
-	for _, tt := range []struct{ share, least float64 }{{0.05, 0.92}, {0.15, 0.82}} {
+	for _, tt := range []struct{ share, minWorth float64 }{{0.05, 0.92}, {0.15, 0.82}} {
 		share := tt.share
 		sum, worst := 0.0, 0.0
 		const seeds = 4
@@ -26,8 +26,8 @@
 				t.Log(r)
 			}
 		}
-		if sum < tt.least {
-			t.Errorf("%.0f%% lost: worth %.3f, want %.2f", 100*share, sum, tt.least)
+		if sum < tt.minWorth {
+			t.Errorf("%.0f%% lost: worth %.3f, want %.2f", 100*share, sum, tt.minWorth)
 		}
 		t.Logf("%.0f%% lost: worth %.3f, worst windows %.3f over %d days", 100*share, sum, worst, seeds)
 	}
--- a/model/parts.go
+++ b/model/parts.go
@@ -26,12 +26,12 @@
 // computeParts applies share to each group of jobs and combines the results.
 func (w *World) computeParts(share func(jobs []*job) float64) Parts {
 	p := Parts{Whole: share(w.jobs), Windows: 1, Class: 1, DataCenter: 1}
-	low := []float64{1, 1}
+	lowest := []float64{1, 1}
 	for _, g := range groupsOf(w.jobs, func(j *job) int { return int(j.sent.Sub(w.start) / windowLength) }) {
-		low = append(low, share(g))
+		lowest = append(lowest, share(g))
 	}
-	slices.Sort(low)
-	p.Windows = (low[0] + low[1]) / 2
+	slices.Sort(lowest)
+	p.Windows = (lowest[0] + lowest[1]) / 2
 	for _, g := range groupsOf(w.jobs, func(j *job) int { return j.class }) {
 		p.Class = min(p.Class, share(g))
 		large, middling := w.largest(g)
--- a/model/row_test.go
+++ b/model/row_test.go
@@ -23,16 +23,18 @@
 	if seed%2 == 0 {
 		cfg.DelayedCallShare = 0.2
 	}
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(rnd.Int64N(int64(most-least)))
+	randomDuration := func(low, high time.Duration) time.Duration {
+		return low + time.Duration(rnd.Int64N(int64(high-low)))
 	}
-	away := func() time.Duration { return between(700*time.Millisecond, 4*time.Second) }
+	downtime := func() time.Duration { return randomDuration(700*time.Millisecond, 4*time.Second) }
 	losses := []func(vm int) func(*World){
-		func(vm int) func(*World) { return PowerOff(vm, away()) },
-		func(vm int) func(*World) { return Freeze(vm, away()) },
-		func(vm int) func(*World) { return Cut(vm, away()) },
-		func(vm int) func(*World) { return Kill(vm, away()) },
-		func(vm int) func(*World) { return Freeze(vm, between(260*time.Millisecond, 900*time.Millisecond)) },
+		func(vm int) func(*World) { return PowerOff(vm, downtime()) },
+		func(vm int) func(*World) { return Freeze(vm, downtime()) },
+		func(vm int) func(*World) { return Cut(vm, downtime()) },
+		func(vm int) func(*World) { return Kill(vm, downtime()) },
+		func(vm int) func(*World) {
+			return Freeze(vm, randomDuration(260*time.Millisecond, 900*time.Millisecond))
+		},
 	}
 	all := 0
 	for i := range cfg.DataCenters {
@@ -40,11 +42,11 @@
 		dc.VMs = max(dc.VMs, vms)
 		all += dc.VMs
 	}
-	for at := time.Second; at < cfg.Length; at += between(2*time.Second, 5*time.Second) {
+	for at := time.Second; at < cfg.Length; at += randomDuration(2*time.Second, 5*time.Second) {
 		next := at
 		for range 2 + rnd.IntN(2) {
 			cfg.Faults = append(cfg.Faults, Fault{next, losses[rnd.IntN(len(losses))](rnd.IntN(all))})
-			next += between(50*time.Millisecond, 1250*time.Millisecond)
+			next += randomDuration(50*time.Millisecond, 1250*time.Millisecond)
 		}
 	}
 	return cfg
--- a/model/size_test.go
+++ b/model/size_test.go
@@ -9,7 +9,7 @@
 		name        string
 		unit, parts int
 		cpu         []int
-		room        int
+		freeCPU     int
 		of          float64
 		most        float64
 	}{
@@ -31,7 +31,7 @@
 				}
 				s.recordMinimums(jobs)
 			}
-			if of, most := s.of(tt.cpu[0]), s.most(tt.room); of != tt.of || most != tt.most {
+			if of, most := s.of(tt.cpu[0]), s.most(tt.freeCPU); of != tt.of || most != tt.most {
 				t.Errorf("size %v, at most %v; want %v and %v", of, most, tt.of, tt.most)
 			}
 		})
--- a/model/thin_test.go
+++ b/model/thin_test.go
@@ -33,8 +33,8 @@
 func TestThinLinks(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name        string
-		load, least float64
+		name           string
+		load, minWorth float64
 	}{
 		{"calm", 0.9, 0.37},
 		{"more than the links bear", 1.8, 0.15},
@@ -43,8 +43,8 @@
 			for seed := range uint64(2) {
 				r := play(t, thinLinkDay(seed+1, c.load))
 				t.Log(r)
-				if r.Worth < c.least {
-					t.Errorf("seed %d: worth %.3f, want %.2f", seed+1, r.Worth, c.least)
+				if r.Worth < c.minWorth {
+					t.Errorf("seed %d: worth %.3f, want %.2f", seed+1, r.Worth, c.minWorth)
 				}
 			}
 		})
--- a/model/vm.go
+++ b/model/vm.go
@@ -22,6 +22,7 @@
 	dc    string
 	core  *node.Core
 	id    mesh.ID
+	// boots counts the starts of the process and so identifies its incarnation.
 	boots uint64
 	// up is set while the process runs, suspended while it does not execute.
 	up, suspended bool
@@ -31,11 +32,13 @@
 	// leaving is set while the process shuts down gracefully and takes no new callers.
 	leaving bool
 	// cores is the fraction of a core that the VM gets.
-	cores      float64
+	cores float64
+	// backlog holds what the process does when it resumes.
 	backlog    []func()
 	waiters    map[entry.Waiter]func(entry.Answer)
 	lastWaiter entry.Waiter
-	reading    mesh.ID
+	// reading is the planner for which the process reads the list of workers; zero if none.
+	reading mesh.ID
 	// watchedSince maps each member that the process watches to when it began to.
 	watchedSince map[mesh.ID]time.Time
 	// in and out are the two directions of the VM's link.
