--- a/model/bound.go
+++ b/model/bound.go
@@ -238,14 +238,14 @@
 	byValue := slices.Clone(loads)
 	slices.SortStableFunc(byValue, func(x, y *workload) int { return cmp.Compare(y.gain/y.demand, x.gain/x.demand) })
 	gained := 0.0
-	var taken []*workload
+	var accepted []*workload
 	for _, l := range byValue {
-		at, _ := slices.BinarySearchFunc(taken, l, func(x, y *workload) int { return cmp.Compare(x.fromSlot, y.fromSlot) })
-		taken = slices.Insert(taken, at, l)
-		l.fitShare(taken, capacity)
+		at, _ := slices.BinarySearchFunc(accepted, l, func(x, y *workload) int { return cmp.Compare(x.fromSlot, y.fromSlot) })
+		accepted = slices.Insert(accepted, at, l)
+		l.fitShare(accepted, capacity)
 		gained += l.gain * min(1, l.share+shareStep)
 		if l.share == 0 {
-			taken = slices.Delete(taken, at, at+1)
+			accepted = slices.Delete(accepted, at, at+1)
 		}
 	}
 	return min(gained, all)
@@ -260,20 +260,20 @@
 
 // fitShare sets the share of the workload to the largest one with which all accepted workloads
 // are in time.
-func (l *workload) fitShare(taken []*workload, capacity []float64) {
+func (l *workload) fitShare(accepted []*workload, capacity []float64) {
 	l.share = 1
-	if allInTime(taken, capacity) {
+	if allInTime(accepted, capacity) {
 		return
 	}
 	l.share = shareStep
-	if !allInTime(taken, capacity) {
+	if !allInTime(accepted, capacity) {
 		l.share = 0
 		return
 	}
 	l.share = 0
 	for step := 0.5; step >= shareStep; step /= 2 {
 		l.share += step
-		if !allInTime(taken, capacity) {
+		if !allInTime(accepted, capacity) {
 			l.share -= step
 		}
 	}
@@ -281,30 +281,30 @@
 
 // allInTime reports whether all workloads, which are sorted by their first slots, are done in
 // time under earliest-deadline-first order. If that fails, every order does.
-func allInTime(taken []*workload, capacity []float64) bool {
+func allInTime(accepted []*workload, capacity []float64) bool {
 	type remainder struct {
 		toSlot int
 		left   float64
 	}
-	var open []remainder
+	var pending []remainder
 	next := 0
 	for i, left := range capacity {
-		for next < len(taken) && taken[next].fromSlot <= i {
-			r := remainder{taken[next].toSlot, taken[next].share * taken[next].demand}
-			at, _ := slices.BinarySearchFunc(open, r, func(x, y remainder) int { return cmp.Compare(x.toSlot, y.toSlot) })
-			open = slices.Insert(open, at, r)
+		for next < len(accepted) && accepted[next].fromSlot <= i {
+			r := remainder{accepted[next].toSlot, accepted[next].share * accepted[next].demand}
+			at, _ := slices.BinarySearchFunc(pending, r, func(x, y remainder) int { return cmp.Compare(x.toSlot, y.toSlot) })
+			pending = slices.Insert(pending, at, r)
 			next++
 		}
-		if len(open) == 0 && next == len(taken) {
+		if len(pending) == 0 && next == len(accepted) {
 			return true
 		}
-		for len(open) > 0 && open[0].left <= left {
-			left -= open[0].left
-			open = open[1:]
+		for len(pending) > 0 && pending[0].left <= left {
+			left -= pending[0].left
+			pending = pending[1:]
 		}
-		if len(open) > 0 {
-			open[0].left -= left
-			if open[0].toSlot <= i+1 {
+		if len(pending) > 0 {
+			pending[0].left -= left
+			if pending[0].toSlot <= i+1 {
 				return false
 			}
 		}
--- a/model/bound_test.go
+++ b/model/bound_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if b := c.Bound; max(b.Whole, b.Windows, b.Class, b.DataCenter) > 1+1e-9 {
-		t.Errorf("%s: more than all: %v", name, b)
+		t.Errorf("%s: bound above the whole worth: %v", name, b)
 	}
 }
 
@@ -48,7 +48,7 @@
 			t.Errorf("%s: earned %.4f and bound %.4f by themselves, %.4f and %.4f together", d.Name, got, bound, c.Result.Worth, c.Bound.Whole)
 		}
 		if d.Name == "calm" && c.Bound.Whole < 0.999 {
-			t.Errorf("a calm day can't be served whole: %.4f", c.Bound.Whole)
+			t.Errorf("bound of a calm day %.4f, want at least 0.999", c.Bound.Whole)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	checkBounds(t, "half", c)
 	// Ten of twenty jobs a second are in time, plus a few at the ends; the rest are late.
 	if b := c.Bound.Whole; b < 0.55 || b > 0.68 {
-		t.Errorf("bound %.3f, earned %.3f", b, c.Result.Worth)
+		t.Errorf("bound %.3f, want 0.55 to 0.68; earned %.3f", b, c.Result.Worth)
 	}
 }
 
--- a/model/drawn_test.go
+++ b/model/drawn_test.go
@@ -273,10 +273,10 @@
 	for _, c := range r.Classes {
 		late += c.Late + c.Unserved
 		if c.Refused > 0 {
-			t.Errorf("%d of %s are refused", c.Refused, c.Name)
+			t.Errorf("%d jobs of %s are refused, want none", c.Refused, c.Name)
 		}
 	}
 	if late == 0 {
-		t.Error("nobody is late: the day is too easy to tell")
+		t.Error("no job is late: the load is too low for this check")
 	}
 }
--- a/model/link.go
+++ b/model/link.go
@@ -151,9 +151,9 @@
 				l.b.on(l, func(time.Time) { l.b.core.MemberRecovered(l.a.id, l.number) })
 			}
 			l.silentSince, l.aOverdue, l.bOverdue = time.Time{}, false, false
-			stalled := l.undelivered
+			undelivered := l.undelivered
 			l.undelivered = nil
-			for _, f := range stalled {
+			for _, f := range undelivered {
 				f()
 			}
 		}
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -27,7 +27,7 @@
 			r := play(t, cfg)
 			t.Log(r)
 			if r.Worth < 0.97 {
-				t.Errorf("worth %.3f", r.Worth)
+				t.Errorf("worth %.3f, want 0.97", r.Worth)
 			}
 		})
 	}
--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -154,6 +154,6 @@
 		count[fmt.Sprintf("%s %d", j.dc, quarter)]++
 	}
 	if count["chicago 0"] < 2*count["chicago 3"] || count["detroit 3"] != 0 || count["detroit 2"] == 0 || count["cleveland 3"] < count["cleveland 2"]*3/2 {
-		t.Errorf("%v", count)
+		t.Errorf("jobs by data centre and quarter of the day: %v", count)
 	}
 }
--- a/model/worker.go
+++ b/model/worker.go
@@ -174,9 +174,9 @@
 		return
 	}
 	x.leaseEnd = t
-	born := x.startedAt
+	startedAt := x.startedAt
 	x.world.at(t, func() {
-		if x.up && x.startedAt.Equal(born) && !x.world.now.Before(x.leaseEnd) {
+		if x.up && x.startedAt.Equal(startedAt) && !x.world.now.Before(x.leaseEnd) {
 			x.expire()
 		}
 	})
@@ -294,10 +294,10 @@
 
 // endAfter ends a run after a delay, or once the worker has stopped hanging if that is later.
 func (x *worker) endAfter(e *execution, d time.Duration) {
-	born, paceChanges := x.startedAt, e.paceChanges
+	startedAt, paceChanges := x.startedAt, e.paceChanges
 	x.world.after(d, func() {
 		switch {
-		case !x.up || !x.startedAt.Equal(born) || e.finished || e.paceChanges != paceChanges:
+		case !x.up || !x.startedAt.Equal(startedAt) || e.finished || e.paceChanges != paceChanges:
 		case x.health == hanging:
 			x.endAfter(e, 100*time.Millisecond)
 		default:
