--- a/model/caller.go
+++ b/model/caller.go
@@ -30,11 +30,11 @@
 	width int
 	cpu   int
 	work  []time.Duration
-	// fails is the number of runs that still fail, by task.
-	fails     []int
-	estimate  time.Duration
-	objective time.Duration
-	deadline  time.Time
+	// failuresLeft is the number of runs that still fail, by task.
+	failuresLeft []int
+	estimate     time.Duration
+	objective    time.Duration
+	deadline     time.Time
 	// abandonsAt is when the caller gives up early; zero if it does not.
 	abandonsAt time.Time
 	// alwaysFails is set if no run of the job can succeed, so that a failure is the right answer.
@@ -126,7 +126,7 @@
 		if w.rnd.Float64() < cl.Fails {
 			fails = 1
 		}
-		j.fails = append(j.fails, fails)
+		j.failuresLeft = append(j.failuresLeft, fails)
 	}
 	j.estimate = time.Duration(w.lognormal(mean, cmp.Or(cl.Misjudged, cl.Spread), 10*mean))
 	j.objective = time.Duration(cl.Stretch*float64(longest)) + cl.Objective
@@ -179,14 +179,15 @@
 	}
 }
 
-// work returns the duration of a run at speed 1 and whether the run fails.
+// work returns the duration of a run at speed 1 and whether the run fails. A failing run lowers
+// the number of runs of its task that still fail.
 func (w *World) work(r lease.Run) (time.Duration, bool) {
 	j, i, ok := w.task(r.Task)
 	if !ok {
 		return time.Millisecond, false
 	}
-	if j.fails[i] > 0 {
-		j.fails[i]--
+	if j.failuresLeft[i] > 0 {
+		j.failuresLeft[i]--
 		return j.work[i] / 2, true
 	}
 	return j.work[i], false
--- a/model/callers.go
+++ b/model/callers.go
@@ -81,8 +81,8 @@
 			continue
 		}
 		j.alwaysFails = true
-		for i := range j.fails {
-			j.fails[i] = cl.Attempts
+		for i := range j.failuresLeft {
+			j.failuresLeft[i] = cl.Attempts
 		}
 	}
 }
--- a/model/link.go
+++ b/model/link.go
@@ -18,7 +18,7 @@
 	// holds the messages that are delivered if the session recovers.
 	silentSince time.Time
 	undelivered []func()
-	// aOverdue and bOverdue are set once this side was notified of an overdue heartbeat.
+	// aOverdue and bOverdue are set once that side was notified of the other's overdue heartbeat.
 	aOverdue, bOverdue bool
 	// aEnded and bEnded are set once the session has ended for that side.
 	aEnded, bEnded bool
@@ -44,7 +44,7 @@
 type endMode int
 
 const (
-	// reset: the connection is closed, and both sides notice at once.
+	// reset: the connection is closed, and both sides notice after resetDelay.
 	reset endMode = iota + 1
 	// silent: a side that watches the other one notices after watchedSessionTimeout, one that
 	// does not after the much longer mesh.IdleSessionTimeout or when the other one reconnects.
--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -34,7 +34,7 @@
 				Lead:        time.Second, Length: 2 * time.Second,
 				Faults: []Fault{tt.fault},
 			})
-			j := &job{id: "0000000000000001", width: 1, tries: 1, work: []time.Duration{work}, fails: []int{0}}
+			j := &job{id: "0000000000000001", width: 1, tries: 1, work: []time.Duration{work}, failuresLeft: []int{0}}
 			w.jobsByID[j.id] = j
 			run := lease.Run{Task: lease.Task(j.id + ".0.0.0"), Number: 1}
 			w.at(w.start, func() {
--- a/model/score.go
+++ b/model/score.go
@@ -12,8 +12,8 @@
 // Result is the result of a simulated day.
 type Result struct {
 	Classes []Tally
-	// Worth is the earned share of the total worth, Worst that of the two worst windows of two
-	// seconds (their mean).
+	// Worth is the earned share of the total worth. Worst is the mean of the shares earned in the
+	// two windows of two seconds with the lowest shares.
 	Worth, Worst float64
 	// Parts is the earned share by groups of jobs.
 	Parts Parts
@@ -137,6 +137,8 @@
 	return float64(total) * float64(j.cpu)
 }
 
+// tally counts a job in the result of its class and returns its worth, earned and owed. A job
+// that its caller abandons before an answer counts only as asked.
 func (w *World) tally(t *Tally, j *job) (earned, owed float64) {
 	cl := w.cfg.Classes[j.class]
 	t.Asked++
--- a/model/vm.go
+++ b/model/vm.go
@@ -57,8 +57,8 @@
 	silencePollInterval = 5 * time.Millisecond
 	// resetDelay is the time from the reset of a connection to the end of its session.
 	resetDelay = 3 * time.Millisecond
-	// minConnectTime is the minimum time that two processes take to connect; at startup, some
-	// pairs take up to 200 ms more.
+	// minConnectTime is the minimum time that two processes take to connect; when a
+	// process starts, each pair takes up to 200 ms more, at random.
 	minConnectTime = 60 * time.Millisecond
 	// stopTimeout is the timeout of a call that stops a run.
 	stopTimeout = 150 * time.Millisecond
@@ -225,7 +225,7 @@
 
 // call simulates a call to a worker. onResult gets its result, or lease.NoAnswer after the
 // timeout. A call that is lost or executed late gets no answer.
-func (n *vm) call(id string, timeout time.Duration, size int, do func(x *worker, to func(lease.Result)), onResult func(now time.Time, r lease.Result)) {
+func (n *vm) call(id string, timeout time.Duration, size int, do func(x *worker, respond func(lease.Result)), onResult func(now time.Time, r lease.Result)) {
 	w := n.world
 	x := w.workersByID[id]
 	boots, replied := n.boots, false
@@ -263,18 +263,18 @@
 
 func (n *vm) hold(id string, c lease.HoldCall) {
 	n.call(id, c.Timeout, holdBytes,
-		func(x *worker, to func(lease.Result)) { x.hold(c, to) },
+		func(x *worker, respond func(lease.Result)) { x.hold(c, respond) },
 		func(now time.Time, r lease.Result) { n.core.HoldAnswered(now, id, c, r) })
 }
 
 func (n *vm) start(id string, c lease.StartCall) {
 	n.call(id, c.Timeout, startBytes+len(c.Spec),
-		func(x *worker, to func(lease.Result)) { to(x.start(c)) },
+		func(x *worker, respond func(lease.Result)) { respond(x.start(c)) },
 		func(now time.Time, r lease.Result) { n.core.StartAnswered(now, id, c, r) })
 }
 
 func (n *vm) stop(id string, c lease.StopCall) {
 	n.call(id, stopTimeout, startBytes,
-		func(x *worker, to func(lease.Result)) { to(x.stop(c)) },
+		func(x *worker, respond func(lease.Result)) { respond(x.stop(c)) },
 		func(time.Time, lease.Result) {})
 }
--- a/model/worker.go
+++ b/model/worker.go
@@ -52,16 +52,18 @@
 	ended         []lease.ListedEnd
 	lastEndNumber int64
 	// lastStopped holds the highest run number that was stopped or has ended, by task.
-	lastStopped map[lease.Task]int
-	waiting     []*waiter
+	lastStopped  map[lease.Task]int
+	pendingHolds []*pendingHold
 }
 
 // execution is a run on a worker.
 type execution struct {
 	lease.Run
 	resources lease.Resources
-	began     time.Time
-	total     time.Duration
+	// began and total, the start and duration of the run, yield the reported percentage. Each change
+	// of pace recomputes them as if the run had always had the new pace; total is 0 at pace 0.
+	began time.Time
+	total time.Duration
 	// fullTime is the duration of the whole run at pace 1, progress the fraction of it that was
 	// done at progressAt, and outcome the outcome that the run will have.
 	fullTime   time.Duration
@@ -75,8 +77,8 @@
 	span        *span
 }
 
-// waiter is a hold call that waits for a run to end.
-type waiter struct {
+// pendingHold is a hold call that waits for a run to end.
+type pendingHold struct {
 	call     lease.HoldCall
 	answered bool
 	respond  func(lease.Result)
@@ -130,7 +132,7 @@
 	x.fence, x.lastEndNumber, x.leaseEnd = 0, 0, time.Time{}
 	x.runs = make(map[lease.Run]*execution)
 	x.lastStopped = make(map[lease.Task]int)
-	x.ended, x.waiting = nil, nil
+	x.ended, x.pendingHolds = nil, nil
 }
 
 func (x *worker) listed() cell.ListedWorker {
@@ -200,12 +202,12 @@
 		respond(x.listRuns())
 		return
 	}
-	wt := &waiter{call: c, respond: respond}
-	x.waiting = append(x.waiting, wt)
+	wt := &pendingHold{call: c, respond: respond}
+	x.pendingHolds = append(x.pendingHolds, wt)
 	x.world.after(c.Wait, func() { x.reply(wt) })
 }
 
-func (x *worker) reply(wt *waiter) {
+func (x *worker) reply(wt *pendingHold) {
 	if wt.answered || !x.up {
 		return
 	}
@@ -341,9 +343,9 @@
 	x.ended = append(x.ended, lease.ListedEnd{Number: x.lastEndNumber, Run: e.Run, Outcome: outcome})
 	x.lastStopped[e.Task] = max(x.lastStopped[e.Task], e.Number)
 	x.world.ended(e.span, outcome)
-	waiting := x.waiting
-	x.waiting = nil
-	for _, wt := range waiting {
+	pendingHolds := x.pendingHolds
+	x.pendingHolds = nil
+	for _, wt := range pendingHolds {
 		x.reply(wt)
 	}
 }
