--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -8,8 +8,7 @@
 	"snipehub.example/lease"
 )
 
-// What strikes a worker strikes the tasks that are under way there, and no longer than it
-// lasts.
+// A fault of a worker affects the tasks that already run there, and only while it lasts.
 func TestRunsUnderWay(t *testing.T) {
 	const work = 200 * time.Millisecond
 	tests := []struct {
@@ -35,14 +34,14 @@
 				Lead:        time.Second, Length: 2 * time.Second,
 				Faults: []Fault{tt.fault},
 			})
-			j := &job{id: "0000000000000001", width: 1, tries: 1, work: []time.Duration{work}, fails: []int{0}}
-			w.byJob[j.id] = j
+			j := &job{id: "0000000000000001", width: 1, tries: 1, work: []time.Duration{work}, failuresLeft: []int{0}}
+			w.jobsByID[j.id] = j
 			run := lease.Run{Task: lease.Task(j.id + ".0.0.0"), Number: 1}
 			w.at(w.start, func() {
 				w.workers[0].begin(lease.StartCall{Order: lease.Order{Claim: lease.Claim{Run: run}}, Until: 10_000})
 			})
 			w.Run()
-			s := w.runs[run.Task][0]
+			s := w.spansByTask[run.Task][0]
 			if took := s.end.Sub(s.begin); took != tt.took || s.outcome != tt.outcome {
 				t.Errorf("took %v and ended as %v, want %v and %v", took, s.outcome, tt.took, tt.outcome)
 			}
@@ -50,17 +49,17 @@
 	}
 }
 
-// quiet is a day on which everything can be served.
-func quiet(seed uint64) Config {
+// lightDay returns a day on which everything can be served.
+func lightDay(seed uint64) Config {
 	cfg := Lakeshore()
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = seed, 0.5, 8*time.Second, 6*time.Second
 	return cfg
 }
 
-// All VMs are restarted one after the other, as for an update. A process that stops
-// answers its callers before it ends, so nobody is kept waiting until it gives up.
+// All VMs are restarted one after the other, as for an update. A stopping process answers its
+// callers before it ends, so no caller waits until its timeout.
 func TestRestartsInTurn(t *testing.T) {
-	cfg := quiet(1)
+	cfg := lightDay(1)
 	for i := range 8 {
 		cfg.Faults = append(cfg.Faults, Fault{time.Duration(i) * time.Second, Restart(i, 6*time.Second, 300*time.Millisecond)})
 	}
@@ -72,11 +71,11 @@
 	}
 }
 
-// A data centre is cut off from the others and from the store for two seconds. Callers on
-// both sides go on being served by the workers of their side, but for what was under way
-// across the cut.
+// A data centre is cut off from the others and from the store for two seconds. Callers on both
+// sides are still served by the workers of their side, except for what was in progress across
+// the cut.
 func TestDataCenterCutOff(t *testing.T) {
-	cfg := quiet(2)
+	cfg := lightDay(2)
 	cfg.Faults = []Fault{{3 * time.Second, CutDataCenter("detroit", false, 2*time.Second)}}
 	r := play(t, cfg)
 	if r.Parts.DataCenter < 0.85 || r.Worth > 0.999 {
@@ -84,9 +83,9 @@
 	}
 }
 
-// The planner is lost, whichever process that is, and a worker joins later.
+// OnPlanner hits the planner, whichever process that is, and a worker that joins later is used.
 func TestPlannerLostWorkerJoins(t *testing.T) {
-	cfg := quiet(3)
+	cfg := lightDay(3)
 	lost := -1
 	cfg.Faults = []Fault{
 		{2 * time.Second, OnPlanner(func(vm int) func(*World) {
@@ -110,8 +109,8 @@
 	}
 }
 
-// Callers who leave at once are owed nothing, and jobs that can't be done earn when that is
-// told; both change nothing for the others.
+// Callers who leave at once are owed nothing, and jobs that cannot succeed earn their value when
+// the failure is reported; neither affects the other jobs.
 func TestChangesOfCallers(t *testing.T) {
 	all := Span{For: time.Hour}
 	tests := []struct {
@@ -131,7 +130,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := quiet(4)
+			cfg := lightDay(4)
 			tt.change(&cfg)
 			for _, c := range play(t, cfg).Classes {
 				if !tt.check(c) {
@@ -142,9 +141,10 @@
 	}
 }
 
-// A data centre's callers come in waves and move to another one for a while.
+// The callers of one data centre follow a wave, and those of another move to a third one for a
+// while.
 func TestWavesAndMoves(t *testing.T) {
-	cfg := quiet(5)
+	cfg := lightDay(5)
 	cfg.DataCenters[0].Wave = Wave{Swing: 0.8, Period: 8 * time.Second}
 	cfg.Moves = []Move{{Span{At: 6 * time.Second, For: 2 * time.Second}, "detroit", "cleveland", 1}}
 	count := make(map[string]int)
@@ -154,6 +154,6 @@
 		count[fmt.Sprintf("%s %d", j.dc, quarter)]++
 	}
 	if count["chicago 0"] < 2*count["chicago 3"] || count["detroit 3"] != 0 || count["detroit 2"] == 0 || count["cleveland 3"] < count["cleveland 2"]*3/2 {
-		t.Errorf("%v", count)
+		t.Errorf("jobs by data centre and quarter of the day: %v", count)
 	}
 }
