--- a/entry/delay.go
+++ b/entry/delay.go
@@ -27,11 +27,11 @@
 	// plannerTimeRange and runOverheadRange set how the medians are tracked. A process of
 	// a small cell makes some twenty requests a second and follows a change in two
 	// seconds.
-	plannerTimeRange = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 300 * time.Millisecond}
-	runOverheadRange = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
+	plannerTimeRange = quantile.Config{Share: 0.5, Step: 0.2, Min: time.Millisecond, Max: 300 * time.Millisecond}
+	runOverheadRange = quantile.Config{Share: 0.5, Step: 0.2, Min: time.Millisecond, Max: 500 * time.Millisecond}
 	// slowRunOverheadRange sets how the 90th percentile of the run overhead is tracked,
 	// which the last task of a wide job meets.
-	slowRunOverheadRange = quantile.Range{Share: 0.9, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
+	slowRunOverheadRange = quantile.Config{Share: 0.9, Step: 0.2, Min: time.Millisecond, Max: 500 * time.Millisecond}
 )
 
 // wideJobTasks is the number of tasks from which the last one is assumed to take as long
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -22,7 +22,7 @@
 		last = e.ID
 		fmt.Fprintf(&b, "\n## %d %s\n\n%s, since %s. %s\n", e.ID, e.Title, e.Level, e.Since, e.Text)
 	}
-	page.Hold(t, "../docs/EVENTS.md", b.String())
+	page.CheckEqual(t, "../docs/EVENTS.md", b.String())
 }
 
 // An event that is documented but never logged makes an operator wait for an alarm that
--- a/hub/matrix/system_test.go
+++ b/hub/matrix/system_test.go
@@ -114,7 +114,7 @@
 	w.serve(platformIP, 7300, w.log)
 	for i := range workerCount {
 		k := &workerNode{dc: dcName(i / workersPerDC), ip: fmt.Sprintf("127.3.%d.%d", i/workersPerDC, i%workersPerDC+1)}
-		k.w = stand.NewWorker(netip.AddrPortFrom(netip.MustParseAddr(k.ip), workerPort), coresPerWorker, 1, stand.Spread{Min: 200 * time.Millisecond, Max: 2 * time.Second}, uint64(i))
+		k.w = stand.NewWorker(netip.AddrPortFrom(netip.MustParseAddr(k.ip), workerPort), coresPerWorker, 1, stand.ServiceTimes{Min: 200 * time.Millisecond, Max: 2 * time.Second}, uint64(i))
 		w.serve(k.ip, workerPort, k.w)
 		w.workers = append(w.workers, k)
 	}
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Written returns how many bytes the host has sent.
-func (n *Net) Written(h netip.Addr) int64 {
+// SentBytes returns how many bytes the host has sent.
+func (n *Net) SentBytes(h netip.Addr) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sentBytes[h]
@@ -91,9 +91,9 @@
 	n.update(func() { n.frozenHosts[h] = isFrozen })
 }
 
-// Mute silently discards all data on the connections that a host has now, without a
+// Blackhole silently discards all data on the connections that a host has now, without a
 // reset. New connections work.
-func (n *Net) Mute(h netip.Addr) {
+func (n *Net) Blackhole(h netip.Addr) {
 	n.update(func() {
 		for c := range n.conns {
 			if c.from == h || c.to == h {
--- a/internal/page/page.go
+++ b/internal/page/page.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// updateVar is the environment variable that makes Hold write the page.
+// updateVar is the environment variable that makes CheckEqual write the page.
 const updateVar = "UPDATE_DOCS"
 
-// Hold fails the test if the file at path differs from want. If UPDATE_DOCS is set it
+// CheckEqual fails the test if the file at path differs from want. If UPDATE_DOCS is set it
 // writes the file first.
-func Hold(t testing.TB, path, want string) {
+func CheckEqual(t testing.TB, path, want string) {
 	t.Helper()
 	if os.Getenv(updateVar) != "" {
 		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -10,22 +10,22 @@
 
 import "time"
 
-// Range configures which quantile a Tracker estimates, and how.
-type Range struct {
+// Config configures which quantile a Tracker estimates, and how.
+type Config struct {
 	// Share is the quantile: the fraction of the durations that are at most the estimate.
 	Share float64
 	// Step is the fraction of the estimate by which one duration moves it, at most; see
 	// outlierSteps for the exception.
 	Step float64
-	// Least and Most bound the estimate; it starts at Least.
-	Least, Most time.Duration
+	// Min and Max bound the estimate; it starts at Min.
+	Min, Max time.Duration
 }
 
 // Tracker is the estimate of a quantile. The zero value has seen no durations.
 type Tracker time.Duration
 
 // Value returns the estimate.
-func (t Tracker) Value(r Range) time.Duration { return max(time.Duration(t), r.Least) }
+func (t Tracker) Value(r Config) time.Duration { return max(time.Duration(t), r.Min) }
 
 const (
 	// A duration of more than outlierFactor times the estimate indicates a change and
@@ -36,7 +36,7 @@
 )
 
 // Add takes a duration into account.
-func (t *Tracker) Add(r Range, d time.Duration) {
+func (t *Tracker) Add(r Config, d time.Duration) {
 	v := t.Value(r)
 	switch {
 	case d > outlierFactor*v:
@@ -48,12 +48,12 @@
 	}
 }
 
-// Longer takes into account a duration of which nothing is known except that it is long,
+// AddLost takes into account a duration of which nothing is known except that it is long,
 // such as that of a lost call.
-func (t *Tracker) Longer(r Range) { t.move(r, r.Share) }
+func (t *Tracker) AddLost(r Config) { t.move(r, r.Share) }
 
-func (t *Tracker) move(r Range, steps float64) {
+func (t *Tracker) move(r Config, steps float64) {
 	v := t.Value(r)
 	v += time.Duration(steps * r.Step * float64(v))
-	*t = Tracker(min(max(v, r.Least), r.Most))
+	*t = Tracker(min(max(v, r.Min), r.Max))
 }
--- a/internal/quantile/quantile_test.go
+++ b/internal/quantile/quantile_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestFollows(t *testing.T) {
-	r := Range{Share: 0.75, Step: 0.1, Least: time.Millisecond, Most: time.Second}
+	r := Config{Share: 0.75, Step: 0.1, Min: time.Millisecond, Max: time.Second}
 	for _, c := range []struct {
 		name             string
 		lostShare        float64
@@ -22,7 +22,7 @@
 		var sum time.Duration
 		for i := range 2000 {
 			if rnd.Float64() < c.lostShare {
-				v.Longer(r)
+				v.AddLost(r)
 			} else {
 				v.Add(r, time.Duration(rnd.IntN(100))*time.Millisecond)
 			}
@@ -37,21 +37,21 @@
 }
 
 func TestBounds(t *testing.T) {
-	r := Range{Share: 0.5, Step: 0.5, Least: 2 * time.Millisecond, Most: 9 * time.Millisecond}
+	r := Config{Share: 0.5, Step: 0.5, Min: 2 * time.Millisecond, Max: 9 * time.Millisecond}
 	var v Tracker
-	if v.Value(r) != r.Least {
+	if v.Value(r) != r.Min {
 		t.Errorf("starts at %v", v.Value(r))
 	}
 	for range 50 {
-		v.Longer(r)
+		v.AddLost(r)
 	}
-	if v.Value(r) != r.Most {
-		t.Errorf("%v, want %v", v.Value(r), r.Most)
+	if v.Value(r) != r.Max {
+		t.Errorf("%v, want %v", v.Value(r), r.Max)
 	}
 	for range 50 {
 		v.Add(r, 0)
 	}
-	if v.Value(r) != r.Least {
-		t.Errorf("%v, want %v", v.Value(r), r.Least)
+	if v.Value(r) != r.Min {
+		t.Errorf("%v, want %v", v.Value(r), r.Min)
 	}
 }
--- a/internal/sink/sink.go
+++ b/internal/sink/sink.go
@@ -39,9 +39,9 @@
 	mu      sync.Mutex
 	lines   bytes.Buffer
 	dropped int
-	// Dropped is called with the number of dropped lines, unless it is nil. It is set
+	// OnDropped is called with the number of dropped lines, unless it is nil. It is set
 	// before Serve.
-	Dropped func(lines int)
+	OnDropped func(lines int)
 }
 
 // New returns a sink that writes to out while Serve runs.
@@ -92,8 +92,8 @@
 		lines = lines[n:]
 	}
 	if dropped > 0 {
-		if s.Dropped != nil {
-			s.Dropped(dropped)
+		if s.OnDropped != nil {
+			s.OnDropped(dropped)
 		}
 		event.LogLinesDropped.Log(slog.New(slog.NewJSONHandler(s.out, nil)), "lines", dropped)
 	}
--- a/lease/trip.go
+++ b/lease/trip.go
@@ -7,16 +7,16 @@
 )
 
 // answerTimeRange sets how the workers' answer times are tracked.
-var answerTimeRange = quantile.Range{
+var answerTimeRange = quantile.Config{
 	// A lost call says nothing of how long an answer takes: up to a quarter of the calls
 	// may get lost without being taken for slow ones.
 	Share: 0.75,
 	// A change is followed within some thirty calls, which is half a second on a process
 	// that holds eight workers.
-	Step:  0.1,
-	Least: 2 * time.Millisecond,
+	Step: 0.1,
+	Min:  2 * time.Millisecond,
 	// Three times this is below startValidity.
-	Most: 66 * time.Millisecond,
+	Max: 66 * time.Millisecond,
 }
 
 // timeoutFactor is the timeout of a call as a multiple of the tracked answer time.
@@ -26,7 +26,7 @@
 // together: what makes it long is this process's own link or processor.
 func (s *PoolStats) recordAnswer(d time.Duration, r Result) {
 	if r.Verdict == NoAnswer {
-		s.answerTime.Longer(answerTimeRange)
+		s.answerTime.AddLost(answerTimeRange)
 		return
 	}
 	s.answerTime.Add(answerTimeRange, d)
--- a/load/bound.go
+++ b/load/bound.go
@@ -110,7 +110,7 @@
 			earned = append(earned, c.Result.Parts.Whole)
 			outagesByGoal = append(outagesByGoal, c.Outages.By(s.goal))
 			earnedByGoal = append(earnedByGoal, c.Result.Parts.By(s.goal))
-			violations += len(c.Result.Broken)
+			violations += len(c.Result.Violations)
 		}
 		fmt.Fprintf(w, "| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |\n", d.name, mean(bounds), mean(outages), mean(earned), mean(outages)-mean(earned), mean(outagesByGoal), mean(earnedByGoal))
 		if violations > 0 {
--- a/load/model.go
+++ b/load/model.go
@@ -56,11 +56,11 @@
 				return cli.Exit(fmt.Sprintf("no day %q", c.String("day")), program.ExitUsage)
 			}
 			day := model.Days[i]
-			fmt.Fprintf(c.Root().Writer, "%s, %s: %s; %d seeds\n", c.String("site"), day.Name, day.Pattern, c.Int("seeds"))
+			fmt.Fprintf(c.Root().Writer, "%s, %s: %s; %d seeds\n", c.String("site"), day.Name, day.Summary, c.Int("seeds"))
 			curves := comparePolicies(c.Root().Writer, site, day, c.Int("seeds"))
 			if dir := c.String("plots"); dir != "" {
 				d := drawing{
-					name: c.String("site") + "-" + day.Name + "-policies", title: day.Pattern,
+					name: c.String("site") + "-" + day.Name + "-policies", title: day.Summary,
 					x: "seed", y: "worth", curves: curves,
 				}
 				return d.save(dir, "svg")
@@ -86,7 +86,7 @@
 			cfg.Seed, cfg.Policy = uint64(seed), p.policy
 			day.Apply(&cfg)
 			r := model.New(cfg).Run()
-			worth, worst = append(worth, r.Worth), append(worst, r.Worst)
+			worth, worst = append(worth, r.Worth), append(worst, r.WorstWindows)
 			cv.points = append(cv.points, Point{X: float64(seed), Y: r.Worth})
 			for _, t := range r.Classes {
 				late, refused = late+t.Late, refused+t.Refused
--- a/load/recovery.go
+++ b/load/recovery.go
@@ -63,11 +63,11 @@
 		var lost, refused, late float64
 		for i, p := range baselines {
 			r := model.Recover(calmDay(site, i+1), lossTime, l)
-			gap, others, inUse = append(gap, r.Gap), append(others, r.Others), append(inUse, r.Again)
+			gap, others, inUse = append(gap, r.Gap), append(others, r.OtherGap), append(inUse, r.WorkersBack)
 			lost += float64(r.Lost-p.Lost) / float64(seeds)
 			refused += float64(r.Refused-p.Refused) / float64(seeds)
 			late += float64(r.Late-p.Late) / float64(seeds)
-			violations += len(r.Broken)
+			violations += len(r.Violations)
 		}
 		fmt.Fprintf(w, "| %s | %s | %s | %s | %.1f | %.1f | %.1f |\n", l.Name, medianAndMax(gap), medianAndMax(others), medianAndMax(inUse), lost, refused, late)
 	}
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -51,7 +51,7 @@
 	Max int `toml:"max"`
 }
 
-// ServiceTimes is a distribution of service times; see stand.Spread.
+// ServiceTimes is a distribution of service times; see stand.ServiceTimes.
 type ServiceTimes struct {
 	Min       settings.Duration `toml:"min"`
 	Max       settings.Duration `toml:"max"`
@@ -59,8 +59,8 @@
 	LongShare float64           `toml:"long_share"`
 }
 
-func (s ServiceTimes) spread() stand.Spread {
-	return stand.Spread{Min: s.Min.D(), Max: s.Max.D(), Long: s.Long.D(), LongShare: s.LongShare}
+func (s ServiceTimes) spread() stand.ServiceTimes {
+	return stand.ServiceTimes{Min: s.Min.D(), Max: s.Max.D(), Long: s.Long.D(), LongShare: s.LongShare}
 }
 
 // ActionKind is what an action does: it injects a fault, or makes callers act in a wave.
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -168,7 +168,7 @@
 			func(n *memnet.Net) { n.SetFrozen(a, true) },
 			func(n *memnet.Net) { n.SetFrozen(a, false) },
 		},
-		{"dead connections", func(n *memnet.Net) { n.Mute(a) }, func(*memnet.Net) {}},
+		{"dead connections", func(n *memnet.Net) { n.Blackhole(a) }, func(*memnet.Net) {}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -292,10 +292,10 @@
 // five heartbeats a second, half of a small VM's processor was used before the first job.
 func TestIdleSessionsBeatSeldom(t *testing.T) {
 	withTwoMembers(t, func(t *testing.T, n *memnet.Net, a, b *process) {
-		before := n.Written(a.member.ID.Address.Addr())
+		before := n.SentBytes(a.member.ID.Address.Addr())
 		time.Sleep(time.Minute)
 		const heartbeatBytes = 2
-		if got, most := n.Written(a.member.ID.Address.Addr())-before, int64(time.Minute/IdleHeartbeatInterval+1)*heartbeatBytes; got > most {
+		if got, most := n.SentBytes(a.member.ID.Address.Addr())-before, int64(time.Minute/IdleHeartbeatInterval+1)*heartbeatBytes; got > most {
 			t.Errorf("wrote %d bytes in a minute, want %d at most", got, most)
 		}
 	})
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -25,7 +25,7 @@
 		last, names[e.Name] = e.Number, true
 		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s | %s | %s |\n", e.Number, e.Name, e.Kind, e.Unit, strings.Join(e.Labels, ", "), e.Text, e.Since)
 	}
-	page.Hold(t, "../docs/METRICS.md", b.String())
+	page.CheckEqual(t, "../docs/METRICS.md", b.String())
 }
 
 func TestExposition(t *testing.T) {
--- a/model/bound.go
+++ b/model/bound.go
@@ -183,8 +183,8 @@
 	if outages {
 		begin, end = b.observed.answerPeriod(begin, end)
 	}
-	begin += w.cfg.Caller + w.cfg.Near
-	end -= w.cfg.Caller + w.cfg.Near
+	begin += w.cfg.CallerDelay + w.cfg.LocalDelay
+	end -= w.cfg.CallerDelay + w.cfg.LocalDelay
 	longest := time.Duration(0)
 	if !j.alwaysFails {
 		longest = slices.Max(j.work)
--- a/model/bound_test.go
+++ b/model/bound_test.go
@@ -74,8 +74,8 @@
 		DataCenters: []DataCenter{{Name: "a", VMs: 1, Workers: 1, Callers: 1}},
 		Kinds:       []Kind{{Speed: 1, Resources: lease.Resources{CPU: 20000, Memory: 1000}}},
 		Classes: []Class{{
-			Name: "half", PerSecond: 20, Work: 100 * time.Millisecond, WorkMost: 100 * time.Millisecond, Width: 1, WidthMost: 1,
-			CPU: 11000, CPUMost: 11000, Memory: 1, Objective: 100 * time.Millisecond, Stretch: 1.5, Attempts: 2, Worth: 1, Late: 0.2,
+			Name: "half", PerSecond: 20, Work: 100 * time.Millisecond, MaxWork: 100 * time.Millisecond, Width: 1, MaxWidth: 1,
+			CPU: 11000, MaxCPU: 11000, Memory: 1, Objective: 100 * time.Millisecond, Stretch: 1.5, Attempts: 2, Worth: 1, Late: 0.2,
 		}},
 		Lead: 2 * time.Second, Length: 10 * time.Second, Tail: 2 * time.Second,
 	}
--- a/model/caller.go
+++ b/model/caller.go
@@ -61,7 +61,7 @@
 	for c, cl := range w.cfg.Classes {
 		peakRate := cl.PerSecond * w.cfg.Load
 		for _, b := range w.cfg.Bursts {
-			peakRate *= max(b.Times, 1)
+			peakRate *= max(b.Factor, 1)
 		}
 		for _, dc := range w.cfg.DataCenters {
 			peakRate *= 1 + dc.Wave.Swing
@@ -90,7 +90,7 @@
 	r := cl.PerSecond * w.cfg.Load
 	for _, b := range w.cfg.Bursts {
 		if t >= b.At && t < b.At+b.For && (b.Class == "" || b.Class == cl.Name) {
-			r *= b.Times
+			r *= b.Factor
 		}
 	}
 	return r * w.swing(t)
@@ -114,21 +114,21 @@
 func (w *World) addJob(c int, at time.Duration) {
 	cl := w.cfg.Classes[c]
 	j := &job{class: c, dc: w.drawDataCenter(at), sent: w.start.Add(at)}
-	j.width = max(1, int(math.Round(w.lognormal(float64(cl.Width), cl.Spread, float64(cl.WidthMost)))))
-	j.cpu = int(w.lognormal(float64(cl.CPU), cl.Spread/2, float64(cl.CPUMost)))
-	mean := w.lognormal(float64(cl.Work), cl.Spread, float64(cl.WorkMost))
+	j.width = max(1, int(math.Round(w.lognormal(float64(cl.Width), cl.Spread, float64(cl.MaxWidth)))))
+	j.cpu = int(w.lognormal(float64(cl.CPU), cl.Spread/2, float64(cl.MaxCPU)))
+	mean := w.lognormal(float64(cl.Work), cl.Spread, float64(cl.MaxWork))
 	longest := time.Duration(0)
 	for range j.width {
 		d := time.Duration(mean * (1 + cl.Uneven*(2*w.rnd.Float64()-1)))
 		j.work = append(j.work, d)
 		longest = max(longest, d)
 		fails := 0
-		if w.rnd.Float64() < cl.Fails {
+		if w.rnd.Float64() < cl.FailureShare {
 			fails = 1
 		}
 		j.failuresLeft = append(j.failuresLeft, fails)
 	}
-	j.estimate = time.Duration(w.lognormal(mean, cmp.Or(cl.Misjudged, cl.Spread), 10*mean))
+	j.estimate = time.Duration(w.lognormal(mean, cmp.Or(cl.EstimateSpread, cl.Spread), 10*mean))
 	j.objective = time.Duration(cl.Stretch*float64(longest)) + cl.Objective
 	j.deadline = j.sent.Add(extraTimeout + lateFactor*j.objective)
 	w.jobs = append(w.jobs, j)
@@ -150,7 +150,7 @@
 
 // specOf returns the spec of a job. It begins with the job's ID, so no two jobs have the same one.
 func (w *World) specOf(j *job) string {
-	return (j.id + w.specFiller)[:max(len(j.id), w.cfg.Classes[j.class].Text)]
+	return (j.id + w.specFiller)[:max(len(j.id), w.cfg.Classes[j.class].SpecSize)]
 }
 
 // task returns the job of a task and the index of the task in it. ok is false if no caller has
@@ -226,8 +226,8 @@
 		w.resend(j, try)
 		return
 	}
-	w.after(w.cfg.Caller, func() {
-		size := callerBytes + w.cfg.Classes[j.class].Text
+	w.after(w.cfg.CallerDelay, func() {
+		size := callerBytes + w.cfg.Classes[j.class].SpecSize
 		w.after(w.transmit(&n.in, size), func() { w.arrive(j, n, try) })
 	})
 }
@@ -249,7 +249,7 @@
 		Timeout: j.deadline.Sub(w.now),
 		Steps:   []entry.Step{{Count: j.width, Resources: lease.Resources{CPU: j.cpu, Memory: cl.Memory}, Estimate: j.estimate}},
 	}
-	n.waiters[id] = func(a entry.Answer) { w.after(w.cfg.Caller, func() { w.answered(j, a, try) }) }
+	n.waiters[id] = func(a entry.Answer) { w.after(w.cfg.CallerDelay, func() { w.answered(j, a, try) }) }
 	if catalogVersion(n) == 0 {
 		delete(n.waiters, id)
 		w.answered(j, entry.Answer{Status: entry.Refused, Why: "no_catalog"}, try)
--- a/model/callers.go
+++ b/model/callers.go
@@ -48,10 +48,10 @@
 	Within time.Duration
 }
 
-// Hopeless is a period in which a share of the jobs of a class cannot succeed: every run of
+// FailingJobs is a period in which a share of the jobs of a class cannot succeed: every run of
 // every task fails. Reporting the failure is the right answer to such a job and earns its
 // value.
-type Hopeless struct {
+type FailingJobs struct {
 	Span
 	Class string
 	Share float64
@@ -76,7 +76,7 @@
 		j.abandonsAt = j.sent.Add(time.Duration(w.callerRand.Int64N(int64(within))))
 	}
 	cl := w.cfg.Classes[j.class]
-	for _, h := range w.cfg.Hopeless {
+	for _, h := range w.cfg.FailingJobs {
 		if h.Class != cl.Name || !h.contains(at) || w.callerRand.Float64() >= h.Share {
 			continue
 		}
--- a/model/day.go
+++ b/model/day.go
@@ -5,8 +5,8 @@
 // Day is a kind of day used to compare policies.
 type Day struct {
 	Name string
-	// Pattern describes the load and faults of the day.
-	Pattern string
+	// Summary describes the load and faults of the day.
+	Summary string
 	Apply   func(cfg *Config)
 }
 
@@ -17,17 +17,17 @@
 		"calm", "the sheets' load at six tenths, with a burst of 1.3 for four seconds",
 		func(cfg *Config) {
 			cfg.Load, cfg.Length = 0.6, 16*time.Second
-			cfg.Bursts = []Burst{{At: 2 * time.Second, For: 4 * time.Second, Times: 1.3}}
+			cfg.Bursts = []Burst{{At: 2 * time.Second, For: 4 * time.Second, Factor: 1.3}}
 		},
 	},
 	{
 		"busy", "more than the sheets' load, a burst, and one worker in seven crashed, then failing, hanging or slow",
 		func(cfg *Config) {
 			cfg.Load, cfg.Length, cfg.Tail = 1.1, 16*time.Second, 6*time.Second
-			cfg.Bursts = []Burst{{At: 3 * time.Second, For: 4 * time.Second, Times: 1.3}}
+			cfg.Bursts = []Burst{{At: 3 * time.Second, For: 4 * time.Second, Factor: 1.3}}
 			n := int(cfg.Seed) * 7
 			cfg.Faults = []Fault{
-				{5 * time.Second, Crash(n, 7, 4*time.Second)},
+				{5 * time.Second, CrashWorkers(n, 7, 4*time.Second)},
 				{7 * time.Second, FailNewTasks(n+12, 4, 5*time.Second)},
 				{10 * time.Second, HangTasks(n+20, 4, 3*time.Second)},
 				{12 * time.Second, SlowNewTasks(n+30, 6, 5, 3*time.Second)},
@@ -38,15 +38,15 @@
 		"full", "half as much again as the sheets' load for six seconds, with one worker in six crashed",
 		func(cfg *Config) {
 			cfg.Load, cfg.Length = 1.1, 12*time.Second
-			cfg.Bursts = []Burst{{At: 2 * time.Second, For: 6 * time.Second, Times: 1.5}}
-			cfg.Faults = []Fault{{3500 * time.Millisecond, Crash(int(cfg.Seed)*5, 8, 4300*time.Millisecond)}}
+			cfg.Bursts = []Burst{{At: 2 * time.Second, For: 6 * time.Second, Factor: 1.5}}
+			cfg.Faults = []Fault{{3500 * time.Millisecond, CrashWorkers(int(cfg.Seed)*5, 8, 4300*time.Millisecond)}}
 		},
 	},
 	{
 		"lossy", "a twentieth of the calls to workers lost and carried out late",
 		func(cfg *Config) {
 			cfg.Load, cfg.Length = 0.8, 12*time.Second
-			cfg.Faults = []Fault{{2 * time.Second, Lose(0.05, 8*time.Second)}}
+			cfg.Faults = []Fault{{2 * time.Second, DelayCalls(0.05, 8*time.Second)}}
 		},
 	},
 }
--- a/model/drawn_test.go
+++ b/model/drawn_test.go
@@ -45,9 +45,9 @@
 	d := draws{rand.New(rand.NewPCG(seed, 5))}
 	cfg := Config{
 		DataCenters: make([]DataCenter, 1+d.IntN(5)),
-		Near:        200 * time.Microsecond,
-		Far:         d.duration(100*time.Microsecond, 5*time.Millisecond),
-		Caller:      time.Millisecond,
+		LocalDelay:  200 * time.Microsecond,
+		RemoteDelay: d.duration(100*time.Microsecond, 5*time.Millisecond),
+		CallerDelay: time.Millisecond,
 		Lead:        4 * time.Second,
 		Tail:        4 * time.Second,
 	}
@@ -61,7 +61,7 @@
 	classes := 1 + d.IntN(4)
 	for i := range classes {
 		cl := d.class(cfg.Kinds, demand/float64(classes)*float64(workers), maxStartsPerSecond/float64(classes))
-		cl.Name, cl.Misjudged = fmt.Sprintf("c%d", i), misjudged
+		cl.Name, cl.EstimateSpread = fmt.Sprintf("c%d", i), misjudged
 		cfg.Classes = append(cfg.Classes, cl)
 	}
 	cfg.Length = dayLength(cfg.Classes)
@@ -87,20 +87,20 @@
 func (d draws) class(kinds []Kind, workers, starts float64) Class {
 	smallest := slices.MinFunc(kinds, func(x, y Kind) int { return cmp.Compare(x.Resources.CPU, y.Resources.CPU) }).Resources.CPU
 	cl := Class{
-		Width:     d.count(1, 16),
-		CPU:       int(float64(smallest) * d.logUniform(0.25, 0.7)),
-		Memory:    64,
-		Spread:    0.4,
-		Uneven:    0.15,
-		Objective: d.duration(40*time.Millisecond, 200*time.Millisecond),
-		Stretch:   d.logUniform(1.4, 3),
-		Attempts:  2 + d.IntN(3),
-		Fails:     0.002,
+		Width:        d.count(1, 16),
+		CPU:          int(float64(smallest) * d.logUniform(0.25, 0.7)),
+		Memory:       64,
+		Spread:       0.4,
+		Uneven:       0.15,
+		Objective:    d.duration(40*time.Millisecond, 200*time.Millisecond),
+		Stretch:      d.logUniform(1.4, 3),
+		Attempts:     2 + d.IntN(3),
+		FailureShare: 0.002,
 	}
 	capacity := workers * meanParallelTasks(kinds, cl.CPU)
 	work := max(d.logUniform(0.05, 0.8), capacity/starts)
 	cl.Work = time.Duration(work * float64(time.Second))
-	cl.WorkMost, cl.WidthMost, cl.CPUMost = 4*cl.Work, 4*cl.Width, min(cl.CPU*3/2, smallest)
+	cl.MaxWork, cl.MaxWidth, cl.MaxCPU = 4*cl.Work, 4*cl.Width, min(cl.CPU*3/2, smallest)
 	cl.PerSecond = capacity / work / float64(cl.Width)
 	cl.Worth = work * float64(cl.Width) * d.logUniform(0.02, 0.08)
 	cl.Late = cl.Worth / 5
--- a/model/fault.go
+++ b/model/fault.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// Freeze suspends a process for d.
-func Freeze(vm int, d time.Duration) func(*World) {
+// Suspend stops a process for d, after which it continues.
+func Suspend(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
 		n := w.vms[vm%len(w.vms)]
 		if !n.up || n.suspended {
@@ -85,8 +85,8 @@
 	}
 }
 
-// Cut isolates a VM from all other VMs; callers and workers still reach it.
-func Cut(vm int, d time.Duration) func(*World) {
+// IsolateVM isolates a VM from all other VMs; callers and workers still reach it.
+func IsolateVM(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
 		n := w.vms[vm%len(w.vms)]
 		n.isolated = true
@@ -99,8 +99,8 @@
 	}
 }
 
-// Reset resets all sessions of a VM once.
-func Reset(vm int) func(*World) {
+// ResetSessions resets all sessions of a VM once.
+func ResetSessions(vm int) func(*World) {
 	return func(w *World) {
 		n := w.vms[vm%len(w.vms)]
 		for _, o := range w.vms {
@@ -119,8 +119,8 @@
 	}
 }
 
-// Crash ends workers; they restart empty after down.
-func Crash(first, count int, down time.Duration) func(*World) {
+// CrashWorkers ends workers; they restart empty after down.
+func CrashWorkers(first, count int, down time.Duration) func(*World) {
 	return func(w *World) {
 		for i := range count {
 			x := w.workers[(first+i)%len(w.workers)]
@@ -133,8 +133,8 @@
 	}
 }
 
-// CutWorkers makes workers unreachable while they keep running.
-func CutWorkers(first, count int, d time.Duration) func(*World) {
+// IsolateWorkers makes workers unreachable while they keep running.
+func IsolateWorkers(first, count int, d time.Duration) func(*World) {
 	return onWorkers(first, count, d, func(x *worker) { x.reachable = false }, func(x *worker) { x.reachable = true })
 }
 
@@ -148,8 +148,8 @@
 	return onWorkers(first, count, d, func(x *worker) { x.health = hanging }, func(x *worker) { x.health = healthy })
 }
 
-// Shed makes workers refuse every start.
-func Shed(first, count int, d time.Duration) func(*World) {
+// RefuseStarts makes workers refuse every start.
+func RefuseStarts(first, count int, d time.Duration) func(*World) {
 	return onWorkers(first, count, d, func(x *worker) { x.health = refusing }, func(x *worker) { x.health = healthy })
 }
 
@@ -158,8 +158,8 @@
 	return onWorkers(first, count, d, func(x *worker) { x.slowdown = factor }, func(x *worker) { x.slowdown = 1 })
 }
 
-// Lose makes a share of the calls to workers execute seconds late and without an answer.
-func Lose(share float64, d time.Duration) func(*World) {
+// DelayCalls makes a share of the calls to workers execute seconds late and without an answer.
+func DelayCalls(share float64, d time.Duration) func(*World) {
 	return func(w *World) {
 		onWorkers(0, len(w.workers), d, func(x *worker) { x.lateCallShare = share }, func(x *worker) { x.lateCallShare = 0 })(w)
 	}
--- a/model/faults_test.go
+++ b/model/faults_test.go
@@ -57,17 +57,17 @@
 	kinds := []func() func(*World){
 		func() func(*World) { return Kill(vm(), span()) },
 		func() func(*World) { return PowerOff(vm(), span()) },
-		func() func(*World) { return Freeze(vm(), span()) },
-		func() func(*World) { return Cut(vm(), span()) },
-		func() func(*World) { return Reset(vm()) },
+		func() func(*World) { return Suspend(vm(), span()) },
+		func() func(*World) { return IsolateVM(vm(), span()) },
+		func() func(*World) { return ResetSessions(vm()) },
 		func() func(*World) { return StoreDown(span()) },
-		func() func(*World) { return Crash(wk(), 1+rnd.IntN(8), span()) },
-		func() func(*World) { return CutWorkers(wk(), 1+rnd.IntN(8), span()) },
+		func() func(*World) { return CrashWorkers(wk(), 1+rnd.IntN(8), span()) },
+		func() func(*World) { return IsolateWorkers(wk(), 1+rnd.IntN(8), span()) },
 		func() func(*World) { return FailNewTasks(wk(), 1+rnd.IntN(5), span()) },
 		func() func(*World) { return HangTasks(wk(), 1+rnd.IntN(5), span()) },
-		func() func(*World) { return Shed(wk(), 1+rnd.IntN(5), span()) },
+		func() func(*World) { return RefuseStarts(wk(), 1+rnd.IntN(5), span()) },
 		func() func(*World) { return SlowNewTasks(wk(), 1+rnd.IntN(8), 2+4*rnd.Float64(), span()) },
-		func() func(*World) { return Lose(0.1*rnd.Float64(), span()) },
+		func() func(*World) { return DelayCalls(0.1*rnd.Float64(), span()) },
 		func() func(*World) { return PowerOffAll(span()) },
 	}
 	var out []Fault
@@ -85,7 +85,7 @@
 	for i := range *dayCount {
 		seed := *firstDay + uint64(i)
 		r := play(t, drawnDay(seed))
-		t.Logf("seed %d: worth %.3f worst %.3f waste %.1f s", seed, r.Worth, r.Worst, r.Waste.Seconds())
+		t.Logf("seed %d: worth %.3f worst %.3f waste %.1f s", seed, r.Worth, r.WorstWindows, r.Waste.Seconds())
 	}
 }
 
@@ -97,7 +97,7 @@
 		cfg := drawnDay(*firstDay + uint64(i))
 		cfg.DelayedCallShare = 0.2
 		r := play(t, cfg)
-		t.Logf("seed %d: worth %.3f worst %.3f waste %.1f s", cfg.Seed, r.Worth, r.Worst, r.Waste.Seconds())
+		t.Logf("seed %d: worth %.3f worst %.3f waste %.1f s", cfg.Seed, r.Worth, r.WorstWindows, r.Waste.Seconds())
 	}
 }
 
--- a/model/grown_test.go
+++ b/model/grown_test.go
@@ -18,7 +18,7 @@
 		c.Classes[i].PerSecond *= 6
 		c.Classes[i].Worth /= 6
 		c.Classes[i].Late /= 6
-		c.Classes[i].CPU, c.Classes[i].CPUMost = 32000, 48000
+		c.Classes[i].CPU, c.Classes[i].MaxCPU = 32000, 48000
 	}
 	return c
 }
@@ -29,10 +29,10 @@
 	for b.Loop() {
 		cfg := grownDeployment()
 		cfg.Seed, cfg.Length, cfg.Tail, cfg.Load = 1, 6*time.Second, time.Second, 1.5
-		cfg.Bursts = []Burst{{At: 500 * time.Millisecond, For: 4 * time.Second, Times: 1.3}}
+		cfg.Bursts = []Burst{{At: 500 * time.Millisecond, For: 4 * time.Second, Factor: 1.3}}
 		cfg.Faults = []Fault{{2 * time.Second, SlowNewTasks(3, 80, 8, 3*time.Second)}}
 		r := New(cfg).Run()
 		b.ReportMetric(r.Worth, "worth")
-		b.ReportMetric(r.Worst, "worst")
+		b.ReportMetric(r.WorstWindows, "worst")
 	}
 }
--- a/model/large_test.go
+++ b/model/large_test.go
@@ -16,13 +16,13 @@
 		callers float64
 	}{{"chicago", 32, 239}, {"detroit", 28, 246}, {"cleveland", 30, 276}, {"milwaukee", 25, 237}, {"buffalo", 32, 268}} {
 		shares := []float64{0.8, 0.48, 0.48, 0.144, 0.144, 0.144, 0.144, 0.144, 0.144, 0.144}
-		c.DataCenters = append(c.DataCenters, DataCenter{Name: dc.name, VMs: dc.vms, Workers: 220, Callers: dc.callers, Shares: shares})
+		c.DataCenters = append(c.DataCenters, DataCenter{Name: dc.name, VMs: dc.vms, Workers: 220, Callers: dc.callers, Cores: shares})
 	}
 	for i := range c.Classes {
 		c.Classes[i].PerSecond *= 9
 		c.Classes[i].Worth /= 9
 		c.Classes[i].Late /= 9
-		c.Classes[i].CPU, c.Classes[i].CPUMost = 32000, 48000
+		c.Classes[i].CPU, c.Classes[i].MaxCPU = 32000, 48000
 	}
 	return c
 }
@@ -40,10 +40,10 @@
 		faults []Fault
 	}{
 		{"calm", 0.6, 0.94, nil, nil},
-		{"data centre cut off", 0.6, 0.87, nil, []Fault{{time.Second, CutDataCenter("detroit", false, 1500*time.Millisecond)}}},
+		{"data centre cut off", 0.6, 0.87, nil, []Fault{{time.Second, IsolateDataCenter("detroit", false, 1500*time.Millisecond)}}},
 		{"workers come and go", 0.8, 0.87, nil, workerChurn(1100, 275, 150)},
-		{"VMs and workers lost", 0.7, 0.87, nil, append(powerOffSome(147, 15), Fault{1200 * time.Millisecond, Crash(100, 110, time.Second)})},
-		{"burst", 0.8, 0.87, []Burst{{At: 500 * time.Millisecond, For: 2 * time.Second, Times: 1.5}}, nil},
+		{"VMs and workers lost", 0.7, 0.87, nil, append(powerOffSome(147, 15), Fault{1200 * time.Millisecond, CrashWorkers(100, 110, time.Second)})},
+		{"burst", 0.8, 0.87, []Burst{{At: 500 * time.Millisecond, For: 2 * time.Second, Factor: 1.5}}, nil},
 	}
 	for i, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 func workerChurn(have, more, fewer int) (out []Fault) {
 	dcs := []string{"chicago", "detroit", "cleveland", "milwaukee", "buffalo"}
 	for i := range more {
-		out = append(out, Fault{500*time.Millisecond + time.Duration(i)*3*time.Millisecond, Join(dcs[i%len(dcs)], i)})
+		out = append(out, Fault{500*time.Millisecond + time.Duration(i)*3*time.Millisecond, AddWorker(dcs[i%len(dcs)], i)})
 	}
 	for i := range fewer {
 		out = append(out, Fault{time.Second + time.Duration(i)*5*time.Millisecond, Retire(i*have/fewer, 800*time.Millisecond)})
--- a/model/loss_test.go
+++ b/model/loss_test.go
@@ -18,10 +18,10 @@
 		for seed := range uint64(seeds) {
 			cfg := Lakeshore()
 			cfg.Seed, cfg.Load, cfg.Length = seed+1, 0.8, 12*time.Second
-			cfg.Faults = []Fault{{2 * time.Second, Lose(share, 8*time.Second)}}
+			cfg.Faults = []Fault{{2 * time.Second, DelayCalls(share, 8*time.Second)}}
 			r := play(t, cfg)
 			sum += r.Worth / seeds
-			worst += r.Worst / seeds
+			worst += r.WorstWindows / seeds
 			if seed == 0 {
 				t.Log(r)
 			}
--- a/model/model.go
+++ b/model/model.go
@@ -32,26 +32,26 @@
 type Config struct {
 	Seed        uint64
 	DataCenters []DataCenter
-	// Near and Far are the one-way delays within a data centre and between two data centres.
-	// Caller is the one-way delay between a caller and its process.
-	Near, Far, Caller time.Duration
-	Kinds             []Kind
-	Classes           []Class
+	// LocalDelay and RemoteDelay are the one-way delays within a data centre and between two
+	// data centres. CallerDelay is the one-way delay between a caller and its process.
+	LocalDelay, RemoteDelay, CallerDelay time.Duration
+	Kinds                                []Kind
+	Classes                              []Class
 	// Lead is the time from the start of the processes to the first request, Length the
 	// period in which requests arrive, and Tail the time simulated after that.
 	Lead, Length, Tail time.Duration
 	// Load scales the request rates of all classes. Bursts raise rates for limited periods.
 	Load   float64
 	Bursts []Burst
-	// Moves, Departures and Hopeless change the behavior of callers or jobs for limited
+	// Moves, Departures and FailingJobs change the behavior of callers or jobs for limited
 	// periods.
-	Moves      []Move
-	Departures []Departure
-	Hopeless   []Hopeless
-	Faults     []Fault
-	// Link is the bandwidth of a VM's link in each direction, in bytes per second;
+	Moves       []Move
+	Departures  []Departure
+	FailingJobs []FailingJobs
+	Faults      []Fault
+	// LinkBandwidth is the bandwidth of a VM's link in each direction, in bytes per second;
 	// 0 means unbounded.
-	Link int
+	LinkBandwidth int
 	// DelayedCallShare is the share of calls to workers that are delayed on their way by up to
 	// maxCallDelay, so that later calls on other connections overtake them.
 	DelayedCallShare float64
@@ -74,9 +74,9 @@
 	Callers float64
 	// Wave is the periodic variation of that weight.
 	Wave Wave
-	// Shares are the fractions of a core that the VMs get, assigned in rotation; if it is
+	// Cores are the fractions of a core that the VMs get, assigned in rotation; if it is
 	// empty, each VM gets defaultCores.
-	Shares []float64
+	Cores []float64
 }
 
 // Kind describes a kind of worker. The kind of each initial worker is drawn at random.
@@ -91,19 +91,19 @@
 	Name string
 	// PerSecond is the request rate of the whole deployment at load 1.
 	PerSecond float64
-	// Work is the mean duration of a task at speed 1, with the maximum WorkMost. Width is
-	// the mean number of tasks of a job, with the maximum WidthMost.
-	Work, WorkMost   time.Duration
-	Width, WidthMost int
+	// Work is the mean duration of a task at speed 1, with the maximum MaxWork. Width is
+	// the mean number of tasks of a job, with the maximum MaxWidth.
+	Work, MaxWork   time.Duration
+	Width, MaxWidth int
 	// CPU is the mean CPU requirement of a task in thousandths of a core, with the maximum
-	// CPUMost.
-	CPU, CPUMost int
-	Memory       int
-	// Text is the length of a job's spec in bytes; it matters if link bandwidth is bounded.
-	Text int
+	// MaxCPU.
+	CPU, MaxCPU int
+	Memory      int
+	// SpecSize is the length of a job's spec in bytes; it matters if link bandwidth is bounded.
+	SpecSize int
 	// Spread is the standard deviation of the logarithm of work, width and estimate, and
-	// half of it that of CPU. Misjudged, if set, replaces it for the estimate.
-	Spread, Misjudged float64
+	// half of it that of CPU. EstimateSpread, if set, replaces it for the estimate.
+	Spread, EstimateSpread float64
 	// Uneven is the largest relative deviation of a task's duration from the mean of its job.
 	Uneven    float64
 	Objective time.Duration
@@ -113,15 +113,15 @@
 	// Worth is the mean value of a job that meets its objective, Late that of a job that
 	// misses it.
 	Worth, Late float64
-	// Fails is the share of tasks whose first run fails for a reason of their own.
-	Fails float64
+	// FailureShare is the share of tasks whose first run fails for a reason of their own.
+	FailureShare float64
 }
 
 // Burst is a period in which the request rate of one class, or of all if Class is empty,
-// is multiplied by Times.
+// is multiplied by Factor.
 type Burst struct {
 	At, For time.Duration
-	Times   float64
+	Factor  float64
 	Class   string
 }
 
@@ -234,8 +234,8 @@
 	w.start = w.now.Add(cfg.Lead)
 	w.catalog = w.makeCatalog()
 	for _, cl := range cfg.Classes {
-		if cl.Text > len(w.specFiller) {
-			w.specFiller = w.makeSpecFiller(cl.Text)
+		if cl.SpecSize > len(w.specFiller) {
+			w.specFiller = w.makeSpecFiller(cl.SpecSize)
 		}
 	}
 	w.makeWorkers()
@@ -292,9 +292,9 @@
 // delay returns the one-way delay between two data centres.
 func (w *World) delay(a, b string) time.Duration {
 	if a == b {
-		return w.cfg.Near
+		return w.cfg.LocalDelay
 	}
-	return w.cfg.Far
+	return w.cfg.RemoteDelay
 }
 
 func address(kind, i int) netip.AddrPort {
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -8,7 +8,7 @@
 func play(t *testing.T, cfg Config) Result {
 	t.Helper()
 	r := New(cfg).Run()
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Errorf("seed %d: %s", cfg.Seed, b)
 	}
 	return r
@@ -40,7 +40,7 @@
 	for range 2 {
 		cfg := busyDay(Lakeshore(), 3)
 		cfg.Length = 8 * time.Second
-		cfg.Faults = append(cfg.Faults, Fault{4 * time.Second, Kill(2, time.Second)}, Fault{6 * time.Second, Lose(0.1, time.Second)})
+		cfg.Faults = append(cfg.Faults, Fault{4 * time.Second, Kill(2, time.Second)}, Fault{6 * time.Second, DelayCalls(0.1, time.Second)})
 		days = append(days, play(t, cfg).String())
 	}
 	if days[0] != days[1] {
--- a/model/outage.go
+++ b/model/outage.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// Blind makes the store unreachable for one process.
-func Blind(vm int, d time.Duration) func(*World) {
+// BlockStore makes the store unreachable for one process.
+func BlockStore(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
 		n := w.vms[vm%len(w.vms)]
 		n.storeBlocked = true
@@ -62,10 +62,10 @@
 	}
 }
 
-// CutDataCenter isolates the processes and workers of a data centre from all others and from
+// IsolateDataCenter isolates the processes and workers of a data centre from all others and from
 // the store; its callers still reach its processes. If resetConns is set, connections are reset
 // and processes notice at once; otherwise they see silence.
-func CutDataCenter(name string, resetConns bool, d time.Duration) func(*World) {
+func IsolateDataCenter(name string, resetConns bool, d time.Duration) func(*World) {
 	how := silent
 	if resetConns {
 		how = reset
@@ -83,19 +83,19 @@
 	}
 }
 
-// Drag multiplies the duration of the tasks on a worker by factor, including those already
+// SlowTasks multiplies the duration of the tasks on a worker by factor, including those already
 // running.
-func Drag(index int, factor float64, d time.Duration) func(*World) {
+func SlowTasks(index int, factor float64, d time.Duration) func(*World) {
 	return onWorkers(index, 1, d, func(x *worker) { x.setPace(1 / factor) }, func(x *worker) { x.setPace(1) })
 }
 
-// Halt pauses the tasks on a worker; they continue afterwards.
-func Halt(index int, d time.Duration) func(*World) {
+// PauseTasks pauses the tasks on a worker; they continue afterwards.
+func PauseTasks(index int, d time.Duration) func(*World) {
 	return onWorkers(index, 1, d, func(x *worker) { x.setPace(0) }, func(x *worker) { x.setPace(1) })
 }
 
-// Spoil makes a worker fail every task, including those already running.
-func Spoil(index int, d time.Duration) func(*World) {
+// FailTasks makes a worker fail every task, including those already running.
+func FailTasks(index int, d time.Duration) func(*World) {
 	return onWorkers(index, 1, d, func(x *worker) { x.failAll() }, func(x *worker) { x.health = healthy })
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// Join adds an empty worker of a kind to a data centre.
-func Join(dc string, kind int) func(*World) {
+// AddWorker adds an empty worker of a kind to a data centre.
+func AddWorker(dc string, kind int) func(*World) {
 	return func(w *World) { w.addWorker(dc, w.cfg.Kinds[kind%len(w.cfg.Kinds)]) }
 }
--- a/model/outage_test.go
+++ b/model/outage_test.go
@@ -18,13 +18,13 @@
 		outcome lease.Outcome
 	}{
 		{"nothing", Fault{0, func(*World) {}}, 200 * time.Millisecond, lease.Done},
-		{"three times as slow for 150 ms", Fault{100 * time.Millisecond, Drag(0, 3, 150*time.Millisecond)}, 300 * time.Millisecond, lease.Done},
-		{"slow before it begins", Fault{-100 * time.Millisecond, Drag(0, 4, 300*time.Millisecond)}, 350 * time.Millisecond, lease.Done},
-		{"stands still for 150 ms", Fault{100 * time.Millisecond, Halt(0, 150*time.Millisecond)}, 350 * time.Millisecond, lease.Done},
-		{"stands still before it begins", Fault{-100 * time.Millisecond, Halt(0, 250*time.Millisecond)}, 350 * time.Millisecond, lease.Done},
-		{"all fails", Fault{100 * time.Millisecond, Spoil(0, time.Second)}, 100 * time.Millisecond, lease.Failed},
+		{"three times as slow for 150 ms", Fault{100 * time.Millisecond, SlowTasks(0, 3, 150*time.Millisecond)}, 300 * time.Millisecond, lease.Done},
+		{"slow before it begins", Fault{-100 * time.Millisecond, SlowTasks(0, 4, 300*time.Millisecond)}, 350 * time.Millisecond, lease.Done},
+		{"stands still for 150 ms", Fault{100 * time.Millisecond, PauseTasks(0, 150*time.Millisecond)}, 350 * time.Millisecond, lease.Done},
+		{"stands still before it begins", Fault{-100 * time.Millisecond, PauseTasks(0, 250*time.Millisecond)}, 350 * time.Millisecond, lease.Done},
+		{"all fails", Fault{100 * time.Millisecond, FailTasks(0, time.Second)}, 100 * time.Millisecond, lease.Failed},
 		{"the worker leaves", Fault{50 * time.Millisecond, Retire(0, 100*time.Millisecond)}, 150 * time.Millisecond, lease.Lost},
-		{"another is slow", Fault{100 * time.Millisecond, Drag(1, 3, 150*time.Millisecond)}, 200 * time.Millisecond, lease.Done},
+		{"another is slow", Fault{100 * time.Millisecond, SlowTasks(1, 3, 150*time.Millisecond)}, 200 * time.Millisecond, lease.Done},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 // the cut.
 func TestDataCenterCutOff(t *testing.T) {
 	cfg := lightDay(2)
-	cfg.Faults = []Fault{{3 * time.Second, CutDataCenter("detroit", false, 2*time.Second)}}
+	cfg.Faults = []Fault{{3 * time.Second, IsolateDataCenter("detroit", false, 2*time.Second)}}
 	r := play(t, cfg)
 	if r.Parts.DataCenter < 0.85 || r.Worth > 0.999 {
 		t.Errorf("worth %.3f, of the worst data centre %.3f", r.Worth, r.Parts.DataCenter)
@@ -92,7 +92,7 @@
 			lost = vm
 			return PowerOff(vm, time.Second)
 		})},
-		{3 * time.Second, Join("detroit", 1)},
+		{3 * time.Second, AddWorker("detroit", 1)},
 	}
 	w := New(cfg)
 	planner := -2
@@ -104,8 +104,8 @@
 			used++
 		}
 	}
-	if lost != planner || used == 0 || len(r.Broken) > 0 {
-		t.Errorf("VM %d was lost, %d was the planner; %d starts on the worker that joined; broken %v", lost, planner, used, r.Broken)
+	if lost != planner || used == 0 || len(r.Violations) > 0 {
+		t.Errorf("VM %d was lost, %d was the planner; %d starts on the worker that joined; broken %v", lost, planner, used, r.Violations)
 	}
 }
 
@@ -124,7 +124,7 @@
 			func(c Tally) bool { return c.Owed == 0 && c.Asked > 0 },
 		},
 		{
-			"three of ten stock checks can't be done", func(cfg *Config) { cfg.Hopeless = []Hopeless{{all, "stock-check", 0.3}} },
+			"three of ten stock checks can't be done", func(cfg *Config) { cfg.FailingJobs = []FailingJobs{{all, "stock-check", 0.3}} },
 			func(c Tally) bool { return c.Share() > 0.9 && (c.Failed == 0) },
 		},
 	}
--- a/model/recovery.go
+++ b/model/recovery.go
@@ -23,12 +23,12 @@
 var Losses = []Loss{
 	{"planner killed", true, func(vm int) func(*World) { return Kill(vm, lossDuration) }},
 	{"planner without power", true, func(vm int) func(*World) { return PowerOff(vm, lossDuration) }},
-	{"planner frozen", true, func(vm int) func(*World) { return Freeze(vm, lossDuration) }},
-	{"planner cut off", true, func(vm int) func(*World) { return Cut(vm, lossDuration) }},
+	{"planner frozen", true, func(vm int) func(*World) { return Suspend(vm, lossDuration) }},
+	{"planner cut off", true, func(vm int) func(*World) { return IsolateVM(vm, lossDuration) }},
 	{"holder killed", false, func(vm int) func(*World) { return Kill(vm, lossDuration) }},
 	{"holder without power", false, func(vm int) func(*World) { return PowerOff(vm, lossDuration) }},
-	{"holder frozen", false, func(vm int) func(*World) { return Freeze(vm, lossDuration) }},
-	{"holder cut off", false, func(vm int) func(*World) { return Cut(vm, lossDuration) }},
+	{"holder frozen", false, func(vm int) func(*World) { return Suspend(vm, lossDuration) }},
+	{"holder cut off", false, func(vm int) func(*World) { return IsolateVM(vm, lossDuration) }},
 	{"all without power for a second", true, func(int) func(*World) { return PowerOffAll(time.Second) }},
 }
 
@@ -36,15 +36,15 @@
 type Recovery struct {
 	// Gap is the longest time without a start on any worker from the loss on.
 	Gap time.Duration
-	// Others is the same for the workers whose holder was not lost.
-	Others time.Duration
-	// Again is the time from the loss until a planner knew that all of the lost process's
+	// OtherGap is the same for the workers whose holder was not lost.
+	OtherGap time.Duration
+	// WorkersBack is the time from the loss until a planner knew that all of the lost process's
 	// workers could be used again.
-	Again time.Duration
+	WorkersBack time.Duration
 	// Lost counts the jobs that got no answer or failed, Refused the refused and Late the late
 	// ones, out of the Asked jobs of the whole day.
 	Lost, Refused, Late, Asked int
-	Broken                     []string
+	Violations                 []string
 }
 
 // begun is the start of a run on a worker.
@@ -64,10 +64,10 @@
 			lost = append(lost, s.ID)
 		}
 		l.Fault(n.index)(w)
-		w.awaitReopened(n.id, lost, &r.Again)
+		w.awaitReopened(n.id, lost, &r.WorkersBack)
 	})
 	res := w.Run()
-	r.Broken = res.Broken
+	r.Violations = res.Violations
 	for _, t := range res.Classes {
 		r.Asked += t.Asked
 		r.Lost += t.Unserved + t.Failed
@@ -122,7 +122,7 @@
 		r.Gap = max(r.Gap, b.at.Sub(last))
 		last = b.at
 		if !slices.Contains(lost, b.worker) {
-			r.Others = max(r.Others, b.at.Sub(lastOther))
+			r.OtherGap = max(r.OtherGap, b.at.Sub(lastOther))
 			lastOther = b.at
 		}
 	}
--- a/model/recovery_test.go
+++ b/model/recovery_test.go
@@ -14,8 +14,8 @@
 		cfg.Seed, cfg.Load = seed+1, 0.6
 		cfg.Length, cfg.Tail = 5*time.Second, time.Second
 		r := Recover(cfg, 3*time.Second, Losses[0])
-		if len(r.Broken) > 0 || r.Again > 400*time.Millisecond {
-			t.Errorf("seed %d: workers in use again after %v, broken %v; it was 545 to 720 ms", seed+1, r.Again, r.Broken)
+		if len(r.Violations) > 0 || r.WorkersBack > 400*time.Millisecond {
+			t.Errorf("seed %d: workers in use again after %v, broken %v; it was 545 to 720 ms", seed+1, r.WorkersBack, r.Violations)
 		}
 	}
 }
@@ -45,9 +45,9 @@
 			cfg.Faults = []Fault{{2 * time.Second, StoreDown(20 * time.Second)}}
 			loss := Loss{Name: "killed", Planner: tt.planner, Fault: func(vm int) func(*World) { return Kill(vm, lossDuration) }}
 			r := Recover(cfg, 3*time.Second, loss)
-			t.Logf("%v, planner %v: again after %v, %d of %d refused, %d lost", tt.processes, tt.planner, r.Again, r.Refused, r.Asked, r.Lost)
-			if len(r.Broken) > 0 || r.Again > time.Second {
-				t.Errorf("%v processes, seed %d: workers in use again after %v, broken %v", tt.processes, seed+1, r.Again, r.Broken)
+			t.Logf("%v, planner %v: again after %v, %d of %d refused, %d lost", tt.processes, tt.planner, r.WorkersBack, r.Refused, r.Asked, r.Lost)
+			if len(r.Violations) > 0 || r.WorkersBack > time.Second {
+				t.Errorf("%v processes, seed %d: workers in use again after %v, broken %v", tt.processes, seed+1, r.WorkersBack, r.Violations)
 			}
 		}
 	}
--- a/model/row_test.go
+++ b/model/row_test.go
@@ -29,11 +29,11 @@
 	downtime := func() time.Duration { return randomDuration(700*time.Millisecond, 4*time.Second) }
 	losses := []func(vm int) func(*World){
 		func(vm int) func(*World) { return PowerOff(vm, downtime()) },
-		func(vm int) func(*World) { return Freeze(vm, downtime()) },
-		func(vm int) func(*World) { return Cut(vm, downtime()) },
+		func(vm int) func(*World) { return Suspend(vm, downtime()) },
+		func(vm int) func(*World) { return IsolateVM(vm, downtime()) },
 		func(vm int) func(*World) { return Kill(vm, downtime()) },
 		func(vm int) func(*World) {
-			return Freeze(vm, randomDuration(260*time.Millisecond, 900*time.Millisecond))
+			return Suspend(vm, randomDuration(260*time.Millisecond, 900*time.Millisecond))
 		},
 	}
 	all := 0
--- a/model/score.go
+++ b/model/score.go
@@ -12,9 +12,9 @@
 // Result is the result of a simulated day.
 type Result struct {
 	Classes []Tally
-	// Worth is the earned share of the total worth. Worst is the mean of the shares earned in the
-	// two windows of two seconds with the lowest shares.
-	Worth, Worst float64
+	// Worth is the earned share of the total worth. WorstWindows is the mean of the shares
+	// earned in the two windows of two seconds with the lowest shares.
+	Worth, WorstWindows float64
 	// Parts is the earned share by groups of jobs.
 	Parts Parts
 	// Rejected counts starts for which a worker had insufficient resources. Waste is the total
@@ -22,8 +22,8 @@
 	Rejected int
 	Waste    time.Duration
 	Messages int
-	// Broken describes the violated guarantees, at most maxBroken of them.
-	Broken []string
+	// Violations describes the violated guarantees, at most maxBroken of them.
+	Violations []string
 }
 
 // Tally is the result of a class of requests.
@@ -39,7 +39,7 @@
 // String formats a result in a few lines.
 func (r Result) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "worth %.3f worst %.3f rejected %d waste %.1fs messages %d broken %d\n", r.Worth, r.Worst, r.Rejected, r.Waste.Seconds(), r.Messages, len(r.Broken))
+	fmt.Fprintf(&b, "worth %.3f worst %.3f rejected %d waste %.1fs messages %d broken %d\n", r.Worth, r.WorstWindows, r.Rejected, r.Waste.Seconds(), r.Messages, len(r.Violations))
 	for _, t := range r.Classes {
 		fmt.Fprintf(&b, "  %-14s asked %5d in aim %5d late %4d refused %4d failed %3d unserved %3d worth %.3f\n", t.Name, t.Asked, t.OnTime, t.Late, t.Refused, t.Failed, t.Unserved, t.Share())
 	}
@@ -53,9 +53,9 @@
 )
 
 func (w *World) violation(format string, args ...any) {
-	if len(w.result.Broken) < maxBroken {
+	if len(w.result.Violations) < maxBroken {
 		at := fmt.Sprintf("%.3f s: ", w.now.Sub(w.start).Seconds())
-		w.result.Broken = append(w.result.Broken, at+fmt.Sprintf(format, args...))
+		w.result.Violations = append(w.result.Violations, at+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -108,7 +108,7 @@
 		totalOwed += r.Classes[i].Owed
 	}
 	r.Worth = totalEarned / max(totalOwed, 1e-9)
-	r.Worst = worstWindows(earned, owed)
+	r.WorstWindows = worstWindows(earned, owed)
 	r.Parts = w.computeParts(w.earned)
 }
 
--- a/model/site.go
+++ b/model/site.go
@@ -16,9 +16,9 @@
 			{Name: "detroit", VMs: 3, Workers: 16, Callers: 51.6},
 			{Name: "cleveland", VMs: 2, Workers: 16, Callers: 42.1},
 		},
-		Near:   200 * time.Microsecond,
-		Far:    1400 * time.Microsecond,
-		Caller: time.Millisecond,
+		LocalDelay:  200 * time.Microsecond,
+		RemoteDelay: 1400 * time.Microsecond,
+		CallerDelay: time.Millisecond,
 		Kinds: []Kind{
 			{Name: "a", Speed: 0.6, Resources: lease.Resources{CPU: 64000, Memory: 262144}},
 			{Name: "a", Speed: 1.0, Resources: lease.Resources{CPU: 64000, Memory: 262144}},
@@ -39,7 +39,7 @@
 		{Name: "medina", VMs: 2, Workers: 16, Callers: 49.7},
 		{Name: "yoff", VMs: 2, Workers: 16, Callers: 45.5},
 	}
-	c.Far = 500 * time.Microsecond
+	c.RemoteDelay = 500 * time.Microsecond
 	c.Kinds = []Kind{
 		{Name: "a", Speed: 0.7, Resources: lease.Resources{CPU: 32000, Memory: 65536}},
 		{Name: "a", Speed: 0.7, Resources: lease.Resources{CPU: 32000, Memory: 65536}},
@@ -73,13 +73,13 @@
 // tasks, a heavy request of few long ones, and a small frequent one. Load 1 is the sum of the
 // rates in the users' sheets.
 func classes(check, heavy, confirm string, cpu, maxCPU int) []Class {
-	base := Class{CPU: cpu, CPUMost: maxCPU, Memory: 64, Spread: 0.4, Uneven: 0.15, Objective: 60 * time.Millisecond, Stretch: 1.6, Fails: 0.002}
+	base := Class{CPU: cpu, MaxCPU: maxCPU, Memory: 64, Spread: 0.4, Uneven: 0.15, Objective: 60 * time.Millisecond, Stretch: 1.6, FailureShare: 0.002}
 	a, b, c := base, base, base
-	a.Name, a.PerSecond, a.Work, a.WorkMost, a.Width, a.WidthMost = check, 34.4, 60*time.Millisecond, 240*time.Millisecond, 8, 32
+	a.Name, a.PerSecond, a.Work, a.MaxWork, a.Width, a.MaxWidth = check, 34.4, 60*time.Millisecond, 240*time.Millisecond, 8, 32
 	a.Attempts, a.Rank, a.Worth, a.Late = 2, 0, 0.0291, 0.00582
-	b.Name, b.PerSecond, b.Work, b.WorkMost, b.Width, b.WidthMost = heavy, 6.25, 900*time.Millisecond, 3600*time.Millisecond, 4, 16
+	b.Name, b.PerSecond, b.Work, b.MaxWork, b.Width, b.MaxWidth = heavy, 6.25, 900*time.Millisecond, 3600*time.Millisecond, 4, 16
 	b.Attempts, b.Rank, b.Worth, b.Late = 2, 2, 0.16, 0.032
-	c.Name, c.PerSecond, c.Work, c.WorkMost, c.Width, c.WidthMost = confirm, 100, 200*time.Millisecond, 800*time.Millisecond, 2, 8
+	c.Name, c.PerSecond, c.Work, c.MaxWork, c.Width, c.MaxWidth = confirm, 100, 200*time.Millisecond, 800*time.Millisecond, 2, 8
 	c.Attempts, c.Rank, c.Worth, c.Late = 3, 1, 0.01, 0.002
 	return []Class{a, b, c}
 }
--- a/model/text_test.go
+++ b/model/text_test.go
@@ -15,7 +15,7 @@
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = seed, 0.9, 6*time.Second, 2*time.Second
 	cfg.DelayedCallShare = 0.3
 	for i := range 120 {
-		cfg.Faults = append(cfg.Faults, Fault{At: time.Duration(i) * 50 * time.Millisecond, Do: Reset(i)})
+		cfg.Faults = append(cfg.Faults, Fault{At: time.Duration(i) * 50 * time.Millisecond, Do: ResetSessions(i)})
 	}
 	return cfg
 }
@@ -55,10 +55,10 @@
 		{"a task too many", lease.Run{Task: lease.Task(j.id + ".0.0.99"), Number: 1}, w.specOf(j), 1},
 		{"another job", lease.Run{Task: "ffffffffffffffff.0.0.0", Number: 1}, w.specOf(j), 1},
 	} {
-		w.result.Broken = nil
+		w.result.Violations = nil
 		w.checkStart(w.workers[0], lease.StartCall{Order: lease.Order{Claim: lease.Claim{Run: tt.run}, Text: lease.Text{Spec: tt.text}}})
-		if len(w.result.Broken) != tt.want {
-			t.Errorf("%s: %v, want %d", tt.name, w.result.Broken, tt.want)
+		if len(w.result.Violations) != tt.want {
+			t.Errorf("%s: %v, want %d", tt.name, w.result.Violations, tt.want)
 		}
 	}
 }
--- a/model/thin_test.go
+++ b/model/thin_test.go
@@ -14,11 +14,11 @@
 		{Name: "detroit", VMs: 5, Workers: 45, Callers: 51.6},
 		{Name: "cleveland", VMs: 5, Workers: 45, Callers: 42.1},
 	}
-	cfg.Link = 250_000
+	cfg.LinkBandwidth = 250_000
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = seed, load, 10*time.Second, 4*time.Second
 	for i := range cfg.Classes {
 		cfg.Classes[i].PerSecond *= 6 / 2.6
-		cfg.Classes[i].Text = []int{2300, 2300, 900}[i]
+		cfg.Classes[i].SpecSize = []int{2300, 2300, 900}[i]
 	}
 	return cfg
 }
--- a/model/trouble_test.go
+++ b/model/trouble_test.go
@@ -27,7 +27,7 @@
 		for seed := range uint64(seeds) {
 			r := play(t, busyDay(site.cfg, seed+1))
 			sum += r.Worth / seeds
-			worst += r.Worst / seeds
+			worst += r.WorstWindows / seeds
 			if seed == 0 {
 				t.Log(r)
 			}
--- a/model/twice_test.go
+++ b/model/twice_test.go
@@ -10,7 +10,7 @@
 func longJobDay(seed uint64) Config {
 	cfg := Lakeshore()
 	cl := cfg.Classes[1]
-	cl.Name, cl.PerSecond, cl.Work, cl.WorkMost, cl.Spread, cl.Fails = "long", 12, 3*time.Second, 9*time.Second, 0, 0
+	cl.Name, cl.PerSecond, cl.Work, cl.MaxWork, cl.Spread, cl.FailureShare = "long", 12, 3*time.Second, 9*time.Second, 0, 0
 	cfg.Classes = []Class{cl}
 	cfg.Seed, cfg.Load, cfg.Length, cfg.Tail = seed, 1, 6*time.Second, 6*time.Second
 	return cfg
@@ -49,26 +49,26 @@
 // resumes, it must not start or stop anything based on its old state.
 func TestHolderThaws(t *testing.T) {
 	t.Parallel()
-	playLongJobDays(t, Fault{2 * time.Second, Freeze(0, 3*time.Second)}, Fault{2200 * time.Millisecond, Freeze(3, 800*time.Millisecond)}, Fault{3 * time.Second, Freeze(5, 600*time.Millisecond)})
+	playLongJobDays(t, Fault{2 * time.Second, Suspend(0, 3*time.Second)}, Fault{2200 * time.Millisecond, Suspend(3, 800*time.Millisecond)}, Fault{3 * time.Second, Suspend(5, 600*time.Millisecond)})
 }
 
 // Orders to workers get no answer and are executed seconds later. A start that was given up must
 // not begin then, while its task runs elsewhere.
 func TestOrdersCarriedOutLate(t *testing.T) {
 	t.Parallel()
-	playLongJobDays(t, Fault{0, Lose(0.2, 6*time.Second)}, Fault{3 * time.Second, Kill(2, time.Second)})
+	playLongJobDays(t, Fault{0, DelayCalls(0.2, 6*time.Second)}, Fault{3 * time.Second, Kill(2, time.Second)})
 }
 
 // Workers are unreachable and run on. Their tasks may be started elsewhere only after their leases
 // have expired.
 func TestWorkersRunOnOutOfReach(t *testing.T) {
-	playLongJobDays(t, Fault{2 * time.Second, CutWorkers(0, 16, 4*time.Second)}, Fault{2500 * time.Millisecond, PowerOff(0, 2*time.Second)})
+	playLongJobDays(t, Fault{2 * time.Second, IsolateWorkers(0, 16, 4*time.Second)}, Fault{2500 * time.Millisecond, PowerOff(0, 2*time.Second)})
 }
 
 // A process is cut off from all others and still serves its callers. The others take over its
 // workers.
 func TestProcessCutOff(t *testing.T) {
-	playLongJobDays(t, Fault{2 * time.Second, Cut(0, 3*time.Second)}, Fault{2 * time.Second, Cut(3, 2*time.Second)})
+	playLongJobDays(t, Fault{2 * time.Second, IsolateVM(0, 3*time.Second)}, Fault{2 * time.Second, IsolateVM(3, 2*time.Second)})
 }
 
 // The process that took a job is killed, and half a second later the holders of its workers lose
--- a/model/vm.go
+++ b/model/vm.go
@@ -70,8 +70,8 @@
 	for _, dc := range w.cfg.DataCenters {
 		for i := range dc.VMs {
 			n := &vm{world: w, index: len(w.vms), name: fmt.Sprintf("%s-%d", dc.Name, i+1), dc: dc.Name, cores: defaultCores}
-			if len(dc.Shares) > 0 {
-				n.cores = dc.Shares[i%len(dc.Shares)]
+			if len(dc.Cores) > 0 {
+				n.cores = dc.Cores[i%len(dc.Cores)]
 			}
 			w.vms = append(w.vms, n)
 		}
--- a/model/wire.go
+++ b/model/wire.go
@@ -23,13 +23,13 @@
 
 // transmit queues bytes on the wire and returns the time until the last one has passed it.
 func (w *World) transmit(l *wire, bytes int) time.Duration {
-	if w.cfg.Link == 0 {
+	if w.cfg.LinkBandwidth == 0 {
 		return 0
 	}
 	if l.busyUntil.Before(w.now) {
 		l.busyUntil = w.now
 	}
-	l.busyUntil = l.busyUntil.Add(time.Duration(bytes) * time.Second / time.Duration(w.cfg.Link))
+	l.busyUntil = l.busyUntil.Add(time.Duration(bytes) * time.Second / time.Duration(w.cfg.LinkBandwidth))
 	return l.busyUntil.Sub(w.now)
 }
 
@@ -47,7 +47,7 @@
 
 // messageSize returns the bytes that a message takes on a link, or 0 if links are unbounded.
 func (w *World) messageSize(m node.Message) int {
-	if w.cfg.Link == 0 {
+	if w.cfg.LinkBandwidth == 0 {
 		return 0
 	}
 	b, err := cbor.Marshal(m)
--- a/refusal/refusal_test.go
+++ b/refusal/refusal_test.go
@@ -34,7 +34,7 @@
 		last = e.Number
 		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s | %s. %s |\n", e.Number, e.Code, e.Status, e.Ran, e.Again, e.Title, e.Text)
 	}
-	page.Hold(t, "../docs/REFUSALS.md", b.String())
+	page.CheckEqual(t, "../docs/REFUSALS.md", b.String())
 }
 
 // A refusal that says "not run" must not ask for a retry with the same identity, which never
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -139,7 +139,7 @@
 // TestPage checks that docs/SETTINGS.md matches the table. With UPDATE_DOCS=1 it
 // writes the page.
 func TestPage(t *testing.T) {
-	page.Hold(t, "../docs/SETTINGS.md", string(Page()))
+	page.CheckEqual(t, "../docs/SETTINGS.md", string(Page()))
 }
 
 // TestExamples checks that the example settings files are valid.
--- a/stand/command.go
+++ b/stand/command.go
@@ -72,7 +72,7 @@
 }
 
 func newWorkers(c *cli.Command) ([]*Worker, error) {
-	spread := Spread{Min: c.Duration("min"), Max: c.Duration("max"), Long: c.Duration("long"), LongShare: c.Float("long-share")}
+	spread := ServiceTimes{Min: c.Duration("min"), Max: c.Duration("max"), Long: c.Duration("long"), LongShare: c.Float("long-share")}
 	var out []*Worker
 	for _, text := range c.StringSlice("listen") {
 		first, speed, err := parseListen(text, c.Float("speed"))
--- a/stand/worker.go
+++ b/stand/worker.go
@@ -33,15 +33,15 @@
 	Vanish bool `json:"vanish"`
 }
 
-// Spread is a distribution of service times: uniform between Min and Max, and Long for
+// ServiceTimes is a distribution of service times: uniform between Min and Max, and Long for
 // the share LongShare of the tasks.
-type Spread struct {
+type ServiceTimes struct {
 	Min, Max, Long time.Duration
 	LongShare      float64
 }
 
 // Draw returns a random service time.
-func (s Spread) Draw(rnd *rand.Rand) time.Duration {
+func (s ServiceTimes) Draw(rnd *rand.Rand) time.Duration {
 	if rnd.Float64() < s.LongShare {
 		return s.Long
 	}
@@ -53,14 +53,14 @@
 }
 
 // Mean returns the mean of the distribution.
-func (s Spread) Mean() time.Duration {
+func (s ServiceTimes) Mean() time.Duration {
 	short := float64(s.Min+max(s.Max, s.Min)) / 2
 	return time.Duration(short*(1-s.LongShare) + float64(s.Long)*s.LongShare)
 }
 
 // Payload is the part of a task's body that the simulated server reads: the service time
 // at speed 1, so that the sender of the task knows it. Without it the server draws the
-// time from its Spread.
+// time from its ServiceTimes.
 type Payload struct {
 	ServiceMS float64 `json:"service_ms"`
 }
@@ -70,7 +70,7 @@
 	addr   netip.AddrPort
 	cores  int
 	speed  float64
-	spread Spread
+	spread ServiceTimes
 	mux    *http.ServeMux
 
 	mu       sync.Mutex
@@ -84,7 +84,7 @@
 
 // NewWorker returns a backend server with the given cores; a speed of 2 halves the
 // service times.
-func NewWorker(addr netip.AddrPort, cores int, speed float64, spread Spread, seed uint64) *Worker {
+func NewWorker(addr netip.AddrPort, cores int, speed float64, spread ServiceTimes, seed uint64) *Worker {
 	k := &Worker{
 		addr:     addr,
 		cores:    cores,
--- a/stand/worker_test.go
+++ b/stand/worker_test.go
@@ -15,7 +15,7 @@
 	"snipehub.example/delivery"
 )
 
-var spread = Spread{Min: time.Millisecond, Max: 2 * time.Millisecond}
+var spread = ServiceTimes{Min: time.Millisecond, Max: 2 * time.Millisecond}
 
 // startFarm serves two workers of two cores at free ports, and tries each until it has
 // answered, at most 1000 times.
