--- a/entry/delay.go
+++ b/entry/delay.go
@@ -27,11 +27,11 @@
 	// plannerTimeRange and runOverheadRange set how the medians are tracked. A process of
 	// a small cell makes some twenty requests a second and follows a change in two
 	// seconds.
-	plannerTimeRange = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 300 * time.Millisecond}
-	runOverheadRange = quantile.Range{Share: 0.5, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
+	plannerTimeRange = quantile.Config{Share: 0.5, Step: 0.2, Min: time.Millisecond, Max: 300 * time.Millisecond}
+	runOverheadRange = quantile.Config{Share: 0.5, Step: 0.2, Min: time.Millisecond, Max: 500 * time.Millisecond}
 	// slowRunOverheadRange sets how the 90th percentile of the run overhead is tracked,
 	// which the last task of a wide job meets.
-	slowRunOverheadRange = quantile.Range{Share: 0.9, Step: 0.2, Least: time.Millisecond, Most: 500 * time.Millisecond}
+	slowRunOverheadRange = quantile.Config{Share: 0.9, Step: 0.2, Min: time.Millisecond, Max: 500 * time.Millisecond}
 )
 
 // wideJobTasks is the number of tasks from which the last one is assumed to take as long
@@ -42,21 +42,22 @@
 // come in when all jobs are refused because of the delay.
 const delayFadeAfter = 500 * time.Millisecond
 
-// asked adds a sample of the time from a request to its answer, less the planner's wait.
-func (d *delay) asked(now time.Time, took time.Duration) {
+// addPlannerTime adds a sample of the time from a request to its answer, less the planner's
+// wait.
+func (d *delay) addPlannerTime(now time.Time, took time.Duration) {
 	d.plannerTime.Add(plannerTimeRange, took)
 	d.sampledAt = now
 }
 
-// plannerSilent adds the time for which the planner has not answered a request.
-func (d *delay) plannerSilent(now time.Time, waited time.Duration) {
+// addPlannerSilence adds the time for which the planner has not answered a request.
+func (d *delay) addPlannerSilence(now time.Time, waited time.Duration) {
 	d.plannerTime.Add(plannerTimeRange, waited)
 	d.sampledAt = now
 }
 
-// ran adds a sample of the time from a grant to the end of the run, less its time on the
-// worker.
-func (d *delay) ran(now time.Time, took time.Duration) {
+// addRunOverhead adds a sample of the time from a grant to the end of the run, less its
+// time on the worker.
+func (d *delay) addRunOverhead(now time.Time, took time.Duration) {
 	d.runOverhead.Add(runOverheadRange, took)
 	d.slowRunOverhead.Add(slowRunOverheadRange, took)
 	d.sampledAt = now
--- a/model/outage.go
+++ b/model/outage.go
@@ -6,12 +6,12 @@
 	"snipehub.example/mesh"
 )
 
-// Restart stops a process in an orderly way: it takes no more callers and passes its
-// workers on, ends when nobody waits for it any more or after grace, and starts again
-// after down.
+// Restart returns a fault that shuts a process down gracefully and starts it again after down.
+// The process takes no more callers and transfers its workers. It ends once it is idle, or
+// after grace.
 func Restart(vm int, grace, down time.Duration) func(*World) {
 	return func(w *World) {
-		n := w.nodes[vm%len(w.nodes)]
+		n := w.vms[vm%len(w.vms)]
 		if !n.up || n.leaving {
 			return
 		}
@@ -21,36 +21,37 @@
 	}
 }
 
-// idlePoll is how often a process that stops looks whether somebody still waits for it.
-const idlePoll = 25 * time.Millisecond
+// idlePollInterval is the interval between checks whether a stopping process is idle.
+const idlePollInterval = 25 * time.Millisecond
 
-func (n *vm) endWhenIdle(boots uint64, last time.Time, down time.Duration) {
+func (n *vm) endWhenIdle(boots uint64, deadline time.Time, down time.Duration) {
 	w := n.world
-	w.after(idlePoll, func() {
+	w.after(idlePollInterval, func() {
 		switch {
 		case n.boots != boots || !n.up:
-		case n.core.Idle() || !w.now.Before(last):
+		case n.core.Idle() || !w.now.Before(deadline):
 			w.kill(n, down, reset)
 		default:
-			n.endWhenIdle(boots, last, down)
+			n.endWhenIdle(boots, deadline, down)
 		}
 	})
 }
 
-// Blind keeps a process from the store.
-func Blind(vm int, d time.Duration) func(*World) {
+// BlockStore makes the store unreachable for one process.
+func BlockStore(vm int, d time.Duration) func(*World) {
 	return func(w *World) {
-		n := w.nodes[vm%len(w.nodes)]
-		n.blind = true
-		w.after(d, func() { n.blind = false })
+		n := w.vms[vm%len(w.vms)]
+		n.storeBlocked = true
+		w.after(d, func() { n.storeBlocked = false })
 	}
 }
 
-// OnPlanner does something to the VM that plans, or to the first that is up if none does.
+// OnPlanner applies a fault to the VM of the planner, or to the first VM that is up if no
+// process is the planner.
 func OnPlanner(do func(vm int) func(*World)) func(*World) {
 	return func(w *World) {
 		chosen := -1
-		for _, n := range w.nodes {
+		for _, n := range w.vms {
 			if n.up && (chosen < 0 || n.core.IsPlanner()) {
 				chosen = n.index
 			}
@@ -61,49 +62,51 @@
 	}
 }
 
-// CutDataCenter separates the processes and workers of a data centre from all others and
-// from the store; its callers still reach its processes. If it is loud, connections are
-// reset and processes notice at once, else they hear silence.
-func CutDataCenter(name string, loud bool, d time.Duration) func(*World) {
+// IsolateDataCenter isolates the processes and workers of a data centre from all others and from
+// the store; its callers still reach its processes. If resetConns is set, connections are reset
+// and processes notice at once; otherwise they see silence.
+func IsolateDataCenter(name string, resetConns bool, d time.Duration) func(*World) {
 	how := silent
-	if loud {
+	if resetConns {
 		how = reset
 	}
 	return func(w *World) {
-		w.apart[name] = true
-		for _, a := range w.nodes {
-			for _, b := range w.nodes {
-				if a.index < b.index && w.severed(a.dc, b.dc) {
-					w.part(a, b, how)
+		w.isolatedDCs[name] = true
+		for _, a := range w.vms {
+			for _, b := range w.vms {
+				if a.index < b.index && w.partitioned(a.dc, b.dc) {
+					w.disconnect(a, b, how)
 				}
 			}
 		}
-		w.after(d, func() { delete(w.apart, name) })
+		w.after(d, func() { delete(w.isolatedDCs, name) })
 	}
 }
 
-// Drag has the tasks on a worker take times as long, those under way too.
-func Drag(index int, times float64, d time.Duration) func(*World) {
-	return each(index, 1, d, func(x *worker) { x.setPace(1 / times) }, func(x *worker) { x.setPace(1) })
+// SlowTasks multiplies the duration of the tasks on a worker by factor, including those already
+// running.
+func SlowTasks(index int, factor float64, d time.Duration) func(*World) {
+	return onWorkers(index, 1, d, func(x *worker) { x.setPace(1 / factor) }, func(x *worker) { x.setPace(1) })
 }
 
-// Halt has the tasks on a worker stand still and get on afterwards.
-func Halt(index int, d time.Duration) func(*World) {
-	return each(index, 1, d, func(x *worker) { x.setPace(0) }, func(x *worker) { x.setPace(1) })
+// PauseTasks pauses the tasks on a worker; they continue afterwards.
+func PauseTasks(index int, d time.Duration) func(*World) {
+	return onWorkers(index, 1, d, func(x *worker) { x.setPace(0) }, func(x *worker) { x.setPace(1) })
 }
 
-// Spoil has a worker fail every task, those under way too.
-func Spoil(index int, d time.Duration) func(*World) {
-	return each(index, 1, d, func(x *worker) { x.spoil() }, func(x *worker) { x.health = well })
+// FailTasks makes a worker fail every task, including those already running.
+func FailTasks(index int, d time.Duration) func(*World) {
+	return onWorkers(index, 1, d, func(x *worker) { x.failAll() }, func(x *worker) { x.health = healthy })
 }
 
-// Retire has a worker drain and, after a while, leave for good with what runs on it.
+// Retire makes a worker drain and, after a delay, leave permanently; what still runs on it is
+// lost.
 func Retire(worker int, after time.Duration) func(*World) {
 	return func(w *World) {
 		x := w.workers[worker%len(w.workers)]
 		x.draining = true
 		w.after(after, func() {
-			x.gone = true
+			x.removed = true
 			if x.up {
 				x.crash()
 			}
@@ -111,7 +114,7 @@
 	}
 }
 
-// Join adds an empty worker of a kind.
-func Join(dc string, kind int) func(*World) {
+// AddWorker adds an empty worker of a kind to a data centre.
+func AddWorker(dc string, kind int) func(*World) {
 	return func(w *World) { w.addWorker(dc, w.cfg.Kinds[kind%len(w.cfg.Kinds)]) }
 }
