--- a/job/await.go
+++ b/job/await.go
@@ -6,13 +6,13 @@
 	"snipehub.example/ticket"
 )
 
-// Await tells where a job stands at its end, or when ctx ends.
+// Await waits until the job ends or ctx does, and returns the job's answer so far.
 func (o *Owner) Await(ctx context.Context, c Caller, id ticket.JobID) (Answer, error) {
 	e, err := o.entry(c, id)
 	if err != nil {
 		return Answer{}, err
 	}
-	await(ctx, e)
+	awaitEnd(ctx, e)
 	return o.answer(e)
 }
 
@@ -20,7 +20,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if id.Owner != o.self {
-		return nil, o.foreign(id.Owner)
+		return nil, o.foreignRefusal(id.Owner)
 	}
-	return o.book.lookup(o.now(), c.Name, id)
+	return o.ticketTable.lookup(o.now(), c.Name, id)
 }
--- a/job/closed.go
+++ b/job/closed.go
@@ -9,9 +9,9 @@
 	"snipehub.example/ticket"
 )
 
-// Closed is a part of what an owner remembers after it has stopped for good:
-// nothing in it is ever started again, by anybody. Two holders of it, or a
-// hand-over whose answer was lost, therefore do no harm.
+// Closed is a part of the state of an owner that has stopped for good. No process ever
+// starts anything in it again, so it does no harm if two processes hold it, or if a
+// handover is repeated because its response was lost.
 type Closed struct {
 	Owner ticket.Owner `json:"owner"`
 	// At is the time of the stop.
@@ -27,7 +27,7 @@
 	Outcomes []ClosedOutcome `json:"outcomes,omitempty"`
 }
 
-// ClosedOutcome is what has become of one sequence.
+// ClosedOutcome is the outcome of one sequence.
 type ClosedOutcome struct {
 	Seq     uint64  `json:"seq"`
 	Sum     uint64  `json:"sum"`
@@ -35,15 +35,16 @@
 }
 
 const (
-	// partBytes is about how much goes into one part of a closed state.
-	partBytes = 1 << 20
-	// ticketOverhead is what a closed ticket costs besides its outcomes.
-	ticketOverhead = 512
+	// targetPartBytes is the approximate size of one part of a closed state.
+	targetPartBytes = 1 << 20
+	// ticketOverheadBytes is the estimated memory of a closed ticket without its
+	// window and outcomes.
+	ticketOverheadBytes = 512
 )
 
 // size estimates the memory of a closed ticket in bytes.
 func (t ClosedTicket) size() int64 {
-	n := int64(ticketOverhead)
+	n := int64(ticketOverheadBytes)
 	if t.Window != nil {
 		n += int64(t.Window.Width())
 	}
@@ -53,71 +54,73 @@
 	return n
 }
 
-// Closed returns what this owner remembers, in parts, the tickets that were
-// used last first, up to limit bytes. It is called after Stop, when the owner
-// starts nothing any more. A sequence that still runs then, because the stop's
-// deadline has passed, stays marked as running: its outcome is open.
-func (o *Owner) Closed(limit int64) []Closed {
+// Closed returns the state of this owner in parts of up to maxBytes in total, most recently
+// used tickets first. It is called after Stop, when the owner starts nothing any more. A
+// sequence that still runs then, because the deadline of the stop has passed, stays marked
+// as running: its outcome is unknown.
+func (o *Owner) Closed(maxBytes int64) []Closed {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
 	var parts []Closed
-	var part int64
-	for el := o.book.idle.Back(); el != nil; el = el.Prev() {
-		t := el.Value.(*held).close(limit)
+	var partSize int64
+	for el := o.ticketTable.byLastUse.Back(); el != nil; el = el.Prev() {
+		t := el.Value.(*mintedTicket).close(maxBytes)
 		n := t.size()
-		if n > limit {
+		if n > maxBytes {
 			break
 		}
-		limit -= n
-		if len(parts) == 0 || part+n > partBytes {
+		maxBytes -= n
+		if len(parts) == 0 || partSize+n > targetPartBytes {
 			parts = append(parts, Closed{Owner: o.self, At: now})
-			part = 0
+			partSize = 0
 		}
-		part += n
+		partSize += n
 		last := &parts[len(parts)-1]
 		last.Tickets = append(last.Tickets, t)
 	}
 	return parts
 }
 
-// close returns the ticket's closed state, with outcomes of up to limit bytes.
-func (h *held) close(limit int64) ClosedTicket {
-	t := ClosedTicket{Stream: h.stream, Caller: h.caller, Window: h.window.Clone()}
-	n := t.size()
-	for seq, e := range h.jobs {
-		if e.bytes == 0 || n+e.bytes > limit {
+// close returns the closed state of the ticket, with as many outcomes as fit into
+// maxBytes.
+func (t *mintedTicket) close(maxBytes int64) ClosedTicket {
+	closed := ClosedTicket{Stream: t.stream, Caller: t.caller, Window: t.window.Clone()}
+	n := closed.size()
+	for seq, e := range t.jobs {
+		if e.sizeBytes == 0 || n+e.sizeBytes > maxBytes {
 			continue
 		}
-		n += e.bytes
-		t.Outcomes = append(t.Outcomes, ClosedOutcome{Seq: seq, Sum: e.sum, Outcome: e.outcome})
+		n += e.sizeBytes
+		closed.Outcomes = append(closed.Outcomes, ClosedOutcome{Seq: seq, Sum: e.sum, Outcome: e.outcome})
 	}
-	return t
+	return closed
 }
 
-// Holder keeps closed states of other owners and answers from them. It never
-// starts anything. Its methods may be called from any goroutine.
+// Holder stores closed states of other owners and answers from them. It never starts
+// anything. It is safe for concurrent use.
 type Holder struct {
-	limit int64
-	keep  time.Duration
-	now   func() time.Time
+	maxBytes  int64
+	retention time.Duration
+	now       func() time.Time
 
 	mu     sync.Mutex
 	states map[ticket.Owner]*closedState
-	// order has the states, oldest first.
-	order *list.List
+	// byAge lists the states, oldest first.
+	byAge *list.List
 	bytes int64
-	// dropped counts the states that had to go before their time.
-	dropped int64
+	// evicted counts the states that were dropped before their retention period was
+	// over.
+	evicted int64
 }
 
-// closedState is all parts that came of one owner.
+// closedState is the union of all parts that were received of one owner.
 type closedState struct {
-	owner   ticket.Owner
-	at      time.Time
-	until   time.Time
-	tickets map[uint64]*closedTicket
-	bytes   int64
+	owner     ticket.Owner
+	stoppedAt time.Time
+	expiresAt time.Time
+	tickets   map[uint64]*closedTicket
+	bytes     int64
 }
 
 type closedTicket struct {
@@ -125,37 +128,38 @@
 	outcomes map[uint64]ClosedOutcome
 }
 
-// NewHolder makes a holder that keeps up to limit bytes, each state for keep.
-func NewHolder(limit int64, keep time.Duration, now func() time.Time) *Holder {
-	return &Holder{limit: limit, keep: keep, now: now, states: make(map[ticket.Owner]*closedState), order: list.New()}
+// NewHolder returns a holder that stores up to maxBytes, each state for the retention
+// period.
+func NewHolder(maxBytes int64, retention time.Duration, now func() time.Time) *Holder {
+	return &Holder{maxBytes: maxBytes, retention: retention, now: now, states: make(map[ticket.Owner]*closedState), byAge: list.New()}
 }
 
-// Take keeps a part of a closed state; a part that is there already changes
-// nothing. Beyond the limit the oldest states go: their identities are then
-// answered as "outcome unknown".
+// Take adds a part of a closed state. Tickets that are stored already are ignored. Beyond
+// the maximum size the oldest states are evicted: their identities are then answered with
+// "outcome unknown".
 func (h *Holder) Take(c Closed) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sweep()
+	h.evict()
 	s := h.states[c.Owner]
 	if s == nil {
-		s = &closedState{owner: c.Owner, at: c.At, until: h.now().Add(h.keep), tickets: make(map[uint64]*closedTicket)}
+		s = &closedState{owner: c.Owner, stoppedAt: c.At, expiresAt: h.now().Add(h.retention), tickets: make(map[uint64]*closedTicket)}
 		h.states[c.Owner] = s
-		h.order.PushBack(s)
+		h.byAge.PushBack(s)
 	}
 	for _, t := range c.Tickets {
 		if s.tickets[t.Stream] != nil || t.Window == nil {
 			continue
 		}
 		n := t.size()
-		s.tickets[t.Stream] = index(t)
+		s.tickets[t.Stream] = indexOutcomes(t)
 		s.bytes += n
 		h.bytes += n
 	}
-	h.sweep()
+	h.evict()
 }
 
-func index(t ClosedTicket) *closedTicket {
+func indexOutcomes(t ClosedTicket) *closedTicket {
 	out := &closedTicket{ClosedTicket: t, outcomes: make(map[uint64]ClosedOutcome, len(t.Outcomes))}
 	for _, o := range t.Outcomes {
 		out.outcomes[o.Seq] = o
@@ -163,37 +167,37 @@
 	return out
 }
 
-func (h *Holder) sweep() {
-	for h.order.Len() > 0 {
-		s := h.order.Front().Value.(*closedState)
-		if h.bytes <= h.limit && h.now().Before(s.until) {
+func (h *Holder) evict() {
+	for h.byAge.Len() > 0 {
+		s := h.byAge.Front().Value.(*closedState)
+		if h.bytes <= h.maxBytes && h.now().Before(s.expiresAt) {
 			return
 		}
-		if h.now().Before(s.until) {
-			h.dropped++
+		if h.now().Before(s.expiresAt) {
+			h.evicted++
 		}
-		h.order.Remove(h.order.Front())
+		h.byAge.Remove(h.byAge.Front())
 		h.bytes -= s.bytes
 		delete(h.states, s.owner)
 	}
 }
 
-// Stats returns the memory that the closed states take, in bytes, and how many
-// states had to go before their time.
+// Stats returns the memory of the closed states in bytes, and how many states were dropped
+// before their retention period was over.
 func (h *Holder) Stats() (held, dropped int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sweep()
-	return h.bytes, h.dropped
+	h.evict()
+	return h.bytes, h.evicted
 }
 
-// Answer tells what became of an identity whose owner has stopped; false when
-// its ticket is not held here. sum is the digest of a submission, 0 for a
-// question that brings no body.
+// Answer returns the outcome of an identity whose owner has stopped, and false if its
+// ticket is not stored here. sum is the digest of a submission, or 0 for a call without a
+// body.
 func (h *Holder) Answer(caller string, id ticket.JobID, sum uint64) (Outcome, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sweep()
+	h.evict()
 	s := h.states[id.Owner]
 	if s == nil {
 		return Outcome{}, false
@@ -209,20 +213,20 @@
 }
 
 func (t *closedTicket) answer(seq, sum uint64) Outcome {
-	o, kept := t.outcomes[seq]
+	o, hasOutcome := t.outcomes[seq]
 	v := t.Window.Peek(seq)
 	code := refusal.Forgotten
 	switch {
-	case v == ticket.Outside:
+	case v == ticket.BeyondRange:
 		code = refusal.OutOfRange
-	case v == ticket.Start || v == ticket.Ahead:
-		// The owner starts nothing any more, and had not started this.
+	case v == ticket.Start || v == ticket.TooFarAhead:
+		// The owner has not started this sequence and starts nothing any more.
 		code = refusal.Stopping
 	case v == ticket.Running:
 		code = refusal.OwnerGone
-	case kept && v == ticket.Kept && sum != 0 && o.Sum != sum:
+	case hasOutcome && v == ticket.Ended && sum != 0 && o.Sum != sum:
 		code = refusal.Mismatch
-	case kept && v != ticket.Forgotten:
+	case hasOutcome && v != ticket.Forgotten:
 		return o.Outcome
 	case v == ticket.Burned:
 		code = refusal.Burned
@@ -230,17 +234,16 @@
 	return Outcome{Refused: refusal.New(code, "")}
 }
 
-// Closed returns all that is held, in parts, so that it can be handed on when
-// this process stops too.
+// Closed returns all stored states in parts, for the handover when this process stops too.
 func (h *Holder) Closed() []Closed {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sweep()
+	h.evict()
 	var parts []Closed
-	for el := h.order.Back(); el != nil; el = el.Prev() {
+	for el := h.byAge.Back(); el != nil; el = el.Prev() {
 		s := el.Value.(*closedState)
 		for _, t := range s.tickets {
-			parts = append(parts, Closed{Owner: s.owner, At: s.at, Tickets: []ClosedTicket{t.ClosedTicket}})
+			parts = append(parts, Closed{Owner: s.owner, At: s.stoppedAt, Tickets: []ClosedTicket{t.ClosedTicket}})
 		}
 	}
 	return parts
--- a/job/entry.go
+++ b/job/entry.go
@@ -12,40 +12,42 @@
 	"snipehub.example/refusal"
 )
 
-// entry is an identity that runs or whose outcome is kept.
+// entry is an identity that is running or whose outcome is stored.
 type entry struct {
-	held *held
-	seq  uint64
-	sum  uint64
+	mintedTicket *mintedTicket
+	seq          uint64
+	sum          uint64
 	// ended is closed when the outcome is set.
-	ended chan struct{}
-	left  int
-	// results has one place for each task; filled tells which are final.
-	results []TaskResult
-	filled  []bool
-	// cancelled is remembered because a cancellation can arrive before the
-	// tasks are in the queue from which they would be taken.
+	ended     chan struct{}
+	remaining int
+	// results has one element for each task; reported marks those that are set.
+	// remaining counts the others.
+	results  []TaskResult
+	reported []bool
+	// cancelled is set if the caller has cancelled the job. It is needed because a
+	// cancellation can arrive before the tasks are queued.
 	cancelled bool
 	outcome   Outcome
-	// at, bytes and place are those of an ended entry among the kept ones.
-	at    time.Time
-	bytes int64
-	place *list.Element
+	// endedAt, sizeBytes and element (in ticketTable.ended) are set when the entry
+	// has ended.
+	endedAt   time.Time
+	sizeBytes int64
+	element   *list.Element
 }
 
-// Outcome is what has become of an identity: an answer, a reply or a refusal.
+// Outcome is the outcome of an identity: an answer, a reply or a refusal.
 type Outcome struct {
 	Answer  *Answer          `json:"answer,omitempty"`
 	Reply   *Reply           `json:"reply,omitempty"`
 	Refused *refusal.Refusal `json:"refused,omitempty"`
 }
 
-// overhead is what an entry costs besides its answer, in bytes.
-const overhead = 512
+// entryOverheadBytes is the estimated memory of an entry without its answer.
+const entryOverheadBytes = 512
 
 // size estimates the memory of the outcome in bytes.
 func (o Outcome) size() int64 {
-	n := int64(overhead)
+	n := int64(entryOverheadBytes)
 	if o.Reply != nil {
 		n += int64(len(o.Reply.Body))
 	}
@@ -58,7 +60,7 @@
 	return n
 }
 
-// AsAnswer returns the outcome of a job.
+// AsAnswer returns the outcome as the answer to a job.
 func (o Outcome) AsAnswer() (Answer, error) {
 	switch {
 	case o.Refused != nil:
@@ -69,7 +71,7 @@
 	return Answer{}, refusal.New(refusal.Mismatch, "it is a request, not a job")
 }
 
-// AsReply returns the outcome of a request.
+// AsReply returns the outcome as the reply to a request.
 func (o Outcome) AsReply() (Reply, error) {
 	switch {
 	case o.Refused != nil:
@@ -82,7 +84,7 @@
 	return Reply{}, refusal.New(refusal.OwnerUnreachable, "it still runs")
 }
 
-// requestOutcome turns the result of a request's only task into its outcome.
+// requestOutcome returns the outcome of a request for the result of its only task.
 func requestOutcome(id string, r dispatch.Result) Outcome {
 	switch {
 	case r.Done:
@@ -93,23 +95,23 @@
 	return Outcome{Answer: &Answer{Job: id, State: Failed, Error: r.Error, Tasks: []TaskResult{{Ran: r.Ran, Error: r.Error}}}}
 }
 
-// fill takes the outcome of one task; true when it was the last one. An outcome
-// that comes a second time is passed over: counted twice, it would end the job
-// while another task still runs, and the caller would get a part for the whole.
-func (e *entry) fill(i int, r TaskResult) bool {
-	if e.left == 0 || e.filled[i] {
+// setResult sets the result of task i and reports whether it was the last one missing. A
+// second result of the same task is ignored: counted twice, it would end the job while
+// another task still runs, and the caller would get a partial answer.
+func (e *entry) setResult(i int, r TaskResult) bool {
+	if e.remaining == 0 || e.reported[i] {
 		return false
 	}
-	e.filled[i] = true
+	e.reported[i] = true
 	e.results[i] = r
-	e.left--
-	return e.left == 0
+	e.remaining--
+	return e.remaining == 0
 }
 
-// conclude builds the answer of a job whose tasks have all ended. The answers
-// of single tasks are left out of a failed job, so that nobody takes a part for
-// the whole.
-func conclude(id string, results []TaskResult, cancelled bool) *Answer {
+// jobAnswer returns the answer to a job whose tasks have all ended. It omits the answers
+// of single tasks if the job has failed, so that nobody takes a partial answer for a
+// complete one.
+func jobAnswer(id string, results []TaskResult, cancelled bool) *Answer {
 	a := &Answer{Job: id, State: Done, Tasks: results}
 	for _, r := range results {
 		if !r.Done {
@@ -136,8 +138,8 @@
 	return TaskResult{Ran: r.Ran, Done: r.Done, Answer: r.Answer, Error: r.Error}
 }
 
-// digest tells whether two submissions of one identity are the same.
-func digest(kind, contentType string, bodies [][]byte) uint64 {
+// submissionDigest returns a digest by which two submissions of one identity are compared.
+func submissionDigest(kind, contentType string, bodies [][]byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{kind, contentType} {
 		_, _ = d.WriteString(s)
@@ -150,9 +152,10 @@
 	return d.Sum64()
 }
 
-// compact returns the tasks' bodies without insignificant space, so that a
-// caller that formats its JSON anew still submits the same job.
-func compact(in []json.RawMessage) [][]byte {
+// compactJSON returns the bodies of the tasks without insignificant space, so that a caller
+// that formats its JSON differently still submits the same job. It returns malformed JSON
+// as it is.
+func compactJSON(in []json.RawMessage) [][]byte {
 	out := make([][]byte, len(in))
 	for i, t := range in {
 		var b bytes.Buffer
--- a/job/job.go
+++ b/job/job.go
@@ -1,8 +1,8 @@
-// Package job holds the life of a job at the dispatcher that owns it: from its
-// submission over its tasks' outcomes to the kept answer.
+// Package job manages a job at the dispatcher that owns it, from its submission through the
+// outcomes of its tasks to the stored answer.
 //
-// A job's answer is complete (every task done) or failed, never partial. It is
-// built whole in memory and only then shown to anybody.
+// The answer to a job is complete (every task done) or failed, never partial. It becomes
+// visible only when it is complete in memory.
 package job
 
 import (
@@ -16,12 +16,12 @@
 // Spec is what a caller submits.
 type Spec struct {
 	Kind string `json:"kind"`
-	// TimeoutMS bounds the whole job; 0 takes the default.
+	// TimeoutMS is the timeout of the whole job; 0 selects the default.
 	TimeoutMS int64             `json:"timeout_ms,omitempty"`
 	Tasks     []json.RawMessage `json:"tasks"`
 }
 
-// Timeout returns the bound of the job, or def when the caller gave none.
+// Timeout returns the timeout of the job, or def if the caller gave none.
 func (s Spec) Timeout(def time.Duration) time.Duration {
 	if s.TimeoutMS <= 0 {
 		return def
@@ -29,7 +29,7 @@
 	return time.Duration(s.TimeoutMS) * time.Millisecond
 }
 
-// State is where a job stands.
+// State is the state of a job.
 type State string
 
 // The states. Done and Failed are final.
@@ -43,14 +43,14 @@
 // TaskResult is the outcome of one task.
 type TaskResult struct {
 	Ran refusal.Ran `json:"ran"`
-	// Done tells that the whole answer is there.
+	// Done is set if the backend server's answer is complete.
 	Done   bool            `json:"done"`
 	Answer json.RawMessage `json:"answer,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// Answer is what a caller gets for a job. Tasks has an entry for each task of
-// the submission, in its order; answers stand in it only when the job is done.
+// Answer is the answer to a job. When the job has ended, Tasks has an element for each task
+// of the submission, in the same order; they hold answers only if the job is done.
 type Answer struct {
 	Job   string       `json:"job"`
 	State State        `json:"state"`
@@ -58,20 +58,20 @@
 	Error string       `json:"error,omitempty"`
 }
 
-// Caller is who submits.
+// Caller identifies the caller that submits a job or a request.
 type Caller struct {
 	Name string `json:"name"`
 	Team string `json:"team,omitempty"`
 }
 
-// Grant is a new ticket: a range of sequences that its caller may use.
+// Grant is a new ticket: a range of sequence numbers that its caller may use.
 type Grant struct {
 	Ticket string `json:"ticket"`
 	// First and Limit bound the range: First <= sequence < Limit.
 	First uint64 `json:"first"`
 	Limit uint64 `json:"limit"`
-	// Window is how far apart the oldest unfinished and the newest sequence
-	// may lie.
+	// Window is the number of sequences that the range from the oldest unfinished
+	// to the newest one may span.
 	Window int `json:"window"`
 }
 
@@ -79,18 +79,17 @@
 type Submission struct {
 	Caller Caller       `json:"caller"`
 	ID     ticket.JobID `json:"id"`
-	// Key is the caller's own key, when it brings one in place of an id.
+	// Key is the caller's own key, if it sends one in place of an id.
 	Key  string `json:"key,omitempty"`
 	Spec Spec   `json:"spec"`
-	// Wait tells to answer only when the job has ended, or after WaitFor if
+	// Wait delays the answer until the job has ended, or until WaitFor has passed if
 	// that is above 0.
 	Wait    bool          `json:"wait"`
 	WaitFor time.Duration `json:"wait_for,omitempty"`
 }
 
-// Request is one request that is passed through to a backend server. ID or Key
-// is set when the caller gave an identity; a kind that must not be repeated
-// needs one.
+// Request is one request that is passed through to a backend server. ID or Key is set if
+// the caller gave an identity, which is required for kinds that must not be repeated.
 type Request struct {
 	Caller Caller        `json:"caller"`
 	ID     *ticket.JobID `json:"id,omitempty"`
@@ -98,31 +97,31 @@
 	Kind   string        `json:"kind"`
 	Type   string        `json:"type,omitempty"`
 	Body   []byte        `json:"body"`
-	// Timeout bounds the request; 0 takes the default.
+	// Timeout is the timeout of the request; 0 selects the default.
 	Timeout time.Duration `json:"timeout,omitempty"`
 }
 
-// Reply is the backend server's whole answer to a request.
+// Reply is the backend server's complete answer to a request.
 type Reply struct {
 	Status int    `json:"status"`
 	Type   string `json:"type,omitempty"`
 	Body   []byte `json:"body,omitempty"`
 }
 
-// Time returns the bound of the request, or def when it has none.
-func (r Request) Time(def time.Duration) time.Duration {
+// TimeoutOr returns the timeout of the request, or def if it has none.
+func (r Request) TimeoutOr(def time.Duration) time.Duration {
 	if r.Timeout <= 0 {
 		return def
 	}
 	return r.Timeout
 }
 
-// Sum tells whether two submissions of one identity are the same.
+// Sum returns a digest by which two submissions of one identity are compared.
 func (s Submission) Sum() uint64 {
-	return digest(s.Spec.Kind, "", compact(s.Spec.Tasks))
+	return submissionDigest(s.Spec.Kind, "", compactJSON(s.Spec.Tasks))
 }
 
-// Sum tells whether two requests of one identity are the same.
+// Sum returns a digest by which two requests of one identity are compared.
 func (r Request) Sum() uint64 {
-	return digest(r.Kind, r.Type, [][]byte{r.Body})
+	return submissionDigest(r.Kind, r.Type, [][]byte{r.Body})
 }
--- a/job/owner.go
+++ b/job/owner.go
@@ -12,15 +12,15 @@
 	"snipehub.example/ticket"
 )
 
-// placer is what an owner needs of the dispatch package.
-type placer interface {
-	// Submit takes all tasks of the batch or refuses it whole; the refusal
-	// then means that nothing of it will ever be started.
+// batchRunner is the part of the dispatch package that an Owner uses.
+type batchRunner interface {
+	// Submit accepts all tasks of the batch or none. After an error, no task of the
+	// batch will ever be started.
 	Submit(b dispatch.Batch) error
 	Cancel(job string)
 }
 
-// Limits bounds an owner's memory.
+// Limits holds the limits of an owner.
 type Limits struct {
 	Tickets    int
 	Range      uint64
@@ -30,80 +30,80 @@
 	JobTimeout time.Duration
 }
 
-// Owner starts the work of the tickets that it minted and keeps the outcomes.
-// It is a lock around a book; its methods may be called from any goroutine.
+// Owner starts the jobs and requests of the tickets that it has minted and stores their
+// outcomes. It guards a ticketTable with a lock and is safe for concurrent use.
 type Owner struct {
-	self  ticket.Owner
-	place placer
-	now   func() time.Time
-
-	mu       sync.Mutex
-	book     *book
-	stopping bool
-	running  int
-	// passed numbers the requests without an identity.
-	passed uint64
-	idle   chan struct{}
+	self   ticket.Owner
+	runner batchRunner
+	now    func() time.Time
+
+	mu           sync.Mutex
+	ticketTable  *ticketTable
+	stopping     bool
+	runningCount int
+	// lastRequestSeq numbers the requests that were submitted without an identity.
+	lastRequestSeq uint64
+	drained        chan struct{}
 }
 
-// New makes the owner of all tickets that name self.
-func New(self ticket.Owner, place placer, limits Limits, now func() time.Time) *Owner {
+// New returns the owner of all tickets that name self.
+func New(self ticket.Owner, runner batchRunner, limits Limits, now func() time.Time) *Owner {
 	return &Owner{
-		self:  self,
-		place: place,
-		now:   now,
-		book:  newBook(limits),
-		idle:  make(chan struct{}),
+		self:        self,
+		runner:      runner,
+		now:         now,
+		ticketTable: newTicketTable(limits),
+		drained:     make(chan struct{}),
 	}
 }
 
-// Mint makes a ticket for the caller.
+// Mint returns a new ticket for the caller.
 func (o *Owner) Mint(c Caller) (Grant, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stopping {
 		return Grant{}, refusal.New(refusal.Stopping, "")
 	}
-	limits := o.book.limits
-	h, err := o.book.mint(o.now(), c.Name, limits.Range)
+	limits := o.ticketTable.limits
+	t, err := o.ticketTable.mint(o.now(), c.Name, limits.Range)
 	if err != nil {
 		return Grant{}, err
 	}
-	id := ticket.ID{Owner: o.self, Stream: h.stream}
+	id := ticket.ID{Owner: o.self, Stream: t.stream}
 	return Grant{Ticket: id.String(), First: 0, Limit: limits.Range, Window: limits.Window}, nil
 }
 
-// Reserve takes an identity for a key of the caller's own. Nothing runs under
-// it before it is submitted.
+// Reserve reserves an identity for one of the caller's own keys. Nothing runs under it
+// until it is submitted.
 func (o *Owner) Reserve(caller string) (ticket.JobID, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stopping {
 		return ticket.JobID{}, errors.New("job: stopping")
 	}
-	stream, seq, err := o.book.reserve(o.now(), caller)
+	stream, seq, err := o.ticketTable.reserve(o.now(), caller)
 	return ticket.ID{Owner: o.self, Stream: stream}.Job(seq), err
 }
 
-// work is what an identity is to do.
+// work is a job or a request to start under an identity.
 type work struct {
 	caller Caller
 	id     ticket.JobID
 	sum    uint64
 	batch  dispatch.Batch
-	// done takes the result of one task.
-	done func(e *entry, i int, r dispatch.Result)
+	// onResult is called with the result of each task.
+	onResult func(e *entry, i int, r dispatch.Result)
 }
 
-// Submit starts the job, or attaches to the one of the same id.
+// Submit starts the job, or attaches to the job with the same id.
 func (o *Owner) Submit(ctx context.Context, s Submission) (Answer, error) {
-	bodies := compact(s.Spec.Tasks)
+	bodies := compactJSON(s.Spec.Tasks)
 	w := work{
-		caller: s.Caller,
-		id:     s.ID,
-		sum:    digest(s.Spec.Kind, "", bodies),
-		batch:  o.batch(s.Caller, s.ID, s.Spec.Kind, s.Spec.Timeout(o.book.limits.JobTimeout)),
-		done:   o.taskDone,
+		caller:   s.Caller,
+		id:       s.ID,
+		sum:      submissionDigest(s.Spec.Kind, "", bodies),
+		batch:    o.batch(s.Caller, s.ID, s.Spec.Kind, s.Spec.Timeout(o.ticketTable.limits.JobTimeout)),
+		onResult: o.taskDone,
 	}
 	w.batch.Tasks = bodies
 	e, err := o.start(w)
@@ -111,135 +111,134 @@
 		return Answer{}, err
 	}
 	if s.Wait {
-		await(ctx, e)
+		awaitEnd(ctx, e)
 	}
 	return o.answer(e)
 }
 
-// Request passes one request through under its identity, or attaches to the
-// one of the same id. It always waits for the whole reply.
+// Request passes one request through under its identity, or attaches to the request with
+// the same id. It waits for the complete reply until ctx ends.
 func (o *Owner) Request(ctx context.Context, r Request) (Reply, error) {
 	w := work{
-		caller: r.Caller,
-		id:     *r.ID,
-		sum:    r.Sum(),
-		batch:  o.batch(r.Caller, *r.ID, r.Kind, r.Time(o.book.limits.JobTimeout)),
-		done:   o.replyDone,
+		caller:   r.Caller,
+		id:       *r.ID,
+		sum:      r.Sum(),
+		batch:    o.batch(r.Caller, *r.ID, r.Kind, r.TimeoutOr(o.ticketTable.limits.JobTimeout)),
+		onResult: o.replyDone,
 	}
 	w.batch.Tasks, w.batch.Type, w.batch.Request = [][]byte{r.Body}, r.Type, true
 	e, err := o.start(w)
 	if err != nil {
 		return Reply{}, err
 	}
-	await(ctx, e)
+	awaitEnd(ctx, e)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return e.outcome.AsReply()
 }
 
-// Pass passes one request through that has no identity: a repetition by its
-// caller is another request. Nothing of it is kept.
+// Pass passes through one request that has no identity: if its caller repeats it, it is
+// another request. Its outcome is not stored.
 func (o *Owner) Pass(ctx context.Context, r Request) (Reply, error) {
 	o.mu.Lock()
 	if o.stopping {
 		o.mu.Unlock()
 		return Reply{}, refusal.New(refusal.Stopping, "")
 	}
-	o.running++
-	o.passed++
-	id := ticket.ID{Owner: o.self}.Job(o.passed)
+	o.runningCount++
+	o.lastRequestSeq++
+	id := ticket.ID{Owner: o.self}.Job(o.lastRequestSeq)
 	o.mu.Unlock()
-	c := make(chan Outcome, 1)
-	b := o.batch(r.Caller, id, r.Kind, r.Time(o.book.limits.JobTimeout))
+	outcomes := make(chan Outcome, 1)
+	b := o.batch(r.Caller, id, r.Kind, r.TimeoutOr(o.ticketTable.limits.JobTimeout))
 	b.Tasks, b.Type, b.Request = [][]byte{r.Body}, r.Type, true
 	var once sync.Once
 	b.Done = func(_ int, res dispatch.Result) {
 		once.Do(func() {
-			c <- requestOutcome(b.Job, res)
-			o.passDone()
+			outcomes <- requestOutcome(b.Job, res)
+			o.requestFinished()
 		})
 	}
-	if err := o.place.Submit(b); err != nil {
-		o.passDone()
-		return Reply{}, refused(err)
+	if err := o.runner.Submit(b); err != nil {
+		o.requestFinished()
+		return Reply{}, notRunRefusal(err)
 	}
 	select {
-	case out := <-c:
+	case out := <-outcomes:
 		return out.AsReply()
 	case <-ctx.Done():
-		o.place.Cancel(b.Job)
+		o.runner.Cancel(b.Job)
 		return Reply{}, refusal.New(refusal.Failed, "the caller has gone")
 	}
 }
 
-func (o *Owner) passDone() {
+func (o *Owner) requestFinished() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.finished()
+	o.workFinished()
 }
 
-// start starts the work unless its identity was taken before, and returns its
-// entry.
+// start starts the work unless its identity was started before, and returns its entry.
 func (o *Owner) start(w work) (*entry, error) {
 	o.mu.Lock()
 	if w.id.Owner != o.self {
 		o.mu.Unlock()
-		return nil, o.foreign(w.id.Owner)
+		return nil, o.foreignRefusal(w.id.Owner)
 	}
-	e, fresh, err := o.book.take(o.now(), w.caller.Name, w.id, w.sum, len(w.batch.Tasks))
-	if err != nil || !fresh {
+	e, created, err := o.ticketTable.take(o.now(), w.caller.Name, w.id, w.sum, len(w.batch.Tasks))
+	if err != nil || !created {
 		o.mu.Unlock()
 		return e, err
 	}
 	if o.stopping {
 		r := refusal.New(refusal.Stopping, "")
-		o.book.end(o.now(), e, Outcome{Refused: r})
+		o.ticketTable.setOutcome(o.now(), e, Outcome{Refused: r})
 		o.mu.Unlock()
 		return nil, r
 	}
-	o.running++
+	o.runningCount++
 	o.mu.Unlock()
-	w.batch.Done = func(i int, r dispatch.Result) { w.done(e, i, r) }
-	if err := o.place.Submit(w.batch); err != nil {
-		return nil, o.refuse(e, err)
+	w.batch.Done = func(i int, r dispatch.Result) { w.onResult(e, i, r) }
+	if err := o.runner.Submit(w.batch); err != nil {
+		return nil, o.endRefused(e, err)
 	}
-	o.cancelLate(e, w.batch.Job)
+	o.repeatCancel(e, w.batch.Job)
 	return e, nil
 }
 
-// refuse burns the identity of an entry that the dispatch package turned away.
-func (o *Owner) refuse(e *entry, cause error) error {
-	r := refused(cause)
+// endRefused burns the identity of an entry whose batch the dispatch package refused.
+func (o *Owner) endRefused(e *entry, cause error) error {
+	r := notRunRefusal(cause)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.book.end(o.now(), e, Outcome{Refused: r})
-	o.finished()
+	o.ticketTable.setOutcome(o.now(), e, Outcome{Refused: r})
+	o.workFinished()
 	return r
 }
 
-// refused turns an error of the dispatch package, by which it refused a batch
-// whole, into a refusal that says "not run".
-func refused(cause error) *refusal.Refusal {
-	var given *refusal.Refusal
-	if errors.As(cause, &given) && given.Ran == refusal.RanNo {
-		return given
+// notRunRefusal converts the error with which the dispatch package refused a batch to a
+// "not run" refusal.
+func notRunRefusal(cause error) *refusal.Refusal {
+	var dispatchRefusal *refusal.Refusal
+	if errors.As(cause, &dispatchRefusal) && dispatchRefusal.Ran == refusal.RanNo {
+		return dispatchRefusal
 	}
 	return refusal.New(refusal.Overloaded, cause.Error()).After(time.Second)
 }
 
-// cancelLate repeats a cancellation that came between taking the identity and
-// queueing its tasks. It found no tasks in the queue then; without the
-// repetition the job would run to its end although its caller cancelled it.
-func (o *Owner) cancelLate(e *entry, id string) {
+// repeatCancel repeats a cancellation that arrived after the entry was created and before
+// its tasks were queued. It found no tasks to cancel then; unless it is repeated, the job
+// would run to its end although its caller cancelled it.
+func (o *Owner) repeatCancel(e *entry, id string) {
 	o.mu.Lock()
 	cancelled := e.cancelled
 	o.mu.Unlock()
 	if cancelled {
-		o.place.Cancel(id)
+		o.runner.Cancel(id)
 	}
 }
 
-func await(ctx context.Context, e *entry) {
+func awaitEnd(ctx context.Context, e *entry) {
 	select {
 	case <-e.ended:
 	case <-ctx.Done():
@@ -252,28 +251,29 @@
 	return e.outcome.AsAnswer()
 }
 
-// Lookup tells where a job stands.
+// Lookup returns the answer to a job so far.
 func (o *Owner) Lookup(c Caller, id ticket.JobID) (Answer, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if id.Owner != o.self {
-		return Answer{}, o.foreign(id.Owner)
+		return Answer{}, o.foreignRefusal(id.Owner)
 	}
-	e, err := o.book.lookup(o.now(), c.Name, id)
+	e, err := o.ticketTable.lookup(o.now(), c.Name, id)
 	if err != nil {
 		return Answer{}, err
 	}
 	return e.outcome.AsAnswer()
 }
 
-// Cancel asks that no more tasks of the job start.
+// Cancel requests that no more tasks of the job are started, and returns the job's answer so
+// far.
 func (o *Owner) Cancel(c Caller, id ticket.JobID) (Answer, error) {
 	o.mu.Lock()
 	if id.Owner != o.self {
 		o.mu.Unlock()
-		return Answer{}, o.foreign(id.Owner)
+		return Answer{}, o.foreignRefusal(id.Owner)
 	}
-	e, err := o.book.cancel(o.now(), c.Name, id)
+	e, err := o.ticketTable.cancel(o.now(), c.Name, id)
 	if err != nil {
 		o.mu.Unlock()
 		return Answer{}, err
@@ -281,16 +281,16 @@
 	a, err := e.outcome.AsAnswer()
 	o.mu.Unlock()
 	if err == nil && a.State == Queued {
-		o.place.Cancel(id.String())
+		o.runner.Cancel(id.String())
 	}
 	return a, err
 }
 
-// foreign answers about an identity of another owner. A call gets here when
-// this process has the address of an earlier one. It can't know what that one
-// has started, so it says "unknown", and says for good that the earlier
-// incarnation of its own name is gone.
-func (o *Owner) foreign(id ticket.Owner) error {
+// foreignRefusal returns the refusal for an identity of another owner. Such a call arrives
+// if this process has the address of an earlier one. It can't know what that one has
+// started, so the refusal says "unknown". If the owner is an earlier incarnation of this
+// process, the refusal is final, because that incarnation is gone.
+func (o *Owner) foreignRefusal(id ticket.Owner) error {
 	if id.Precedes(o.self) {
 		return refusal.New(refusal.OwnerGone, "")
 	}
@@ -299,52 +299,53 @@
 
 const foreignRetryAfter = time.Second
 
-// Stop refuses new work and waits until what runs has ended or ctx has.
+// Stop refuses new work from now on and waits until all running work has ended or ctx ends.
 func (o *Owner) Stop(ctx context.Context) error {
 	o.mu.Lock()
 	if !o.stopping {
 		o.stopping = true
-		if o.running == 0 {
-			close(o.idle)
+		if o.runningCount == 0 {
+			close(o.drained)
 		}
 	}
 	o.mu.Unlock()
 	select {
-	case <-o.idle:
+	case <-o.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Stats is what an owner's memory holds, and how often it was at its bounds:
-// answers dropped before their time, tickets retired and refused.
+// Stats describes the memory of an owner and how often it has reached its bounds: Crowded
+// counts answers dropped before their retention period was over, Retired tickets dropped
+// for new ones, Full refused requests for a ticket.
 type Stats struct {
 	Tickets, Running, Kept, KeptBytes int64
 	Crowded, Retired, Full            int64
 }
 
-// Stats returns the figures for the metrics.
+// Stats returns the values for the metrics.
 func (o *Owner) Stats() Stats {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.book
-	b.sweep(o.now())
+	b := o.ticketTable
+	b.evictAnswers(o.now())
 	return Stats{
 		Tickets:   int64(len(b.tickets)),
-		Running:   int64(o.running),
-		Kept:      int64(b.kept.Len()),
+		Running:   int64(o.runningCount),
+		Kept:      int64(b.ended.Len()),
 		KeptBytes: b.keptBytes,
-		Crowded:   b.crowded,
-		Retired:   b.retired,
-		Full:      b.full,
+		Crowded:   b.evictedAnswers,
+		Retired:   b.retiredTickets,
+		Full:      b.refusedTickets,
 	}
 }
 
-func (o *Owner) finished() {
-	o.running--
-	if o.stopping && o.running == 0 {
-		close(o.idle)
+func (o *Owner) workFinished() {
+	o.runningCount--
+	if o.stopping && o.runningCount == 0 {
+		close(o.drained)
 	}
 }
 
@@ -361,20 +362,20 @@
 func (o *Owner) taskDone(e *entry, i int, r dispatch.Result) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !e.fill(i, taskResult(r)) {
+	if !e.setResult(i, taskResult(r)) {
 		return
 	}
-	a := conclude(e.outcome.Answer.Job, e.results, e.cancelled)
-	o.book.end(o.now(), e, Outcome{Answer: a})
-	o.finished()
+	a := jobAnswer(e.outcome.Answer.Job, e.results, e.cancelled)
+	o.ticketTable.setOutcome(o.now(), e, Outcome{Answer: a})
+	o.workFinished()
 }
 
 func (o *Owner) replyDone(e *entry, i int, r dispatch.Result) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !e.fill(i, TaskResult{Ran: r.Ran, Done: r.Done}) {
+	if !e.setResult(i, TaskResult{Ran: r.Ran, Done: r.Done}) {
 		return
 	}
-	o.book.end(o.now(), e, requestOutcome(e.outcome.Answer.Job, r))
-	o.finished()
+	o.ticketTable.setOutcome(o.now(), e, requestOutcome(e.outcome.Answer.Job, r))
+	o.workFinished()
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,11 +1,12 @@
-// Package ticket holds the identity of submissions and the rule that no
-// submission starts twice.
+// Package ticket defines the identities of submissions and ensures that no
+// submission is started twice.
 //
-// A ticket names the one process incarnation that may start its sequences.
-// This makes the rule local: the owner remembers what it has started, and
-// nobody else starts anything for that identity, whatever is cut off, paused
-// or down. The price is that an identity whose owner dies is answered as
-// failed with the outcome unknown; the caller decides what to do.
+// A ticket names its owner, the one process incarnation that may start the ticket's
+// sequences. Hence the owner can prevent a second start on its own: it remembers what
+// it has started, and no other process starts anything under that identity, whichever
+// processes are partitioned, paused or down. The cost is that an identity whose owner
+// has died is answered as failed with the outcome unknown; the caller decides what to
+// do then.
 package ticket
 
 import (
@@ -24,37 +25,37 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// String writes the owner as it stands in ids.
+// String formats the owner as in ids.
 func (o Owner) String() string {
 	return strings.Join([]string{o.DataCenter, o.VM, o.Process, strconv.FormatUint(o.Incarnation, 36)}, separator)
 }
 
-// Precedes tells whether o is an earlier incarnation of the process n.
-func (o Owner) Precedes(n Owner) bool {
-	earlier := o.Incarnation < n.Incarnation
-	n.Incarnation = o.Incarnation
-	return earlier && o == n
+// Precedes reports whether o is an earlier incarnation of the same process as other.
+func (o Owner) Precedes(other Owner) bool {
+	earlier := o.Incarnation < other.Incarnation
+	other.Incarnation = o.Incarnation
+	return earlier && o == other
 }
 
-// ID is the name of a ticket.
+// ID identifies a ticket.
 type ID struct {
 	Owner
 	// Stream numbers the tickets of one incarnation.
 	Stream uint64 `json:"stream"`
 }
 
-// JobID is one sequence number of a ticket.
+// JobID identifies a job or a request: one sequence number of a ticket.
 type JobID struct {
 	ID
 	Seq uint64 `json:"seq"`
 }
 
-// ErrFormat is returned for text that is not an id.
+// ErrFormat is returned for a malformed id or window.
 var ErrFormat = errors.New("ticket: malformed id")
 
 const separator = "."
 
-// String writes the id as it stands in URLs.
+// String formats the id as in URLs.
 func (i ID) String() string {
 	return strings.Join([]string{
 		i.DataCenter, i.VM, i.Process,
@@ -66,34 +67,34 @@
 // Job returns the job id of a sequence number.
 func (i ID) Job(seq uint64) JobID { return JobID{i, seq} }
 
-// String writes the job id as it stands in URLs.
+// String formats the job id as in URLs.
 func (j JobID) String() string {
 	return j.ID.String() + separator + strconv.FormatUint(j.Seq, 10)
 }
 
-// ParseID reads what ID.String writes.
+// ParseID parses the output of ID.String.
 func ParseID(s string) (ID, error) {
-	p := strings.Split(s, separator)
-	if len(p) != 5 {
+	parts := strings.Split(s, separator)
+	if len(parts) != 5 {
 		return ID{}, errors.Wrapf(ErrFormat, "%q", s)
 	}
-	for _, name := range p[:3] {
+	for _, name := range parts[:3] {
 		if !ValidName(name) {
 			return ID{}, errors.Wrapf(ErrFormat, "%q", s)
 		}
 	}
-	inc, err := strconv.ParseUint(p[3], 36, 64)
+	incarnation, err := strconv.ParseUint(parts[3], 36, 64)
 	if err != nil {
 		return ID{}, errors.Wrapf(ErrFormat, "%q", s)
 	}
-	stream, err := strconv.ParseUint(p[4], 36, 64)
+	stream, err := strconv.ParseUint(parts[4], 36, 64)
 	if err != nil {
 		return ID{}, errors.Wrapf(ErrFormat, "%q", s)
 	}
-	return ID{Owner{p[0], p[1], p[2], inc}, stream}, nil
+	return ID{Owner{parts[0], parts[1], parts[2], incarnation}, stream}, nil
 }
 
-// ParseJobID reads what JobID.String writes.
+// ParseJobID parses the output of JobID.String.
 func ParseJobID(s string) (JobID, error) {
 	i := strings.LastIndex(s, separator)
 	if i < 0 {
@@ -110,8 +111,8 @@
 	return JobID{id, seq}, nil
 }
 
-// ValidName tells whether a name may be part of an id: letters, digits and
-// dashes.
+// ValidName reports whether s may be part of an id: it must consist of letters, digits
+// and dashes, and be 1 to 64 bytes long.
 func ValidName(s string) bool {
 	for _, r := range s {
 		ok := r == '-' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
--- a/ticket/window.go
+++ b/ticket/window.go
@@ -5,140 +5,143 @@
 	"slices"
 )
 
-// Verdict is what a window says about a sequence that arrives.
+// Verdict is the state of a sequence in a Window.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Start means that the sequence is new; Take has now marked it as running.
+	// Start means that the sequence is new. If TryStart returns it, the sequence is
+	// now marked as running.
 	Start Verdict = iota
-	// Running means that it was started and has not ended.
+	// Running means that the sequence was started and has not ended.
 	Running
-	// Kept means that it ended and its answer may still be kept.
-	Kept
-	// Burned means that it was answered with "not run".
+	// Ended means that the sequence has ended. Its answer may still be stored.
+	Ended
+	// Burned means that the sequence was answered with "not run".
 	Burned
-	// Forgotten means that it lies below the window.
+	// Forgotten means that the sequence is below the window.
 	Forgotten
-	// Outside means that it is not in the ticket's range and never will be.
-	Outside
-	// Ahead means that it lies further above the oldest running sequence than
-	// the window is wide. It can be taken once that one has ended, so nobody
-	// may call it "not run".
-	Ahead
+	// BeyondRange means that the sequence is not in the ticket's range and never will
+	// be.
+	BeyondRange
+	// TooFarAhead means that the distance from the oldest running sequence is at
+	// least the width of the window. The sequence can be started once the running
+	// one has ended, so it must not be answered with "not run".
+	TooFarAhead
 )
 
-// Window remembers what has become of the sequences of one ticket. It is the
-// split of a stream by offset into what to skip, what is in doubt and what is
-// new (PAPER-exactly-once-support, section 5), but for one thing: what is in
-// doubt is never run again here.
+// Window holds the states of the sequences of one ticket. It divides them into those
+// to skip, those in doubt and new ones, as PAPER-exactly-once-support, section 5, does
+// with the offsets of a stream. Unlike there, a sequence in doubt is never run again.
 //
-// Its memory is fixed: one byte for each sequence from the low mark on, up to
-// its width. When a sequence arrives above the window, the low mark moves up
-// over sequences that have ended or that never came; those are then forgotten,
-// which answers "outcome unknown", and never start. It does not move over a
-// running one: a copy of that one would then no longer find the answer that is
-// being made for it.
+// Its memory is fixed: one byte for each sequence from the low mark on, up to the
+// width. When a sequence above the window is started, the low mark moves up past
+// sequences that have ended or were never submitted. Those are then Forgotten: they are
+// answered with "outcome unknown" and never start. The low mark does not move past a
+// running sequence, because a copy of its submission could then no longer find the
+// answer.
 type Window struct {
-	low   uint64
-	limit uint64
-	state []Verdict
+	lowMark  uint64
+	rangeEnd uint64
+	verdicts []Verdict
 }
 
-// NewWindow makes a window of the given width over the sequences 0 to limit-1.
-func NewWindow(width int, limit uint64) *Window {
-	return &Window{limit: limit, state: make([]Verdict, max(width, 1))}
+// NewWindow returns a window of the given width for the sequences 0 to rangeEnd-1.
+func NewWindow(width int, rangeEnd uint64) *Window {
+	return &Window{rangeEnd: rangeEnd, verdicts: make([]Verdict, max(width, 1))}
 }
 
-// Low returns the lowest sequence that is not forgotten.
-func (w *Window) Low() uint64 { return w.low }
+// Low returns the low mark: the lowest sequence that is not forgotten.
+func (w *Window) Low() uint64 { return w.lowMark }
 
-// Width returns how many sequences the window spans, and its memory in bytes.
-func (w *Window) Width() int { return len(w.state) }
+// Width returns the number of sequences that the window spans, which is also its memory
+// in bytes.
+func (w *Window) Width() int { return len(w.verdicts) }
 
-// Take asks for the sequence; on Start it is marked as running.
-func (w *Window) Take(seq uint64) Verdict {
+// TryStart returns the verdict on the sequence. If that is Start, the sequence is marked
+// as running.
+func (w *Window) TryStart(seq uint64) Verdict {
 	v := w.Peek(seq)
 	if v != Start {
 		return v
 	}
 	w.advance(seq)
-	*w.at(seq) = Running
+	*w.slot(seq) = Running
 	return Start
 }
 
-// Peek tells about the sequence without taking it.
+// Peek returns the verdict on the sequence without starting it.
 func (w *Window) Peek(seq uint64) Verdict {
 	switch {
-	case seq >= w.limit:
-		return Outside
-	case seq < w.low:
+	case seq >= w.rangeEnd:
+		return BeyondRange
+	case seq < w.lowMark:
 		return Forgotten
-	case w.inside(seq):
-		return *w.at(seq)
-	case w.runsBelow(w.lowFor(seq)):
-		return Ahead
+	case w.contains(seq):
+		return *w.slot(seq)
+	case w.hasRunningBelow(w.lowMarkFor(seq)):
+		return TooFarAhead
 	}
 	return Start
 }
 
-// End marks a running sequence as ended; burned tells that it was "not run".
+// End marks a running sequence as Burned if burned is set, and as Ended otherwise.
 func (w *Window) End(seq uint64, burned bool) {
-	if seq < w.low || !w.inside(seq) {
+	if seq < w.lowMark || !w.contains(seq) {
 		return
 	}
-	v := Kept
+	v := Ended
 	if burned {
 		v = Burned
 	}
-	*w.at(seq) = v
+	*w.slot(seq) = v
 }
 
-// inside tells whether seq, which is not below the low mark, is in the window.
-// The subtraction can't wrap around, as low+width could.
-func (w *Window) inside(seq uint64) bool {
-	return seq-w.low < uint64(len(w.state))
+// contains reports whether seq, which must not be below the low mark, is in the window.
+// Unlike lowMark+width, the subtraction can't wrap around.
+func (w *Window) contains(seq uint64) bool {
+	return seq-w.lowMark < uint64(len(w.verdicts))
 }
 
-// lowFor returns the low mark at which seq is the last of the window.
-func (w *Window) lowFor(seq uint64) uint64 {
-	return seq - uint64(len(w.state)) + 1
+// lowMarkFor returns the low mark at which seq is the last sequence of the window.
+func (w *Window) lowMarkFor(seq uint64) uint64 {
+	return seq - uint64(len(w.verdicts)) + 1
 }
 
-func (w *Window) runsBelow(mark uint64) bool {
-	for s := w.low; s < mark && w.inside(s); s++ {
-		if *w.at(s) == Running {
+func (w *Window) hasRunningBelow(mark uint64) bool {
+	for s := w.lowMark; s < mark && w.contains(s); s++ {
+		if *w.slot(s) == Running {
 			return true
 		}
 	}
 	return false
 }
 
-// advance moves the low mark up so far that seq is inside. Its cost is bounded
-// by the width, however far the caller jumps.
+// advance moves the low mark up until the window contains seq. Its cost is bounded by
+// the width, however large the jump is.
 func (w *Window) advance(seq uint64) {
-	if w.inside(seq) {
+	if w.contains(seq) {
 		return
 	}
-	mark := w.lowFor(seq)
-	for s := w.low; s < mark && w.inside(s); s++ {
-		*w.at(s) = Start
+	mark := w.lowMarkFor(seq)
+	for s := w.lowMark; s < mark && w.contains(s); s++ {
+		*w.slot(s) = Start
 	}
-	w.low = mark
+	w.lowMark = mark
 }
 
-func (w *Window) at(seq uint64) *Verdict {
-	return &w.state[seq%uint64(len(w.state))]
+func (w *Window) slot(seq uint64) *Verdict {
+	return &w.verdicts[seq%uint64(len(w.verdicts))]
 }
 
 // Clone returns a copy.
 func (w *Window) Clone() *Window {
-	return &Window{low: w.low, limit: w.limit, state: slices.Clone(w.state)}
+	return &Window{lowMark: w.lowMark, rangeEnd: w.rangeEnd, verdicts: slices.Clone(w.verdicts)}
 }
 
-// image is a window as it is handed to another process: State begins at the
-// low mark, and ends with the last sequence that was taken.
-type image struct {
+// windowJSON is the encoding of a window for another process. State begins at the low
+// mark and ends with the highest sequence that was started.
+type windowJSON struct {
 	Low   uint64 `json:"low"`
 	Limit uint64 `json:"limit"`
 	Width int    `json:"width"`
@@ -148,11 +151,11 @@
 // MaxWidth is the largest width of a window.
 const MaxWidth = 1 << 16
 
-// MarshalJSON writes the window for the hand-over at a planned stop.
+// MarshalJSON encodes the window for the handover at a planned stop.
 func (w *Window) MarshalJSON() ([]byte, error) {
-	m := image{Low: w.low, Limit: w.limit, Width: len(w.state)}
-	for i := range w.state {
-		if v := *w.at(w.low + uint64(i)); v != Start {
+	m := windowJSON{Low: w.lowMark, Limit: w.rangeEnd, Width: len(w.verdicts)}
+	for i := range w.verdicts {
+		if v := *w.slot(w.lowMark + uint64(i)); v != Start {
 			m.State = append(m.State, make([]byte, i+1-len(m.State))...)
 			m.State[i] = byte(v)
 		}
@@ -160,22 +163,22 @@
 	return json.Marshal(m)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes; ErrFormat for what can't be a
-// window.
+// UnmarshalJSON decodes the output of MarshalJSON. It returns ErrFormat if the values
+// are not those of a valid window.
 func (w *Window) UnmarshalJSON(b []byte) error {
-	var m image
+	var m windowJSON
 	if err := json.Unmarshal(b, &m); err != nil {
 		return err
 	}
 	if m.Width < 1 || m.Width > MaxWidth || len(m.State) > m.Width {
 		return ErrFormat
 	}
-	w.low, w.limit, w.state = m.Low, m.Limit, make([]Verdict, m.Width)
+	w.lowMark, w.rangeEnd, w.verdicts = m.Low, m.Limit, make([]Verdict, m.Width)
 	for i, v := range m.State {
 		if Verdict(v) > Burned {
 			return ErrFormat
 		}
-		*w.at(w.low + uint64(i)) = Verdict(v)
+		*w.slot(w.lowMark + uint64(i)) = Verdict(v)
 	}
 	return nil
 }
